--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -16,18 +16,18 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from starlingdeck.coordination.job import Place, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.membership import Holder
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.sights import Sight
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.membership import Holder
+from starlingdeck.controller.controller import Node
+from starlingdeck.jobs.job import Place, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.shard_snapshot import Sight
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.state import put
-from tests.build import Clock, make_world, spec
-from tests.model import PlainClient, PlainState, at_once
+from tests.support.builders import Clock, make_world, spec
+from tests.support.reference_model import PlainClient, PlainState, at_once
 
 
 @click.command()
@@ -55,9 +55,9 @@
     sight.take(pb.View(shard=2, gen=77, seq=1, valid=True, whole=True, machines=rooms))
     node.rooms.show(sight, set(sight.machines))
     if counts:
-        from starlingdeck.counts.gate import Counts
         from starlingdeck.counts.ledger import Ledger
-        from starlingdeck.protocol.settings import CountSettings
+        from starlingdeck.counts.plugin import Counts
+        from starlingdeck.protocol.config import CountSettings
 
         gate = Counts(node.world, node.state, node.membership, node.writers, CountSettings())
         node.install(gate)
--- a/scripts/fuzz_counts.py
+++ b/scripts/fuzz_counts.py
@@ -13,7 +13,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 with atheris.instrument_imports(include=["starlingdeck"]):
-    from tests.fuzzed import one
+    from tests.support.fuzz_targets import one
 
 
 def target(data: bytes) -> None:
--- a/scripts/overload_size.py
+++ b/scripts/overload_size.py
@@ -17,17 +17,17 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from starlingdeck.coordination.job import new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.membership import Holder
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.sights import Sight
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.membership import Holder
+from starlingdeck.controller.controller import Node
+from starlingdeck.jobs.job import new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.machines.shard_snapshot import Sight
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import OverloadSettings, Tuning
-from tests.build import Clock, make_world, spec
+from starlingdeck.protocol.config import OverloadSettings, Tuning
+from tests.support.builders import Clock, make_world, spec
 
 MACHINES = 600
 TASKS_A_JOB = 40
--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -21,7 +21,7 @@
 from standins.scale import report as reports  # noqa: E402
 from standins.scale.plan import load  # noqa: E402
 from standins.scale.run import play  # noqa: E402
-from starlingdeck.protocol.settings import Fault  # noqa: E402
+from starlingdeck.protocol.config import Fault  # noqa: E402
 
 
 def say(text: str) -> None:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from starlingdeck.protocol.settings import split_address
+from starlingdeck.protocol.config import split_address
 
 
 class Engine:
--- a/standins/hollow.py
+++ b/standins/hollow.py
@@ -29,7 +29,7 @@
 )
 from standins.serve import answer, error, serve
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import split_address
+from starlingdeck.protocol.config import split_address
 from starlingdeck.transport.client import HttpClient, NoAnswer
 from starlingdeck.transport.server import HttpServer, Request, Response
 
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from starlingdeck.protocol.settings import Fault, faults_of, load_tuning
+from starlingdeck.protocol.config import Fault, faults_of, load_tuning
 
 Rate = Annotated[float, Meta(ge=0, le=100_000)]
 Share = Annotated[float, Meta(ge=0, le=1)]
--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -17,7 +17,7 @@
 from standins.scale.troubles import Troubles
 from standins.scale.users import ANSWER_S, FORGOTTEN_S, Load
 from standins.state import Stats
-from starlingdeck.protocol.settings import split_address
+from starlingdeck.protocol.config import split_address
 
 PROGRESS_S = 10.0
 JUDGE_S = 0.2
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -17,7 +17,7 @@
 from standins.scale.plan import Plan, Rung, hosts
 from standins.state import Stats
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import split_address
+from starlingdeck.protocol.config import split_address
 from starlingdeck.transport.client import HttpClient, NoAnswer, Reply
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -5,7 +5,7 @@
 import curio
 import msgspec
 
-from starlingdeck.protocol.settings import split_address
+from starlingdeck.protocol.config import split_address
 from starlingdeck.transport.server import HttpServer, Request, Response
 
 
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -18,7 +18,7 @@
 from standins.agent import ANSWER_S, CHANGES_S, MOVE_S, Actions, Agent, Identity, next_controller
 from standins.serve import answer, serve
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import split_address
+from starlingdeck.protocol.config import split_address
 from starlingdeck.transport.client import HttpClient, NoAnswer, Reply
 from starlingdeck.transport.server import Request, Response
 
--- /dev/null
+++ b/starlingdeck/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Admission plugins: the quota of each team and its transfer between shards."""
--- a/starlingdeck/coordination/quota.py
+++ b/starlingdeck/admission/quota.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.coordination.world import World
+from starlingdeck.context import World
 
 Pair = tuple[float, float]  # cpus, gpus
 FREE = 1e12
--- a/starlingdeck/coordination/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -6,13 +6,13 @@
 import curio
 import msgspec
 
-from starlingdeck.coordination.admission import Wait
-from starlingdeck.coordination.job import Job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.membership import Membership
-from starlingdeck.coordination.quota import Pair, Quota
-from starlingdeck.coordination.world import MANY, World
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.admission.quota import Pair, Quota
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.context import MANY, World
+from starlingdeck.jobs.admission import Wait
+from starlingdeck.jobs.job import Job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
 from starlingdeck.storage import records
 from starlingdeck.storage.state import Conflict, StateClient, StateError, StateUnknown
 from starlingdeck.storage.state import put as put_key
--- /dev/null
+++ b/starlingdeck/api/__init__.py
@@ -0,0 +1,1 @@
+"""Handlers of the HTTP API: jobs, worker heartbeats."""
--- a/starlingdeck/coordination/reports.py
+++ b/starlingdeck/api/heartbeat_api.py
@@ -8,13 +8,13 @@
 import msgspec
 from msgspec import Struct
 
-from starlingdeck.coordination.machine import Machine
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.membership import Holder, Membership
-from starlingdeck.coordination.peers import PeerDown, Peers
-from starlingdeck.coordination.shards import machine_shard
-from starlingdeck.coordination.users import fault
-from starlingdeck.coordination.world import World
+from starlingdeck.api.job_api import fault
+from starlingdeck.cluster.membership import Holder, Membership
+from starlingdeck.cluster.peers import PeerDown, Peers
+from starlingdeck.cluster.sharding import machine_shard
+from starlingdeck.context import World
+from starlingdeck.machines.machine import Machine
+from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.transport.server import Response
--- a/starlingdeck/coordination/users.py
+++ b/starlingdeck/api/job_api.py
@@ -6,16 +6,16 @@
 import curio
 import msgspec
 
-from starlingdeck.coordination import tally
-from starlingdeck.coordination.admission import Admission
-from starlingdeck.coordination.job import Job, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.log_reader import LogReader
-from starlingdeck.coordination.membership import Membership
-from starlingdeck.coordination.peers import PeerDown, Peers
-from starlingdeck.coordination.shards import job_shard
-from starlingdeck.coordination.world import World, fits, size_of, total_of
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.cluster.peers import PeerDown, Peers
+from starlingdeck.cluster.sharding import job_shard
+from starlingdeck.context import World, fits, size_of, total_of
+from starlingdeck.jobs.admission import Admission
+from starlingdeck.jobs.job import Job, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.log_reader import LogReader
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.metrics import counters as tally
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.api import JobSpec
--- a/starlingdeck/coordination/cloud.py
+++ b/starlingdeck/autoscaling/cloud.py
@@ -7,11 +7,11 @@
 import curio
 import msgspec
 
-from starlingdeck.coordination import fleet
-from starlingdeck.coordination.fleet import Ask, Demand, FleetState, Listed
-from starlingdeck.coordination.hearing import may_return
-from starlingdeck.coordination.placement import Room
-from starlingdeck.coordination.world import World
+from starlingdeck.autoscaling import policy as fleet
+from starlingdeck.autoscaling.policy import Ask, Demand, FleetState, Listed
+from starlingdeck.context import World
+from starlingdeck.machines.reachability import may_return
+from starlingdeck.machines.scoring import Room
 from starlingdeck.protocol import api
 from starlingdeck.storage.limiter import Limiter
 from starlingdeck.transport.client import HttpClient, NoAnswer, Reply
--- a/starlingdeck/coordination/fleet.py
+++ b/starlingdeck/autoscaling/policy.py
@@ -5,8 +5,8 @@
 
 from msgspec import Struct, field, structs
 
-from starlingdeck.coordination.placement import Room
-from starlingdeck.coordination.world import Size, World, fits, holds, total_of
+from starlingdeck.context import Size, World, fits, holds, total_of
+from starlingdeck.machines.scoring import Room
 from starlingdeck.protocol import api
 
 MOST_ASKED = 50  # machines in one rental request, by the cloud's protocol
--- a/starlingdeck/cli.py
+++ b/starlingdeck/cli.py
@@ -15,7 +15,7 @@
 
 from starlingdeck import __version__
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import Fault, load_settings, load_tuning
+from starlingdeck.protocol.config import Fault, load_settings, load_tuning
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -73,9 +73,9 @@
         return
     import curio
 
-    from starlingdeck.coordination.meters import Slices
-    from starlingdeck.coordination.node import Node
-    from starlingdeck.coordination.world import World
+    from starlingdeck.context import World
+    from starlingdeck.controller.controller import Node
+    from starlingdeck.metrics.latency import Slices
 
     world = World(
         settings,
@@ -92,7 +92,7 @@
         world.slices = Slices(world.now)
     node = Node(world)
     if tuned.counts is not None:
-        from starlingdeck.counts.gate import Counts
+        from starlingdeck.counts.plugin import Counts
 
         node.install(Counts(world, node.state, node.membership, node.writers, tuned.counts))
     curio.run(node.run, activations=[world.slices] if world.slices else None)
--- a/starlingdeck/coordination/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Struct
 
-from starlingdeck.coordination.shards import heirs
-from starlingdeck.coordination.world import DRIFT, World
+from starlingdeck.cluster.sharding import heirs
+from starlingdeck.context import DRIFT, World
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.records import NodeValue, ShardValue
--- a/starlingdeck/coordination/peers.py
+++ b/starlingdeck/cluster/peers.py
@@ -9,7 +9,7 @@
 import curio
 from google.protobuf.message import DecodeError
 
-from starlingdeck.coordination.world import World
+from starlingdeck.context import World
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.transport.frames import FrameLink, FrameServer, dial
 
--- a/starlingdeck/coordination/world.py
+++ b/starlingdeck/context.py
@@ -5,12 +5,12 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.coordination.meters import Meters, Slices
-from starlingdeck.coordination.names import Names
-from starlingdeck.coordination.quarantine import Quarantine
-from starlingdeck.coordination.tally import Tally
+from starlingdeck.interning import Names
+from starlingdeck.metrics.counters import Tally
+from starlingdeck.metrics.latency import Meters, Slices
 from starlingdeck.protocol.api import JobSpec, MachineType, sound_type
-from starlingdeck.protocol.settings import Settings, Tuning
+from starlingdeck.protocol.config import Settings, Tuning
+from starlingdeck.quarantine import Quarantine
 
 Size = tuple[float, float, float]
 MANY = 1_000_000  # tasks: more than any job has
--- /dev/null
+++ b/starlingdeck/controller/__init__.py
@@ -0,0 +1,1 @@
+"""The controller process: wiring of its parts, its loops, its periodic metrics."""
--- a/starlingdeck/coordination/node.py
+++ b/starlingdeck/controller/controller.py
@@ -6,29 +6,28 @@
 import curio
 import msgspec
 
-from starlingdeck.coordination.admission import Admission, Durable
-from starlingdeck.coordination.cloud import CloudClient, CloudError, Fleet, learn_types
-from starlingdeck.coordination.exchange import Exchange
-from starlingdeck.coordination.figures import hearing, largest, waiting
-from starlingdeck.coordination.inbox import Inbox
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.machine import Machine
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.membership import Holder, Hooks, Membership
-from starlingdeck.coordination.overload import Overload
-from starlingdeck.coordination.peers import Peers
-from starlingdeck.coordination.planner import Planner
-from starlingdeck.coordination.quota_transfer import QuotaTransfer
-from starlingdeck.coordination.reports import REPORT, Reports
-from starlingdeck.coordination.rooms import Rooms
-from starlingdeck.coordination.scheduler import TeamJob
-from starlingdeck.coordination.sights import Sight
-from starlingdeck.coordination.users import Users, fault
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import IDLE_S, Writer
+from starlingdeck.admission.quota_transfer import QuotaTransfer
+from starlingdeck.api.heartbeat_api import REPORT, Reports
+from starlingdeck.api.job_api import Users, fault
+from starlingdeck.autoscaling.cloud import CloudClient, CloudError, Fleet, learn_types
+from starlingdeck.cluster.membership import Holder, Hooks, Membership
+from starlingdeck.cluster.peers import Peers
+from starlingdeck.context import World
+from starlingdeck.controller.metrics_report import hearing, largest, waiting
+from starlingdeck.jobs.admission import Admission, Durable
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.mailbox import Inbox
+from starlingdeck.jobs.record_writer import IDLE_S, Writer
+from starlingdeck.machines.machine import Machine
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.machines.shard_snapshot import Sight
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import split_address
+from starlingdeck.protocol.config import split_address
+from starlingdeck.scheduling.candidate_pool import Rooms
+from starlingdeck.scheduling.overload import Overload
+from starlingdeck.scheduling.planner import Planner
+from starlingdeck.scheduling.scheduler import TeamJob
 from starlingdeck.storage import records
 from starlingdeck.storage.limiter import Limiter
 from starlingdeck.storage.state import (
@@ -39,6 +38,7 @@
     StateLimit,
 )
 from starlingdeck.storage.state import put as put_key
+from starlingdeck.sync.state_sync import Exchange
 from starlingdeck.transport.client import HttpClient, NoAnswer, NotSent
 from starlingdeck.transport.frames import FrameServer
 from starlingdeck.transport.server import HttpServer, Request, Response
--- a/starlingdeck/coordination/figures.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Iterator, Mapping
 
-from starlingdeck.coordination.admission import Admission
-from starlingdeck.coordination.job import Job
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.context import World
+from starlingdeck.jobs.admission import Admission
+from starlingdeck.jobs.job import Job
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.machine_shard import MachineShard
 
 
 def hearing(shards: Mapping[int, MachineShard]) -> Iterator[str]:
--- a/starlingdeck/coordination/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Decisions: ownership, jobs, machines, placement, fleet."""
--- a/starlingdeck/counts/taking.py
+++ b/starlingdeck/counts/allocation.py
@@ -3,11 +3,11 @@
 import logging
 from collections.abc import Callable
 
-from starlingdeck.coordination.job import Draft, Job
-from starlingdeck.coordination.jobs import JobShard
 from starlingdeck.counts import ledger
-from starlingdeck.counts.books import Books
 from starlingdeck.counts.ledger import Ledger
+from starlingdeck.counts.ledger_store import Books
+from starlingdeck.jobs.job import Draft, Job
+from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
 from starlingdeck.storage.records import CHUNK
 from starlingdeck.storage.state import put
--- a/starlingdeck/counts/door.py
+++ b/starlingdeck/counts/http_api.py
@@ -5,9 +5,9 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from starlingdeck.coordination.users import answer, fault
-from starlingdeck.counts.books import Books
+from starlingdeck.api.job_api import answer, fault
 from starlingdeck.counts.ledger import Change, Ledger
+from starlingdeck.counts.ledger_store import Books
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.state import Conflict, StateError, StateUnknown, drop, put
--- a/starlingdeck/counts/ledger.py
+++ b/starlingdeck/counts/ledger.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from starlingdeck.coordination.machine import may_preempt
+from starlingdeck.machines.machine import may_preempt
 from starlingdeck.protocol.api import MOST_UNITS
 
 
--- a/starlingdeck/counts/books.py
+++ b/starlingdeck/counts/ledger_store.py
@@ -7,12 +7,12 @@
 import msgspec
 from msgspec import Struct, field
 
-from starlingdeck.coordination.job import Job, Place
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.context import World
 from starlingdeck.counts import ledger
 from starlingdeck.counts.ledger import Ledger
+from starlingdeck.jobs.job import Job, Place
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateClient, put
--- a/starlingdeck/counts/gate.py
+++ b/starlingdeck/counts/plugin.py
@@ -6,19 +6,20 @@
 import curio
 from msgspec import Struct, field
 
-from starlingdeck.coordination.admission import Wait
-from starlingdeck.coordination.job import Job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.membership import Membership
-from starlingdeck.coordination.world import MANY, World
-from starlingdeck.coordination.writer import Writer
-from starlingdeck.counts import door, ledger
-from starlingdeck.counts.books import Books, told
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.context import MANY, World
+from starlingdeck.counts import http_api as door
+from starlingdeck.counts import ledger
+from starlingdeck.counts.allocation import Taking
 from starlingdeck.counts.ledger import Change, Ledger, Use, Waiter
-from starlingdeck.counts.taking import Taking
+from starlingdeck.counts.ledger_store import Books, told
+from starlingdeck.jobs.admission import Wait
+from starlingdeck.jobs.job import Job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import CountSettings
+from starlingdeck.protocol.config import CountSettings
 from starlingdeck.storage import records
 from starlingdeck.storage.state import Conflict, StateClient, StateError, StateUnknown, put
 from starlingdeck.transport.server import Request, Response
--- a/starlingdeck/fairness/__init__.py
+++ b/starlingdeck/fairness/__init__.py
@@ -1,1 +1,1 @@
-"""Who is due what under overload. Pure: no clock, no I/O, nothing of the layers above."""
+"""Fair shares under overload. Pure functions: no clock, no I/O, no imports from higher layers."""
--- a/starlingdeck/fairness/shares.py
+++ b/starlingdeck/fairness/fair_share.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.fairness.picture import Pair, Part, Size, total
+from starlingdeck.fairness.demand_snapshot import Pair, Part, Size, total
 
 K = TypeVar("K", bound=Hashable)
 
--- a/starlingdeck/fairness/floors.py
+++ b/starlingdeck/fairness/minimum_share.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct
 
-from starlingdeck.fairness.picture import Pair
+from starlingdeck.fairness.demand_snapshot import Pair
 
 LATE_SHARE = 0.25  # (start) of a floor's room for work that can't be in time any more
 SLACK = 1.5  # (start) of a part, until what is kept is given up again
--- a/starlingdeck/coordination/admission.py
+++ b/starlingdeck/jobs/admission.py
@@ -9,9 +9,9 @@
 
 from msgspec import Struct
 
-from starlingdeck.coordination.job import Draft, Job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.world import MANY
+from starlingdeck.context import MANY
+from starlingdeck.jobs.job import Draft, Job
+from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.transport.server import Request, Response
--- a/starlingdeck/coordination/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -10,12 +10,12 @@
 import msgspec
 from msgspec import Struct
 
-from starlingdeck.coordination.commit_log import Prepared
-from starlingdeck.coordination.job import URGENT, Draft, Job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.world import World
+from starlingdeck.context import World
+from starlingdeck.jobs.commit_log import Prepared
+from starlingdeck.jobs.job import URGENT, Draft, Job
+from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import GroupCommitSettings
+from starlingdeck.protocol.config import GroupCommitSettings
 from starlingdeck.storage import records
 from starlingdeck.storage.commit_log import JobChange, read_segments, segment_key
 from starlingdeck.storage.state import Conflict, StateClient, StateError, StateUnknown, put
--- a/starlingdeck/coordination/job.py
+++ b/starlingdeck/jobs/job.py
@@ -6,9 +6,9 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.coordination import failure_attribution
-from starlingdeck.coordination.shards import machine_shard
-from starlingdeck.coordination.world import Size, World, size_of
+from starlingdeck.cluster.sharding import machine_shard
+from starlingdeck.context import Size, World, size_of
+from starlingdeck.machines import failure_attribution
 from starlingdeck.protocol import api
 from starlingdeck.protocol.api import JobSpec
 from starlingdeck.storage import records
--- a/starlingdeck/coordination/jobs.py
+++ b/starlingdeck/jobs/job_shard.py
@@ -9,9 +9,10 @@
 
 import msgspec
 
-from starlingdeck.coordination import tally
-from starlingdeck.coordination.commit_log import CommitLog
-from starlingdeck.coordination.job import (
+from starlingdeck.context import World
+from starlingdeck.interning import split_key, task_key
+from starlingdeck.jobs.commit_log import CommitLog
+from starlingdeck.jobs.job import (
     DONE,
     PENDING,
     PLACED,
@@ -23,9 +24,8 @@
     encode_chunk,
     placement,
 )
-from starlingdeck.coordination.names import split_key, task_key
-from starlingdeck.coordination.sights import Sight
-from starlingdeck.coordination.world import World
+from starlingdeck.machines.shard_snapshot import Sight
+from starlingdeck.metrics import counters as tally
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
--- a/starlingdeck/coordination/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from starlingdeck.coordination.job import Job, load_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.world import World
+from starlingdeck.context import World
+from starlingdeck.jobs.job import Job, load_job
+from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.commit_log import LogView, log_prefix, read_segments, replay
--- a/starlingdeck/coordination/inbox.py
+++ b/starlingdeck/jobs/mailbox.py
@@ -5,9 +5,9 @@
 import curio
 import msgspec
 
-from starlingdeck.coordination.membership import Membership
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.context import World
+from starlingdeck.jobs.record_writer import Writer
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.state import Conflict, StateError
--- a/starlingdeck/coordination/writer.py
+++ b/starlingdeck/jobs/record_writer.py
@@ -5,12 +5,12 @@
 import curio
 import msgspec
 
-from starlingdeck.coordination.admission import Durable, Grant
-from starlingdeck.coordination.group_commit import GroupCommit
-from starlingdeck.coordination.job import URGENT, Draft, Job
-from starlingdeck.coordination.jobs import SPARE_BYTES, JobShard
-from starlingdeck.coordination.loader import Loader
-from starlingdeck.coordination.world import World
+from starlingdeck.context import World
+from starlingdeck.jobs.admission import Durable, Grant
+from starlingdeck.jobs.group_commit import GroupCommit
+from starlingdeck.jobs.job import URGENT, Draft, Job
+from starlingdeck.jobs.job_shard import SPARE_BYTES, JobShard
+from starlingdeck.jobs.loader import Loader
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.state import Conflict, StateClient, StateError, StateUnknown
--- a/starlingdeck/coordination/shedding.py
+++ b/starlingdeck/machines/descheduling.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct
 
-from starlingdeck.coordination.placement import start_score
+from starlingdeck.machines.scoring import start_score
 
 
 class Load(Struct, frozen=True):
--- a/starlingdeck/coordination/machine_lists.py
+++ b/starlingdeck/machines/desired_state.py
@@ -3,15 +3,15 @@
 import logging
 import math
 
-from starlingdeck.coordination.failure_attribution import FEW_SICK, FailureAttribution
-from starlingdeck.coordination.machine import (
+from starlingdeck.cluster.sharding import job_shard
+from starlingdeck.context import World
+from starlingdeck.interning import split_key, task_key
+from starlingdeck.machines.failure_attribution import FEW_SICK, FailureAttribution
+from starlingdeck.machines.machine import (
     JobInfo,
     Machine,
     Want,
 )
-from starlingdeck.coordination.names import split_key, task_key
-from starlingdeck.coordination.shards import job_shard
-from starlingdeck.coordination.world import World
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
--- a/starlingdeck/coordination/machine.py
+++ b/starlingdeck/machines/machine.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.coordination.hearing import Hearing
-from starlingdeck.coordination.world import Size
+from starlingdeck.context import Size
+from starlingdeck.machines.reachability import Hearing
 from starlingdeck.protocol import api
 
 
--- a/starlingdeck/coordination/machines.py
+++ b/starlingdeck/machines/machine_shard.py
@@ -11,17 +11,17 @@
 
 import logging
 
-from starlingdeck.coordination.hearing import Word
-from starlingdeck.coordination.machine import (
+from starlingdeck.context import fits
+from starlingdeck.interning import split_key, task_key
+from starlingdeck.machines.desired_state import PRUNE_S
+from starlingdeck.machines.machine import (
     Launch,
     Machine,
     Seen,
     Want,
 )
-from starlingdeck.coordination.machine_lists import PRUNE_S
-from starlingdeck.coordination.machine_views import SICK_SURE_S, Views
-from starlingdeck.coordination.names import split_key, task_key
-from starlingdeck.coordination.world import fits
+from starlingdeck.machines.reachability import Word
+from starlingdeck.machines.snapshot_publisher import SICK_SURE_S, Views
 from starlingdeck.protocol import api
 
 log = logging.getLogger(__name__)
--- a/starlingdeck/coordination/machine_room.py
+++ b/starlingdeck/machines/reservations.py
@@ -2,17 +2,17 @@
 
 import logging
 
-from starlingdeck.coordination import shedding
-from starlingdeck.coordination.machine import (
+from starlingdeck.context import Size, fits, total_of
+from starlingdeck.interning import split_key, task_key
+from starlingdeck.machines import descheduling as shedding
+from starlingdeck.machines.desired_state import Lists
+from starlingdeck.machines.machine import (
     Hold,
     JobInfo,
     Machine,
     Seen,
     may_preempt,
 )
-from starlingdeck.coordination.machine_lists import Lists
-from starlingdeck.coordination.names import split_key, task_key
-from starlingdeck.coordination.world import Size, fits, total_of
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
--- a/starlingdeck/coordination/placement.py
+++ b/starlingdeck/machines/scoring.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.coordination.world import fits
+from starlingdeck.context import fits
 
 FULL = 0.9
 NO_RANK = 99
--- a/starlingdeck/coordination/sights.py
+++ b/starlingdeck/machines/shard_snapshot.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.coordination.world import World
+from starlingdeck.context import World
 from starlingdeck.protocol import peer_pb2 as pb
 
 STAMP_EVERY_S = 0.5
--- a/starlingdeck/coordination/machine_views.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Iterable
 
-from starlingdeck.coordination.machine import Machine
-from starlingdeck.coordination.machine_room import RoomKeeper
-from starlingdeck.coordination.names import split_key
+from starlingdeck.interning import split_key
+from starlingdeck.machines.machine import Machine
+from starlingdeck.machines.reservations import RoomKeeper
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
--- /dev/null
+++ b/starlingdeck/metrics/__init__.py
@@ -0,0 +1,1 @@
+"""Counters, latency histograms and the task profiler."""
--- /dev/null
+++ b/starlingdeck/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Scheduling cycles: candidate machines, job priority, placement and preemption."""
--- a/starlingdeck/coordination/rooms.py
+++ b/starlingdeck/scheduling/candidate_pool.py
@@ -4,11 +4,11 @@
 
 from msgspec import Struct
 
-from starlingdeck.coordination.membership import Membership
-from starlingdeck.coordination.peers import Peers
-from starlingdeck.coordination.placement import Room
-from starlingdeck.coordination.sights import Sight
-from starlingdeck.coordination.world import Size, World, total_of
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.cluster.peers import Peers
+from starlingdeck.context import Size, World, total_of
+from starlingdeck.machines.scoring import Room
+from starlingdeck.machines.shard_snapshot import Sight
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
--- a/starlingdeck/coordination/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -9,18 +9,18 @@
 
 from msgspec import Struct
 
-from starlingdeck.coordination import tally
-from starlingdeck.coordination.job import Job
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.scheduler import urgency
-from starlingdeck.coordination.world import World, total_of
-from starlingdeck.coordination.writer import Writer
-from starlingdeck.fairness import floors
-from starlingdeck.fairness.floors import Work
-from starlingdeck.fairness.picture import Load, Pair, Part, Picture, bounded, total
-from starlingdeck.fairness.shares import Shares, dominant, reckon
+from starlingdeck.context import World, total_of
+from starlingdeck.fairness import minimum_share as floors
+from starlingdeck.fairness.demand_snapshot import Load, Pair, Part, Picture, bounded, total
+from starlingdeck.fairness.fair_share import Shares, dominant, reckon
+from starlingdeck.fairness.minimum_share import Work
+from starlingdeck.jobs.job import Job
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.metrics import counters as tally
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import OverloadSettings
+from starlingdeck.protocol.config import OverloadSettings
+from starlingdeck.scheduling.scheduler import urgency
 
 log = logging.getLogger(__name__)
 
--- a/starlingdeck/coordination/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -6,23 +6,24 @@
 
 import curio
 
-from starlingdeck.coordination import placement, scheduler
-from starlingdeck.coordination.admission import Admission
-from starlingdeck.coordination.fleet import Demand
-from starlingdeck.coordination.job import URGENT, Job, Place
-from starlingdeck.coordination.jobs import job_message
-from starlingdeck.coordination.membership import Membership
-from starlingdeck.coordination.names import split_key
-from starlingdeck.coordination.overload import Overload
-from starlingdeck.coordination.peers import PeerDown, Peers
-from starlingdeck.coordination.placement import Room
-from starlingdeck.coordination.rooms import Rooms
-from starlingdeck.coordination.scheduler import Pick, Round, Stops, TeamJob
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.autoscaling.policy import Demand
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.cluster.peers import PeerDown, Peers
+from starlingdeck.context import World
+from starlingdeck.interning import split_key
+from starlingdeck.jobs.admission import Admission
+from starlingdeck.jobs.job import URGENT, Job, Place
+from starlingdeck.jobs.job_shard import job_message
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines import scoring as placement
+from starlingdeck.machines.scoring import Room
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import OverloadSettings
+from starlingdeck.protocol.config import OverloadSettings
+from starlingdeck.scheduling import scheduler
+from starlingdeck.scheduling.candidate_pool import Rooms
+from starlingdeck.scheduling.overload import Overload
+from starlingdeck.scheduling.scheduler import Pick, Round, Stops, TeamJob
 from starlingdeck.storage.limiter import Limiter
 
 log = logging.getLogger(__name__)
--- a/starlingdeck/coordination/scheduler.py
+++ b/starlingdeck/scheduling/scheduler.py
@@ -5,9 +5,9 @@
 
 from msgspec import Struct
 
-from starlingdeck.coordination.job import Job, Place
-from starlingdeck.coordination.placement import Draw, Room
-from starlingdeck.coordination.world import MANY, Size, World, fits, holds
+from starlingdeck.context import MANY, Size, World, fits, holds
+from starlingdeck.jobs.job import Job, Place
+from starlingdeck.machines.scoring import Draw, Room
 from starlingdeck.protocol import api
 
 FAR = 1e9
--- /dev/null
+++ b/starlingdeck/sync/__init__.py
@@ -0,0 +1,1 @@
+"""State synchronisation between controllers: shard snapshots, desired state, relayed messages."""
--- a/starlingdeck/coordination/exchange.py
+++ b/starlingdeck/sync/state_sync.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.membership import Membership
-from starlingdeck.coordination.peers import Peers, pack, unpack
-from starlingdeck.coordination.rooms import Rooms
-from starlingdeck.coordination.sights import Sight, follow
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.cluster.peers import Peers, pack, unpack
+from starlingdeck.context import World
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.machines.shard_snapshot import Sight, follow
 from starlingdeck.protocol import peer_pb2 as pb
+from starlingdeck.scheduling.candidate_pool import Rooms
 from starlingdeck.storage import records
 from starlingdeck.storage.state import Conflict, LeaseLost, StateClient, StateError
 from starlingdeck.storage.state import put as put_key
--- a/tests/pairs.py
+++ b/tests/failure_pairs.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from tests.meeting import Deck, play
-from tests.test_meetings import KINDS, PLACES, Script, live_meeting
+from tests.support.simulated_cluster import Deck, play
+from tests.test_concurrent_failures import KINDS, PLACES, Script, live_meeting
 
 FIRST, LAST = (int(n) for n in (os.environ.get("SEEDS", "1-1") + "-").split("-")[:2])
 CHOSEN = [int(n) for n in os.environ.get("PLACES", "0,1,2").split(",")]
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Support code of the tests: builders, simulated clusters, reference models."""
--- a/tests/build.py
+++ b/tests/support/builders.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from starlingdeck.coordination.world import World
+from starlingdeck.context import World
 from starlingdeck.protocol.api import JobSpec, MachineType
-from starlingdeck.protocol.settings import GroupCommitSettings, Settings, Tuning
+from starlingdeck.protocol.config import GroupCommitSettings, Settings, Tuning
 
 LOGGED = Tuning(group_commit=GroupCommitSettings())
 # Of the worlds that are made from then on. With GROUP_COMMIT=1 the whole suite plays with the log.
--- a/tests/counted.py
+++ b/tests/support/counted_resources.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from starlingdeck.coordination.membership import Membership
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import Writer
-from starlingdeck.counts.gate import Counts
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.context import World
 from starlingdeck.counts.ledger import Ledger
+from starlingdeck.counts.plugin import Counts
+from starlingdeck.jobs.record_writer import Writer
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import CountSettings
+from starlingdeck.protocol.config import CountSettings
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateClient, put
-from tests.model import Broken, PlainClient, PlainState
+from tests.support.reference_model import Broken, PlainClient, PlainState
 
 
 class CountedState(PlainState):
--- a/tests/fuzzed.py
+++ b/tests/support/fuzz_targets.py
@@ -4,13 +4,13 @@
 from google.protobuf.message import DecodeError
 
 from starlingdeck.counts import ledger
-from starlingdeck.counts.door import SetCount
+from starlingdeck.counts.http_api import SetCount
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
-from tests.build import Clock, job_body, make_world
-from tests.counted import gate_of
-from tests.model import PlainClient, PlainState, at_once
+from tests.support.builders import Clock, job_body, make_world
+from tests.support.counted_resources import gate_of
+from tests.support.reference_model import PlainClient, PlainState, at_once
 
 
 def one(data: bytes) -> str:
--- a/tests/flood.py
+++ b/tests/support/overload_cluster.py
@@ -13,22 +13,22 @@
 import curio
 import msgspec
 
-from starlingdeck.coordination.job import new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.machine import Machine
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.membership import Holder
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.peers import PeerDown
-from starlingdeck.coordination.shards import job_shard, machine_shard
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.membership import Holder
+from starlingdeck.cluster.peers import PeerDown
+from starlingdeck.cluster.sharding import job_shard, machine_shard
+from starlingdeck.controller.controller import Node
+from starlingdeck.jobs.job import new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.machine import Machine
+from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import OverloadSettings, Team, Tuning
+from starlingdeck.protocol.config import OverloadSettings, Team, Tuning
 from starlingdeck.storage import records
 from starlingdeck.storage.state import put
-from tests.build import Clock, make_world, spec
-from tests.model import PlainClient, PlainState, on_the_wire
+from tests.support.builders import Clock, make_world, spec
+from tests.support.reference_model import PlainClient, PlainState, on_the_wire
 
 TICK_S = 0.25
 REPORT_S = 1.0
--- a/tests/model.py
+++ b/tests/support/reference_model.py
@@ -11,18 +11,18 @@
 
 import msgspec
 
-from starlingdeck.coordination.job import Job, Place, new_job
-from starlingdeck.coordination.jobs import JobShard, job_message
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.shards import job_shard, machine_shard
-from starlingdeck.coordination.sights import Sight, follow
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.sharding import job_shard, machine_shard
+from starlingdeck.context import World
+from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.jobs.job_shard import JobShard, job_message
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.machines.shard_snapshot import Sight, follow
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.state import Conflict, StateError, StateUnknown, put
-from tests.build import Clock, make_world, spec
+from tests.support.builders import Clock, make_world, spec
 
 LEASE_S = 10.0
 TTL_S = 4.0
--- a/tests/meeting.py
+++ b/tests/support/simulated_cluster.py
@@ -13,9 +13,9 @@
 import curio
 import msgspec
 
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.peers import PeerDown
-from starlingdeck.coordination.shards import machine_shard
+from starlingdeck.cluster.peers import PeerDown
+from starlingdeck.cluster.sharding import machine_shard
+from starlingdeck.controller.controller import Node
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
@@ -23,8 +23,8 @@
 from starlingdeck.storage.state import Conflict, StateError, StateUnknown
 from starlingdeck.transport.client import NoAnswer, NotSent, Reply
 from starlingdeck.transport.server import Request, Response
-from tests.build import Clock, job_body, make_world
-from tests.model import Broken, PlainTask, PlainWorker, on_the_wire
+from tests.support.builders import Clock, job_body, make_world
+from tests.support.reference_model import Broken, PlainTask, PlainWorker, on_the_wire
 from tests.test_membership import LeasedClient, LeasedState
 
 TICK_S = 0.1
@@ -32,7 +32,7 @@
 ANSWER_S = 4.0  # what a worker waits for an answer
 MOVE_S = 1.0
 POLL_S = 2.0
-CANCEL_S = 40.0  # of tests.build, as is the lease of 10 s
+CANCEL_S = 40.0  # of tests.support.builders, as is the lease of 10 s
 FORGOTTEN_S = 75.0
 LOST_S = 2.0  # how long a controller waits for the answer to a transaction
 WAITS_S = 90.0  # the longest that room may stand free beside a task that fits it
--- a/tests/test_fleet.py
+++ b/tests/test_autoscaling_policy.py
@@ -1,11 +1,11 @@
 """The rented fleet against the wanted one."""
 
-from starlingdeck.coordination import fleet
-from starlingdeck.coordination.fleet import Demand, FleetState, Listed
-from starlingdeck.coordination.placement import Room
-from starlingdeck.coordination.world import World
+from starlingdeck.autoscaling import policy as fleet
+from starlingdeck.autoscaling.policy import Demand, FleetState, Listed
+from starlingdeck.context import World
+from starlingdeck.machines.scoring import Room
 from starlingdeck.protocol import api
-from tests.build import Clock, make_world
+from tests.support.builders import Clock, make_world
 
 
 def listed(world: World, name: str, state: str, rented: float) -> Listed:
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -12,27 +12,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.coordination import commit_log as ring_module
-from starlingdeck.coordination import group_commit as group_module
-from starlingdeck.coordination.commit_log import CommitLog
-from starlingdeck.coordination.group_commit import GroupCommit
-from starlingdeck.coordination.job import Job, Place, encode_chunk, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.loader import Loader
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.jobs import commit_log as ring_module
+from starlingdeck.jobs import group_commit as group_module
+from starlingdeck.jobs.commit_log import CommitLog
+from starlingdeck.jobs.group_commit import GroupCommit
+from starlingdeck.jobs.job import Job, Place, encode_chunk, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.loader import Loader
+from starlingdeck.jobs.record_writer import Writer
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import Tuning
+from starlingdeck.protocol.config import Tuning
 from starlingdeck.storage import commit_log as stored
 from starlingdeck.storage import records
 from starlingdeck.storage.records import CHUNK, LOG_START, Chunk, JobRecord
 from starlingdeck.storage.state import Conflict, StateError, StateUnknown, put
-from tests.build import LOGGED, Clock, make_world, spec
-from tests.model import PlainState
+from tests.support.builders import LOGGED, Clock, make_world, spec
+from tests.support.reference_model import PlainState
 
 Patch = pytest.MonkeyPatch
 JOB, OTHER = "j-000001", "j-000002"
 SHARD = 0
-VALUE_BYTES, TXN_OPS, TXN_BYTES = 16 * 1024, 12, 64 * 1024  # of tests.build, and the protocol's
+VALUE_BYTES, TXN_OPS, TXN_BYTES = (
+    16 * 1024,
+    12,
+    64 * 1024,
+)  # of tests, and the protocol's
 
 
 # --- a plain state service that refuses what the protocol refuses
@@ -615,7 +619,7 @@
     def without(*args: Any) -> Chunk:
         return encode_chunk(*args[:5])
 
-    monkeypatch.setattr("starlingdeck.coordination.jobs.encode_chunk", without)
+    monkeypatch.setattr("starlingdeck.jobs.job_shard.encode_chunk", without)
 
 
 def replay_passed_over(monkeypatch: Patch) -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_concurrent_failures.py
@@ -7,18 +7,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.coordination import jobs as jobs_module
-from starlingdeck.coordination.job import new_job
-from starlingdeck.coordination.machine import Launch, Want
-from starlingdeck.coordination.machines import UNCALLED
-from starlingdeck.coordination.names import task_key
-from starlingdeck.coordination.shards import job_shard, machine_shard
+from starlingdeck.cluster.sharding import job_shard, machine_shard
+from starlingdeck.interning import task_key
+from starlingdeck.jobs import job_shard as jobs_module
+from starlingdeck.jobs.job import new_job
+from starlingdeck.machines.machine import Launch, Want
+from starlingdeck.machines.machine_shard import UNCALLED
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.limiter import Limiter
 from starlingdeck.storage.state import StateUnknown, put
-from tests.build import spec
-from tests.meeting import CANCEL_S, FORGOTTEN_S, Deck, play
+from tests.support.builders import spec
+from tests.support.simulated_cluster import CANCEL_S, FORGOTTEN_S, Deck, play
 
 
 def of_shard(shard: int, number: int = 0) -> str:
--- a/tests/test_node.py
+++ b/tests/test_controller.py
@@ -7,21 +7,21 @@
 import msgspec
 import pytest
 
-from starlingdeck.coordination.job import Place, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.membership import Holder
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.shards import job_shard
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.membership import Holder
+from starlingdeck.cluster.sharding import job_shard
+from starlingdeck.controller.controller import Node
+from starlingdeck.jobs.job import Place, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateLimit, put
 from starlingdeck.transport.frames import FrameLink
 from starlingdeck.transport.server import Request
-from tests.build import Clock, job_body, make_world, spec
-from tests.model import PlainClient, PlainState
+from tests.support.builders import Clock, job_body, make_world, spec
+from tests.support.reference_model import PlainClient, PlainState
 
 
 def report(machine: str, zone: str, session: int = 1, seq: int = 1, token: int = 0) -> bytes:
--- a/tests/test_counts.py
+++ b/tests/test_counted_resources.py
@@ -9,17 +9,24 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from starlingdeck.coordination.job import Job, Place, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.writer import Writer
-from starlingdeck.counts.gate import Counts
+from starlingdeck.counts.plugin import Counts
+from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateError, put
-from tests.build import Clock, make_world, spec
-from tests.counted import CountedState, gate_of, watch
-from tests.model import Broken, Model, PlainClient, PlainNode, PlainWorker, at_once
+from tests.support.builders import Clock, make_world, spec
+from tests.support.counted_resources import CountedState, gate_of, watch
+from tests.support.reference_model import (
+    Broken,
+    Model,
+    PlainClient,
+    PlainNode,
+    PlainWorker,
+    at_once,
+)
 
 NAMES = ("engine", "seat")
 
@@ -29,7 +36,7 @@
     async def at_once_again(_: float) -> None:
         pass
 
-    monkeypatch.setattr("starlingdeck.counts.books.curio.sleep", at_once_again)
+    monkeypatch.setattr("starlingdeck.counts.ledger_store.curio.sleep", at_once_again)
 
 
 class CountedModel(Model):
--- a/tests/test_counts_hard.py
+++ b/tests/test_counted_resources_cases.py
@@ -11,23 +11,23 @@
 from hypothesis import strategies as st
 
 from starlingdeck.cli import main
-from starlingdeck.coordination.job import Job, Place, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.sights import Sight
 from starlingdeck.counts import ledger
-from starlingdeck.counts.gate import Counts
 from starlingdeck.counts.ledger import Use, Waiter
+from starlingdeck.counts.plugin import Counts
+from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.machines.shard_snapshot import Sight
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import CountSettings, DeclaredCount, Fault, load_tuning
+from starlingdeck.protocol.config import CountSettings, DeclaredCount, Fault, load_tuning
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateError, StateUnknown
-from tests import fuzzed
-from tests.build import job_body, spec
-from tests.counted import CountedState, watch
-from tests.model import PlainClient, at_once
-from tests.test_bounds import Site
-from tests.test_counts import Books
+from tests.support import fuzz_targets as fuzzed
+from tests.support.builders import job_body, spec
+from tests.support.counted_resources import CountedState, watch
+from tests.support.reference_model import PlainClient, at_once
+from tests.test_counted_resources import Books
+from tests.test_resource_bounds import Site
 
 ROOT = Path(__file__).resolve().parents[1]
 CORPUS = ROOT / "tests" / "corpus" / "counts"
--- a/tests/test_fairness.py
+++ b/tests/test_fair_share.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from starlingdeck.fairness import floors
-from starlingdeck.fairness.floors import SLACK, Work
-from starlingdeck.fairness.picture import Load, Pair, Part, Picture, bounded, total
-from starlingdeck.fairness.shares import fair, fill, reckon
+from starlingdeck.fairness import minimum_share as floors
+from starlingdeck.fairness.demand_snapshot import Load, Pair, Part, Picture, bounded, total
+from starlingdeck.fairness.fair_share import fair, fill, reckon
+from starlingdeck.fairness.minimum_share import SLACK, Work
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import OverloadSettings
-from tests.flood import Events, Flood, array
+from starlingdeck.protocol.config import OverloadSettings
+from tests.support.overload_cluster import Events, Flood, array
 
 AMOUNTS = st.floats(0, 3, allow_nan=False)
 PAIRS = st.tuples(st.integers(0, 2), st.sampled_from(["a", "b", "c"]))
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -4,14 +4,13 @@
 
 import pytest
 
-from starlingdeck.coordination import commit_log as ring_module
-from starlingdeck.coordination.users import Users
+from starlingdeck.api.job_api import Users
+from starlingdeck.jobs import commit_log as ring_module
 from starlingdeck.storage.commit_log import LOG
-from tests import build
-from tests.meeting import Deck, play
-from tests.model import Broken, Model
-from tests.test_close_questions import ask_all, counts_while_writing, staggered
-from tests.test_meetings import (
+from tests.support import builders as build
+from tests.support.reference_model import Broken, Model
+from tests.support.simulated_cluster import Deck, play
+from tests.test_concurrent_failures import (
     MEETINGS,
     WORLDS,
     check_meetings,
@@ -19,6 +18,7 @@
     of_shard,
     start_trouble,
 )
+from tests.test_read_consistency import ask_all, counts_while_writing, staggered
 
 Patch = pytest.MonkeyPatch
 
--- a/tests/test_doors.py
+++ b/tests/test_input_validation.py
@@ -5,16 +5,17 @@
 import msgspec
 import pytest
 
-from starlingdeck.coordination import peers, users
-from starlingdeck.coordination.job import PLACED, Place, encode_chunk, load_job, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.meters import Meters
+from starlingdeck.api import job_api as users
+from starlingdeck.cluster import peers
+from starlingdeck.jobs.job import PLACED, Place, encode_chunk, load_job, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.metrics.latency import Meters
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import Fault, load_settings, load_tuning
+from starlingdeck.protocol.config import Fault, load_settings, load_tuning
 from starlingdeck.storage.limiter import Limiter
 from starlingdeck.storage.records import CHUNK, JobRecord
-from tests.build import Clock, job_body, make_world, settings_dict, spec
+from tests.support.builders import Clock, job_body, make_world, settings_dict, spec
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meeting_checks.py
+++ b/tests/test_invariant_checks.py
@@ -6,12 +6,12 @@
 import msgspec
 import pytest
 
-from starlingdeck.coordination import world as world_module
+from starlingdeck import context as world_module
 from starlingdeck.protocol import api
 from starlingdeck.transport.server import Request, Response
-from tests.meeting import Deck, play
-from tests.model import Broken, PlainWorker
-from tests.test_meetings import of_shard, told_all
+from tests.support.reference_model import Broken, PlainWorker
+from tests.support.simulated_cluster import Deck, play
+from tests.test_concurrent_failures import of_shard, told_all
 
 Patch = pytest.MonkeyPatch
 NAME = of_shard(0)
--- a/tests/test_order.py
+++ b/tests/test_job_priority.py
@@ -4,19 +4,19 @@
 
 import curio
 
-from starlingdeck.coordination import scheduler
-from starlingdeck.coordination.job import Job, Place, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.placement import Room
-from starlingdeck.coordination.scheduler import FIRST_S, Round
-from starlingdeck.coordination.world import World
-from starlingdeck.coordination.writer import TOGETHER_S, Writer
+from starlingdeck.context import World
+from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import TOGETHER_S, Writer
+from starlingdeck.machines.scoring import Room
 from starlingdeck.protocol import api
+from starlingdeck.scheduling import scheduler
+from starlingdeck.scheduling.scheduler import FIRST_S, Round
 from starlingdeck.storage import records
 from starlingdeck.storage.limiter import Limiter
 from starlingdeck.storage.state import put
-from tests.build import Clock, make_world, spec
-from tests.model import PlainClient, PlainState
+from tests.support.builders import Clock, make_world, spec
+from tests.support.reference_model import PlainClient, PlainState
 
 
 def job(world: World, name: str, age_s: float, **other: object) -> Job:
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,13 +1,13 @@
 """The machine owner's part: reservations and preemption."""
 
-from starlingdeck.coordination.job import new_job
-from starlingdeck.coordination.jobs import job_message
-from starlingdeck.coordination.machine import JobInfo, may_preempt
-from starlingdeck.coordination.machine_lists import GONE_S, PRUNE_S
-from starlingdeck.coordination.machines import MOST_PROBES, MachineShard
+from starlingdeck.jobs.job import new_job
+from starlingdeck.jobs.job_shard import job_message
+from starlingdeck.machines.desired_state import GONE_S, PRUNE_S
+from starlingdeck.machines.machine import JobInfo, may_preempt
+from starlingdeck.machines.machine_shard import MOST_PROBES, MachineShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from tests.build import Clock, make_world, spec
+from tests.support.builders import Clock, make_world, spec
 
 
 def ask(machines: MachineShard, uid: str, preempt: bool, **other: object) -> list[pb.Given]:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.coordination.membership import Hooks, Membership
+from starlingdeck.cluster.membership import Hooks, Membership
 from starlingdeck.protocol import api
 from starlingdeck.storage.state import Conflict, LeaseLost, StateError, StateUnknown
-from tests.build import Clock, make_world
-from tests.model import PlainState
+from tests.support.builders import Clock, make_world
+from tests.support.reference_model import PlainState
 
 NODES = 3
 TICK_S = 0.2
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -2,23 +2,23 @@
 
 import curio
 
-from starlingdeck.coordination import tally
-from starlingdeck.coordination.job import Job, Place, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.membership import Holder
-from starlingdeck.coordination.meters import Slices
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.overload import Overload
-from starlingdeck.coordination.planner import STRETCH_S
-from starlingdeck.coordination.rooms import ASKED_S
-from starlingdeck.coordination.sights import Sight
-from starlingdeck.coordination.writer import Writer
-from starlingdeck.fairness.picture import Load, Part
-from starlingdeck.fairness.shares import Shares
+from starlingdeck.cluster.membership import Holder
+from starlingdeck.controller.controller import Node
+from starlingdeck.fairness.demand_snapshot import Load, Part
+from starlingdeck.fairness.fair_share import Shares
+from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.machines.shard_snapshot import Sight
+from starlingdeck.metrics import counters as tally
+from starlingdeck.metrics.latency import Slices
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.settings import OverloadSettings
-from tests.build import Clock, make_world, spec
+from starlingdeck.protocol.config import OverloadSettings
+from starlingdeck.scheduling.candidate_pool import ASKED_S
+from starlingdeck.scheduling.overload import Overload
+from starlingdeck.scheduling.planner import STRETCH_S
+from tests.support.builders import Clock, make_world, spec
 
 
 def overloaded(node: Node, *jobs: Job) -> Overload:
--- a/tests/test_rules.py
+++ b/tests/test_protocol_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.model import Model
+from tests.support.reference_model import Model
 
 
 @pytest.mark.parametrize("first", range(0, 40, 10))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from starlingdeck.coordination.quota import Quota
-from tests.build import Clock, make_world
+from starlingdeck.admission.quota import Quota
+from tests.support.builders import Clock, make_world
 
-LIMIT = 24.0  # team "blue" of tests.build
+LIMIT = 24.0  # team "blue" of tests.support.builders
 
 
 @pytest.mark.parametrize("seed", range(30))
--- a/tests/test_hearing.py
+++ b/tests/test_reachability.py
@@ -7,20 +7,20 @@
 import msgspec
 import pytest
 
-from starlingdeck.coordination.failure_attribution import FINE, FailureAttribution
-from starlingdeck.coordination.hearing import may_return
-from starlingdeck.coordination.job import Job, Place, densest, new_job
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.membership import Holder, Membership
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.shards import job_shard, machine_shard
-from starlingdeck.coordination.sights import Sight, follow
-from starlingdeck.coordination.world import World
+from starlingdeck.cluster.membership import Holder, Membership
+from starlingdeck.cluster.sharding import job_shard, machine_shard
+from starlingdeck.context import World
+from starlingdeck.controller.controller import Node
+from starlingdeck.jobs.job import Job, Place, densest, new_job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.machines.failure_attribution import FINE, FailureAttribution
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.machines.reachability import may_return
+from starlingdeck.machines.shard_snapshot import Sight, follow
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage.records import CHUNK, ShardValue
-from tests.build import Clock, make_world, spec
+from tests.support.builders import Clock, make_world, spec
 
 
 @dataclass
--- a/tests/test_close_questions.py
+++ b/tests/test_read_consistency.py
@@ -11,9 +11,9 @@
 
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
-from tests.build import job_body
-from tests.meeting import Deck, play
-from tests.test_meetings import of_shard, start_trouble
+from tests.support.builders import job_body
+from tests.support.simulated_cluster import Deck, play
+from tests.test_concurrent_failures import of_shard, start_trouble
 
 
 async def ask_all(deck: Deck, name: str) -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -10,8 +10,9 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.coordination import fleet, users
-from starlingdeck.coordination.node import Node
+from starlingdeck.api import job_api as users
+from starlingdeck.autoscaling import policy as fleet
+from starlingdeck.controller.controller import Node
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
@@ -19,8 +20,8 @@
 from starlingdeck.storage.state import put
 from starlingdeck.transport.client import Reply
 from starlingdeck.transport.server import Request
-from tests.build import Clock, job_body, make_world, spec
-from tests.model import Model, PlainClient, PlainState, PlainWorker
+from tests.support.builders import Clock, job_body, make_world, spec
+from tests.support.reference_model import Model, PlainClient, PlainState, PlainWorker
 
 VALUE_BYTES, TXN_BYTES = 16 * 1024, 64 * 1024
 GOOD = "j-000001"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from standins.scale.troubles import Sample, Troubles, longest_gap, recovery
 from standins.state import State
 from starlingdeck.protocol import api
-from starlingdeck.protocol.settings import Fault
+from starlingdeck.protocol.config import Fault
 from starlingdeck.transport.server import Request
 
 JOB = workload.job_id(workload.ARRAY, 7, 10.0, 1)
--- a/tests/test_decisions.py
+++ b/tests/test_scoring.py
@@ -6,12 +6,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.coordination import placement, scheduler, shards, shedding
-from starlingdeck.coordination.job import new_job
-from starlingdeck.coordination.placement import Room
-from starlingdeck.coordination.scheduler import TeamJob
-from starlingdeck.protocol.settings import Objective
-from tests.build import Clock, make_world, spec
+from starlingdeck.cluster import sharding as shards
+from starlingdeck.jobs.job import new_job
+from starlingdeck.machines import descheduling as shedding
+from starlingdeck.machines import scoring as placement
+from starlingdeck.machines.scoring import Room
+from starlingdeck.protocol.config import Objective
+from starlingdeck.scheduling import scheduler
+from starlingdeck.scheduling.scheduler import TeamJob
+from tests.support.builders import Clock, make_world, spec
 
 amounts = st.integers(1, 8).map(float)
 
--- a/tests/test_exchange.py
+++ b/tests/test_state_sync.py
@@ -8,21 +8,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.coordination.job import Job, Place, new_job
-from starlingdeck.coordination.jobs import JobShard, job_message
-from starlingdeck.coordination.machines import MachineShard
-from starlingdeck.coordination.membership import Holder
-from starlingdeck.coordination.names import task_key
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.peers import pack
-from starlingdeck.coordination.shards import job_shard
-from starlingdeck.coordination.sights import Sight, follow
+from starlingdeck.cluster.membership import Holder
+from starlingdeck.cluster.peers import pack
+from starlingdeck.cluster.sharding import job_shard
+from starlingdeck.controller.controller import Node
+from starlingdeck.interning import task_key
+from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.jobs.job_shard import JobShard, job_message
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.machines.shard_snapshot import Sight, follow
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.transport import frames
-from tests.build import Clock, make_world, spec
-from tests.model import PlainClient, PlainState, at_once
+from tests.support.builders import Clock, make_world, spec
+from tests.support.reference_model import PlainClient, PlainState, at_once
 
 
 def report(name: str, seq: int = 1, token: int = 5) -> api.Report:
--- a/tests/test_answers.py
+++ b/tests/test_status_answers.py
@@ -8,20 +8,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.coordination.job import Place
-from starlingdeck.coordination.jobs import JobShard
-from starlingdeck.coordination.membership import Holder
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.peers import PeerDown
-from starlingdeck.coordination.shards import job_shard
-from starlingdeck.coordination.writer import Writer
+from starlingdeck.cluster.membership import Holder
+from starlingdeck.cluster.peers import PeerDown
+from starlingdeck.cluster.sharding import job_shard
+from starlingdeck.controller.controller import Node
+from starlingdeck.jobs.job import Place
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.record_writer import Writer
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateError, StateUnknown, put
 from starlingdeck.transport.server import Request, Response
-from tests.build import Clock, job_body, make_world
-from tests.model import PlainClient, PlainState
+from tests.support.builders import Clock, job_body, make_world
+from tests.support.reference_model import PlainClient, PlainState
 
 NODES = 3
 TTL_S = 2.5
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -7,14 +7,14 @@
 import pytest
 from curio import socket
 
-from starlingdeck.coordination.node import Node
-from starlingdeck.coordination.peers import PeerDown, Peers
+from starlingdeck.cluster.peers import PeerDown, Peers
+from starlingdeck.controller.controller import Node
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage.state import Conflict, StateClient, StateLimit, drop
 from starlingdeck.transport.client import HttpClient, Reply
 from starlingdeck.transport.frames import MAX_FRAME, FrameLink, dial
 from starlingdeck.transport.server import HttpServer, Request, Response, listen
-from tests.build import Clock, make_world
+from tests.support.builders import Clock, make_world
 
 
 async def talk(servers: int, max_open: int) -> tuple[list[int], int]:
