--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -22,13 +22,15 @@
 from google.protobuf.message import Message
 from google.protobuf.unknown_fields import UnknownFieldSet
 
-from starlingdeck.coordination import quota
-from starlingdeck.coordination.commit_log import CommitLog
-from starlingdeck.coordination.job import encode_chunk, load_job
-from starlingdeck.counts import door, ledger
-from starlingdeck.protocol import api, peer_pb2, settings
+from starlingdeck.admission import quota
+from starlingdeck.counts import http_api as door
+from starlingdeck.counts import ledger
+from starlingdeck.jobs.commit_log import CommitLog
+from starlingdeck.jobs.job import encode_chunk, load_job
+from starlingdeck.protocol import api, peer_pb2
+from starlingdeck.protocol import config as settings
 from starlingdeck.storage import commit_log, records
-from tests.build import Clock, make_world
+from tests.support.builders import Clock, make_world
 
 MESSAGES: dict[str, Any] = {
     "state_node": records.NodeValue,
