--- a/starlingdeck/coordination/exchange.py
+++ b/starlingdeck/coordination/exchange.py
@@ -58,7 +58,8 @@
         self.view_links: dict[tuple[int, int], FrameLink] = {}  # node, shard: followed on
         self.want_links: dict[tuple[int, int], FrameLink] = {}  # job shard, machine shard
         self.detours: dict[int, float] = {}
-        self.detour_number = 0
+        self.detour_numbers: dict[int, int] = {}  # by node: of the text begun last
+        self.detouring: set[int] = set()  # nodes to which a text is being written
         self.parts: dict[int, tuple[int, dict[int, str]]] = {}
 
     # --- views
@@ -175,11 +176,7 @@
         if not (valid := self.membership.valid()):
             return found
         for node in range(self.world.shards):
-            if node == self.world.node or self.peers.up(node):
-                continue
-            if node not in self.membership.living or self.peers.down_for(node) < DETOUR_AFTER_S:
-                continue
-            if now - self.detours.get(node, -1e9) < DETOUR_EVERY_S:
+            if not self._detour_due(node, now):
                 continue
             self.detours[node] = now
             batch = [pb.Envelope(sender=self.world.node, hello=hello())]
@@ -195,34 +192,49 @@
                         batch.append(pb.Envelope(wants=wants))
                         self.want_links.pop((jobs.shard, to), None)
             found.append((node, pack(batch)))
+            self.detouring.add(node)
         return found
 
+    def _detour_due(self, node: int, now: float) -> bool:
+        """Whether a new text to a node is to begin. Begun anew every DETOUR_EVERY_S while the
+        former one was being written, a text that took longer than that never arrived."""
+        if node == self.world.node or self.peers.up(node) or node in self.detouring:
+            return False
+        if node not in self.membership.living or self.peers.down_for(node) < DETOUR_AFTER_S:
+            return False
+        return now - self.detours.get(node, -1e9) >= DETOUR_EVERY_S
+
     async def put_detour(self, node: int, text: str) -> None:
+        """Write a text to a node; from its end on, also a failed one, the next may begin."""
+        try:
+            await self._write_detour(node, text)
+        except (StateError, Conflict, LeaseLost) as why:
+            log.info("no detour to %d: %r", node, why)
+        finally:
+            self.detouring.discard(node)
+
+    async def _write_detour(self, node: int, text: str) -> None:
         """Split over keys, as values and transactions allow; the newest number counts."""
         limits = self.world.settings.settings.state
         size = min(int(limits.value_kb * 1000) - 200, TXN_BYTES)
         pieces = [text[i : i + size] for i in range(0, len(text), size)]
-        self.detour_number += 1
-        text_number = self.detour_number
+        text_number = self.detour_numbers[node] = self.detour_numbers.get(node, 0) + 1
         each = max(1, min(limits.txn_ops, TXN_BYTES // size))
-        try:
-            for first in range(0, len(pieces), each):
-                if text_number != self.detour_number:
-                    # A newer text is being written over it. With the newest number on what was
-                    # left of this one, the receiver put pieces of both together.
-                    return
-                changes = [
-                    put_key(
-                        records.relay_key(self.world.node, node, first + i),
-                        records.RelayPart(text_number, len(pieces), piece),
-                        self.membership.lease,
-                    )
-                    for i, piece in enumerate(pieces[first : first + each])
-                ]
-                # It carries the word that workers' leases hang on.
-                await self.state.txn({}, changes, True)
-        except (StateError, Conflict, LeaseLost) as why:
-            log.info("no detour to %d: %r", node, why)
+        for first in range(0, len(pieces), each):
+            if text_number != self.detour_numbers[node]:
+                # A newer text is being written over it. With the newest number on what was
+                # left of this one, the receiver put pieces of both together.
+                return
+            changes = [
+                put_key(
+                    records.relay_key(self.world.node, node, first + i),
+                    records.RelayPart(text_number, len(pieces), piece),
+                    self.membership.lease,
+                )
+                for i, piece in enumerate(pieces[first : first + each])
+            ]
+            # It carries the word that workers' leases hang on.
+            await self.state.txn({}, changes, True)
 
     async def take_detour(
         self, key: str, value: msgspec.Raw, on_message: Callable[[pb.Envelope], Awaitable[object]]
--- /dev/null
+++ b/tests/test_fleet_size.py
@@ -0,0 +1,220 @@
+"""Fixed limits against a fleet of 4,000 machines, all of them with one controller."""
+
+import random
+
+import curio
+import msgspec
+
+from starlingdeck.coordination.exchange import DETOUR_AFTER_S, DETOUR_EVERY_S
+from starlingdeck.coordination.job import Place, new_job
+from starlingdeck.coordination.jobs import JobShard
+from starlingdeck.coordination.machines import MachineShard
+from starlingdeck.coordination.membership import Holder
+from starlingdeck.coordination.names import split_key
+from starlingdeck.coordination.node import Node
+from starlingdeck.coordination.peers import pack
+from starlingdeck.coordination.writer import Writer
+from starlingdeck.protocol import api
+from starlingdeck.protocol import peer_pb2 as pb
+from starlingdeck.storage.limiter import Limiter
+from tests.build import Clock, make_world, spec
+from tests.model import PlainClient, PlainState, at_once
+
+MACHINES = 4000
+TASKS = 32  # of a machine
+IMAGES = 20
+JOB_TASKS = 100
+WRITE_RPS = 150.0
+SHARE = 0.9 * WRITE_RPS / 3  # of one of three controllers
+
+
+def image_names(rng: random.Random) -> list[str]:
+    return [f"registry.local/team-{i % 37:02d}/{rng.getrandbits(48):012x}" for i in range(300)]
+
+
+def whole_fleet(machines: MachineShard, jobs: JobShard, rng: random.Random) -> None:
+    """Every machine runs its most tasks, recorded in the shard of jobs, and has its images."""
+    images = image_names(rng)
+    order = rng.sample(range(MACHINES * TASKS), MACHINES * TASKS)  # jobs are spread over machines
+    for number in range(MACHINES):
+        first = number * TASKS
+        names = [divmod(n, JOB_TASKS) for n in order[first : first + TASKS]]
+        report = api.Report(
+            f"vm-{rng.getrandbits(32):08x}",
+            f"10.0.{number >> 8}.{number & 255}:9000",
+            "small",
+            "b",
+            rng.getrandbits(40),
+            rng.randrange(100_000),
+            5,
+            tasks=[api.ReportTask(f"j-{job:06d}/{task}", 1, "running") for job, task in names],
+        )
+        taken = machines.take_report(report, True)
+        taken.images = dict.fromkeys(rng.sample(images, IMAGES), 0.0)
+    fill(machines, jobs)
+
+
+def fill(machines: MachineShard, jobs: JobShard) -> None:
+    """The records of all tasks that the machines run."""
+    world = machines.world
+    for number in range(MACHINES * TASKS // JOB_TASKS):
+        jobs.adopt(new_job(world, spec(f"j-{number:06d}", chores=JOB_TASKS), jobs.shard, 0))
+    for machine in machines.machines.values():
+        for key in machine.tasks:
+            index, task = split_key(key)
+            place = Place(machine.index, machine.session, 1, machines.shard, 0)
+            jobs.jobs[index].places[task] = place
+
+
+class BudgetClient(PlainClient):
+    """A state service of which changes are taken at a controller's share of its rate. A
+    controller's step follows each transaction, and what it begins is written beside."""
+
+    def __init__(self, node: Node, clock: Clock, rate: float) -> None:
+        super().__init__(PlainState(random.Random(1)), 0.0)
+        self.node, self.clock = node, clock
+        self.limiter = Limiter(rate, 1.0, clock.now)
+        self.limiter.level = 0.0
+        self.until = 0.0
+        self.sent: list[api.Change] = []
+        self.begun: list[curio.Task] = []
+
+    async def txn(
+        self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
+    ) -> int:
+        while (wait_s := self.limiter.delay(len(changes), urgent)) > 0:
+            await curio.sleep(0)
+            self.clock.at += min(wait_s, 0.02)
+            await self.step()
+        if self.clock.at < self.until:
+            self.sent += changes
+        return 1
+
+    async def step(self) -> None:
+        if self.clock.at >= self.until:
+            return
+        for node, text in self.node.exchange.detour(self.clock.at, pb.Hello):
+            task = await curio.spawn(self.node.exchange.put_detour, node, text)
+            self.begun.append(task)
+
+
+def cut_off(clock: Clock, peers: list[int]) -> Node:
+    """A controller that holds its lease and can't reach some peers, which live."""
+    world = make_world(clock)
+    node = Node(world)
+    node.membership.valid = lambda: True  # type: ignore[method-assign]
+    node.peers.started = clock.at - DETOUR_AFTER_S
+    node.membership.living = dict.fromkeys(peers, clock.at)
+    for shard in range(world.shards):
+        node.membership.holders[shard] = Holder(peers[0] if shard == 2 else 0, 5, 77)
+    return node
+
+
+def play_detour(node: Node, clock: Clock, seconds: float, rate: float) -> BudgetClient:
+    """Texts are begun for so long; only what is written by then counts."""
+    client = BudgetClient(node, clock, rate)
+    client.until = clock.at + seconds
+    node.exchange.state = client  # type: ignore[assignment]
+
+    async def write() -> None:
+        await client.step()
+        for task in client.begun:
+            await task.join()
+
+    curio.run(write)
+    return client
+
+
+def seconds_of(node: Node, envelope: pb.Envelope, rate: float) -> float:
+    """How long it takes to write a message's text at so many changes a second."""
+    part = node.world.settings.settings.state.value_kb * 1000 - 200
+    return len(pack([envelope])) / part / rate
+
+
+def delivered(client: BudgetClient, to: int) -> list[pb.Envelope]:
+    """What a peer takes of it."""
+    got: list[pb.Envelope] = []
+    receiver = Node(make_world(Clock(), node=to))
+
+    async def take(envelope: pb.Envelope) -> None:
+        got.append(envelope)
+
+    for change in client.sent:
+        value = msgspec.Raw(msgspec.json.encode(change.value))
+        at_once(receiver.exchange.take_detour(change.put or "", value, take))
+    return got
+
+
+def test_a_whole_view_of_the_fleet_gets_through_by_the_detour() -> None:
+    """A newer text was begun every 2 s and gave up the one being written: of one that took longer
+    none ever arrived. Half of the share goes to starts and ends."""
+    clock = Clock()
+    node = cut_off(clock, [2])
+    machines = MachineShard(node.world, 1, 5, 77, 0.0)
+    whole_fleet(machines, JobShard(node.world, 0, 3, 9), random.Random(1))
+    node.machines[1] = machines
+    assert seconds_of(node, pb.Envelope(view=machines.whole_view(True)), SHARE / 2) > DETOUR_EVERY_S
+    client = play_detour(node, clock, 3 * DETOUR_EVERY_S, SHARE / 2)
+    views = [e.view for e in delivered(client, 2) if e.WhichOneof("body") == "view"]
+    assert views and len(views[0].machines) == MACHINES
+    assert len(views[0].machines[0].tasks) == TASKS
+
+
+def test_a_whole_list_for_the_fleet_gets_through_by_the_detour() -> None:
+    """One controller holds all jobs, the other all machines: too long for 2 s of a whole share."""
+    clock = Clock()
+    node = cut_off(clock, [2])
+    machines = MachineShard(node.world, 1, 5, 77, 0.0)
+    jobs = JobShard(node.world, 0, 3, 9)
+    whole_fleet(machines, jobs, random.Random(1))
+    assert seconds_of(node, pb.Envelope(wants=jobs.wants(1, 77)), SHARE) > DETOUR_EVERY_S
+    jobs.loaded = True
+    node.membership.holders[1] = Holder(2, 5, 77)
+    node.writers[0] = Writer(node.world, node.state, jobs, None)
+    client = play_detour(node, clock, 3 * DETOUR_EVERY_S, SHARE)
+    wants = [e.wants for e in delivered(client, 2) if e.WhichOneof("body") == "wants"]
+    assert MACHINES * TASKS in [len(w.items) for w in wants]
+
+
+def test_texts_to_two_peers_do_not_end_each_other() -> None:
+    """Their numbers were counted together: each peer's text passed for newer than the other's."""
+    clock = Clock()
+    node = cut_off(clock, [1, 2])
+    noise = random.Random(5).randbytes(200_000).hex()[:120_000]
+    node.machines[0] = machines = MachineShard(node.world, 0, 5, 77, 0.0)
+    machines.whole_view = lambda valid: pb.View(shard=0, dead=[noise])  # type: ignore[method-assign]
+    client = play_detour(node, clock, DETOUR_EVERY_S, SHARE)
+    for peer in (1, 2):
+        assert [e.view.dead[0] for e in delivered(client, peer)[1:]] == [noise]
+
+
+def test_after_a_failed_text_the_next_begins() -> None:
+    clock = Clock()
+    node = cut_off(clock, [2])
+    node.machines[0] = MachineShard(node.world, 0, 5, 77, 0.0)
+    client = PlainClient(PlainState(random.Random(1)), 0.0)
+    client.cut = True
+    node.exchange.state = client  # type: ignore[assignment]
+    for _ in range(3):
+        ((to, text),) = node.exchange.detour(clock.at, pb.Hello)
+        clock.at += DETOUR_EVERY_S
+        assert not node.exchange.detour(clock.at, pb.Hello)  # it is being written
+        curio.run(node.exchange.put_detour, to, text)
+
+
+def test_what_a_controller_tells_of_the_whole_fleet() -> None:
+    """The sizes in docs/operations.md, "Reach of each fixed limit"."""
+    world = make_world(Clock())
+    machines = MachineShard(world, 1, 5, 77, 0.0)
+    jobs = JobShard(world, 0, 3, 9)
+    whole_fleet(machines, jobs, random.Random(1))
+    view = pb.Envelope(view=machines.whole_view(True))
+    wants = pb.Envelope(wants=jobs.wants(1, 77))
+    hello = pb.Envelope(hello=pb.Hello(deleted=[m.name for m in machines.machines.values()]))
+    assert len(wants.wants.items) == MACHINES * TASKS
+    sizes = [len(e.SerializeToString()) for e in (view, wants, hello)]
+    texts = [len(pack([e])) for e in (view, wants, hello)]
+    for size, most in zip(sizes, (5_700_000, 3_800_000, 53_000), strict=True):
+        assert 0.9 * most < size <= most
+    for size, most in zip(texts, (1_400_000, 2_450_000, 31_000), strict=True):
+        assert 0.9 * most < size <= most
