--- a/starlingdeck/coordination/node.py
+++ b/starlingdeck/coordination/node.py
@@ -48,6 +48,8 @@
 TICK_S = 0.1
 STEP_EVERY_S = 0.04  # what comes in meanwhile is worked off together
 DELETED_KEPT_S = 60.0
+SPARE_CONNECTIONS = 16  # that calls to workers leave to the state service and the cloud
+TOKEN_CALLS = 64  # calls at once that show workers the token of a shard just taken over
 METERS_EVERY_S = 60.0
 SLOW_S = 0.15  # an answer to a change after this is told at log level debug
 
@@ -62,6 +64,8 @@
         s = world.settings
         limits = s.settings.machine_limits
         self.http = HttpClient(max_idle=4, max_open=max(16, limits.max_connections // 4))
+        self.most_calls = max(8, self.http.max_open - SPARE_CONNECTIONS)
+        self.calling = 0  # workers that are being called
         budget = StateLimit(
             s.settings.state.rps, s.settings.state.write_rps, world.shards, world.now
         )
@@ -260,11 +264,25 @@
         await self.wake.set()
 
     async def _raise_at_workers(self, machines: MachineShard, old: Sight) -> None:
-        """Show our token to the workers the last view named, and take their reports."""
-        for entry in old.machines.values():
-            if not entry.dead:
-                orders = api.Commands(machines.token, entry.session, [])
-                await curio.spawn(self._do, machines, None, entry.address, orders, daemon=True)
+        """Show our token to the workers the last view named, and take their reports.
+
+        Called all at once, those of a large fleet took every connection: most calls failed
+        without being made, and so did those to the state service.
+        """
+        waiting = [entry for entry in old.machines.values() if not entry.dead]
+        for _ in range(min(TOKEN_CALLS, len(waiting))):
+            await curio.spawn(self._show_tokens, machines, waiting, daemon=True)
+
+    async def _show_tokens(self, machines: MachineShard, waiting: list[pb.Machine]) -> None:
+        """Work off what is waiting, together with others, while the shard is ours."""
+        while waiting and self.machines.get(machines.shard) is machines:
+            if self.calling >= self.most_calls:
+                await curio.sleep(TICK_S)
+                continue
+            entry = waiting.pop()
+            orders = api.Commands(machines.token, entry.session, [])
+            self.calling += 1
+            await self._call(machines, None, entry.address, orders)
 
     async def lost(self, shard: int) -> None:
         self.writers.pop(shard, None)
@@ -359,17 +377,7 @@
         if valid:
             self.budget.share_among(len(self.membership.living))
         for shard, machines in list(self.machines.items()):
-            machines.check_silence()
-            machines.shed()
-            for machine in machines.reconcile():
-                machine.busy = True
-                orders = machines.orders(machine, valid)
-                if orders.commands or machine.doubted or machine.unheard_do:
-                    await curio.spawn(
-                        self._do, machines, machine, machine.address, orders, daemon=True
-                    )
-                else:
-                    machine.busy = False
+            await self._call_workers(machines, valid)
             if valid and machines.needs_new_token():
                 try:
                     await self.membership.raise_token(shard)
@@ -387,6 +395,31 @@
         if any(w.shard.dirty for w in self.writers.values()):
             await self.flush.set()
 
+    async def _call_workers(self, machines: MachineShard, valid: bool) -> None:
+        """Send what is due. What there is no connection for stays due: a call that can't be made
+        would count as unanswered, and after two of them a machine gets no calls any more."""
+        machines.check_silence()
+        machines.shed()
+        for machine in machines.reconcile():
+            if self.calling >= self.most_calls:
+                continue
+            orders = machines.orders(machine, valid)
+            if orders.commands or machine.doubted or machine.unheard_do:
+                machine.busy = True
+                self.calling += 1
+                await curio.spawn(
+                    self._call, machines, machine, machine.address, orders, daemon=True
+                )
+
+    async def _call(
+        self, machines: MachineShard, machine: Machine | None, address: str, orders: api.Commands
+    ) -> None:
+        """A call that is counted until it has ended."""
+        try:
+            await self._do(machines, machine, address, orders)
+        finally:
+            self.calling -= 1
+
     async def _do(
         self,
         machines: MachineShard,
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,5 +1,6 @@
 """Fixed limits against a fleet of 4,000 machines, all of them with one controller."""
 
+import itertools
 import random
 
 import curio
@@ -11,12 +12,15 @@
 from starlingdeck.coordination.machines import MachineShard
 from starlingdeck.coordination.membership import Holder
 from starlingdeck.coordination.names import split_key
-from starlingdeck.coordination.node import Node
+from starlingdeck.coordination.node import SPARE_CONNECTIONS, TOKEN_CALLS, Node
 from starlingdeck.coordination.peers import pack
+from starlingdeck.coordination.shards import job_shard
+from starlingdeck.coordination.sights import Sight, follow
 from starlingdeck.coordination.writer import Writer
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage.limiter import Limiter
+from starlingdeck.transport.client import NotSent, Reply
 from tests.build import Clock, make_world, spec
 from tests.model import PlainClient, PlainState, at_once
 
@@ -32,13 +36,21 @@
     return [f"registry.local/team-{i % 37:02d}/{rng.getrandbits(48):012x}" for i in range(300)]
 
 
-def whole_fleet(machines: MachineShard, jobs: JobShard, rng: random.Random) -> None:
-    """Every machine runs its most tasks, recorded in the shard of jobs, and has its images."""
-    images = image_names(rng)
-    order = rng.sample(range(MACHINES * TASKS), MACHINES * TASKS)  # jobs are spread over machines
+def job_ids(many: int, shard: int) -> list[str]:
+    """So many jobs of one shard."""
+    names = (f"j-{number:06d}" for number in itertools.count())
+    return list(itertools.islice((n for n in names if job_shard(n, 3) == shard), many))
+
+
+def whole_fleet(
+    machines: MachineShard, jobs: JobShard, rng: random.Random, tasks: int = TASKS
+) -> None:
+    """Every machine runs so many tasks, recorded in the shard of jobs, and has its images."""
+    images, ids = image_names(rng), job_ids(MACHINES * tasks // JOB_TASKS, jobs.shard)
+    order = rng.sample(range(MACHINES * tasks), MACHINES * tasks)  # jobs are spread over machines
     for number in range(MACHINES):
-        first = number * TASKS
-        names = [divmod(n, JOB_TASKS) for n in order[first : first + TASKS]]
+        first = number * tasks
+        names = [divmod(n, JOB_TASKS) for n in order[first : first + tasks]]
         report = api.Report(
             f"vm-{rng.getrandbits(32):08x}",
             f"10.0.{number >> 8}.{number & 255}:9000",
@@ -47,18 +59,18 @@
             rng.getrandbits(40),
             rng.randrange(100_000),
             5,
-            tasks=[api.ReportTask(f"j-{job:06d}/{task}", 1, "running") for job, task in names],
+            tasks=[api.ReportTask(f"{ids[job]}/{task}", 1, "running") for job, task in names],
         )
         taken = machines.take_report(report, True)
         taken.images = dict.fromkeys(rng.sample(images, IMAGES), 0.0)
-    fill(machines, jobs)
+    fill(machines, jobs, ids)
 
 
-def fill(machines: MachineShard, jobs: JobShard) -> None:
+def fill(machines: MachineShard, jobs: JobShard, ids: list[str]) -> None:
     """The records of all tasks that the machines run."""
     world = machines.world
-    for number in range(MACHINES * TASKS // JOB_TASKS):
-        jobs.adopt(new_job(world, spec(f"j-{number:06d}", chores=JOB_TASKS), jobs.shard, 0))
+    for job in ids:
+        jobs.adopt(new_job(world, spec(job, chores=JOB_TASKS), jobs.shard, 0))
     for machine in machines.machines.values():
         for key in machine.tasks:
             index, task = split_key(key)
@@ -218,3 +230,83 @@
         assert 0.9 * most < size <= most
     for size, most in zip(texts, (1_400_000, 2_450_000, 31_000), strict=True):
         assert 0.9 * most < size <= most
+
+
+class Workers:
+    """What answers calls at the workers' addresses, over no more connections than are allowed."""
+
+    def __init__(self, machines: MachineShard, most: int) -> None:
+        self.machines = machines
+        self.most = most
+        self.open = self.peak = 0
+        self.called: set[str] = set()
+        self.index = {m.address: i for i, m in machines.machines.items()}
+
+    async def call(
+        self, address: str, method: str, path: str, body: bytes | None, timeout_s: float
+    ) -> Reply:
+        if self.open >= self.most:
+            raise NotSent("too many open connections")
+        self.open += 1
+        self.peak = max(self.peak, self.open)
+        await curio.sleep(0.001)
+        self.open -= 1
+        self.called.add(address)
+        machine = self.machines.machines[self.index[address]]
+        report = api.Report(
+            machine.name, address, "small", "b", machine.session, machine.seq + 1, 5
+        )
+        return Reply(200, msgspec.json.encode(report), None)
+
+
+def fleet_to_call(stopping: bool) -> tuple[Node, MachineShard, Workers]:
+    """A controller that holds all machines, of which each runs a task; all are to stop, or none."""
+    node = Node(make_world(Clock()))
+    machines = MachineShard(node.world, 1, 5, 77, 0.0)
+    jobs = JobShard(node.world, 0, 3, 9)
+    whole_fleet(machines, jobs, random.Random(1), 1)
+    wants = jobs.wants(1, 77)
+    for item in wants.items:
+        item.stop = stopping
+    machines.apply_wants(wants)
+    for machine in machines.machines.values():
+        machine.back = None  # it hears us: it is called whenever there is something to do
+    node.machines[1] = machines
+    workers = Workers(machines, node.http.max_open)
+    node.http.call = workers.call  # type: ignore[method-assign]
+    return node, machines, workers
+
+
+def test_a_command_to_every_machine_at_once_waits_for_connections() -> None:
+    """What found no connection passed for unanswered: after two of them a machine was doubted and
+    got its starts by reports only."""
+    node, machines, workers = fleet_to_call(stopping=True)
+
+    async def call_all() -> None:
+        for _ in range(100):
+            await node._call_workers(machines, True)
+            await curio.sleep(0.005)
+            if len(workers.called) == MACHINES and not workers.open:
+                return
+
+    curio.run(call_all)
+    assert len(workers.called) == MACHINES
+    assert not any(m.unheard_do for m in machines.machines.values())
+    assert workers.peak <= workers.most - SPARE_CONNECTIONS
+
+
+def test_a_token_is_shown_to_every_machine_of_a_shard_taken_over() -> None:
+    """All were called at once: those beyond the connections allowed were not called at all."""
+    node, machines, workers = fleet_to_call(stopping=False)
+    sights: dict[int, Sight] = {}
+    follow(node.world, sights, machines.whole_view(True))
+
+    async def raise_all() -> None:
+        await node._raise_at_workers(machines, sights[1])
+        for _ in range(100):
+            await curio.sleep(0.005)
+            if len(workers.called) == MACHINES:
+                return
+
+    curio.run(raise_all)
+    assert len(workers.called) == MACHINES and workers.peak <= TOKEN_CALLS
