--- a/starlingdeck/coordination/planner.py
+++ b/starlingdeck/coordination/planner.py
@@ -28,6 +28,7 @@
 log = logging.getLogger(__name__)
 
 MOST_PICKS = 100
+MOST_TEAM_JOBS = 10_000  # told to peers; some 41 bytes each, twice a second
 MOST_STOPS = 48  # (start) tasks of a plan that ask for room by preemption
 PLAN_EVERY_S = 0.1
 IDLE_PLAN_S = 0.25
@@ -81,6 +82,7 @@
         self.moves = Limiter(world.tuning.moves_per_s / world.shards, 1.0, world.now)
 
     def own_team_jobs(self) -> list[TeamJob]:
+        """Our unfinished jobs that bear on their teams' guarantees, for all controllers."""
         found = []
         for writer in self.writers.values():
             for job in writer.shard.jobs.values():
@@ -91,7 +93,7 @@
                             job.team, job.at_ms, job.id, n * spec.cpus, n * spec.gpus, spec.rank
                         )
                     )
-        return sorted(found, key=lambda j: j.at_ms)[:500]
+        return scheduler.bearing_jobs(self.world, found)[:MOST_TEAM_JOBS]
 
     async def run(self) -> None:
         """Plans for a thirtieth of the time, and never for long at a stretch. In a flood every
--- a/starlingdeck/coordination/scheduler.py
+++ b/starlingdeck/coordination/scheduler.py
@@ -42,6 +42,25 @@
     kept: bool = False  # not to be stopped for others once it runs
 
 
+def guarantees(world: World) -> dict[int, list[float]]:
+    """Processors and accelerators by team, of the teams that have a guarantee of either."""
+    teams = world.settings.settings.teams
+    return {
+        i: [t.cpus if t.cpus > 0 else FAR, t.gpus if t.gpus > 0 else FAR]
+        for i, t in enumerate(teams)
+        if t.cpus > 0 or t.gpus > 0
+    }
+
+
+def by_claim(jobs: Iterable[TeamJob]) -> list[TeamJob]:
+    """Those with the first claim on their team's guarantee first."""
+    return sorted(jobs, key=lambda j: (-j.rank, j.at_ms, j.id))
+
+
+def within(room: list[float]) -> bool:
+    return room[0] >= -1e-6 and room[1] >= -1e-6
+
+
 def guaranteed_jobs(world: World, jobs: Iterable[TeamJob]) -> set[str]:
     """Jobs that fit into their team's guarantee together with its unfinished jobs before them.
 
@@ -49,26 +68,35 @@
     alone a backlog of low work took up the guarantee, and the team's urgent work waited
     behind it and could not stop it.
     """
-    left = {
-        i: [t.cpus, t.gpus if t.gpus > 0 else FAR]
-        for i, t in enumerate(world.settings.settings.teams)
-        if t.cpus > 0 or t.gpus > 0
-    }
-    for pair, team in zip(left.values(), world.settings.settings.teams, strict=False):
-        if team.cpus <= 0:
-            pair[0] = FAR
+    left = guarantees(world)
     inside: set[str] = set()
-    for job in sorted(jobs, key=lambda j: (-j.rank, j.at_ms, j.id)):
+    for job in by_claim(jobs):
         room = left.get(job.team)
         if room is None:
             continue
         room[0] -= job.cpus
         room[1] -= job.gpus
-        if room[0] >= -1e-6 and room[1] >= -1e-6:
+        if within(room):
             inside.add(job.id)
     return inside
 
 
+def bearing_jobs(world: World, jobs: Iterable[TeamJob]) -> list[TeamJob]:
+    """Of some of the service's jobs those that `guaranteed_jobs` of all of them depends on: of each
+    team with a guarantee up to the first that doesn't fit in. Behind that one none does,
+    whatever jobs others hold."""
+    left = guarantees(world)
+    found = []
+    for job in by_claim(jobs):
+        room = left.get(job.team)
+        if room is None or not within(room):
+            continue
+        room[0] -= job.cpus
+        room[1] -= job.gpus
+        found.append(job)
+    return found
+
+
 def due_times_ms(world: World, job: Job) -> tuple[float, ...]:
     """When the job should be over by the aims for its class and its deadline, soonest first."""
     if job.due_ms is not None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,6 +3,7 @@
 import itertools
 import random
 
+import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -10,7 +11,7 @@
 from starlingdeck.coordination.job import new_job
 from starlingdeck.coordination.placement import Room
 from starlingdeck.coordination.scheduler import TeamJob
-from starlingdeck.protocol.settings import Objective
+from starlingdeck.protocol.settings import Objective, Team
 from tests.build import Clock, make_world, spec
 
 amounts = st.integers(1, 8).map(float)
@@ -96,6 +97,36 @@
         assert (job.id in inside) == (total <= 8.0)
 
 
+@settings(derandomize=True, max_examples=200, deadline=None)
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 1), st.integers(0, 20), st.integers(1, 6), st.integers(0, 3)),
+        max_size=16,
+    )
+)
+def test_what_controllers_tell_each_other_decides_the_guarantees(
+    jobs: list[tuple[int, int, int, int]],
+) -> None:
+    """Each tells only its jobs that bear on them; together they say the same as all jobs."""
+    world = make_world(Clock())
+    found = [
+        TeamJob(team, at, f"j-{i:02d}", float(cpus), 0.0, rank)
+        for i, (team, at, cpus, rank) in enumerate(jobs)
+    ]
+    told = [j for part in range(3) for j in scheduler.bearing_jobs(world, found[part::3])]
+    assert scheduler.guaranteed_jobs(world, told) == scheduler.guaranteed_jobs(world, found)
+
+
+def test_a_guarantee_is_its_own_teams() -> None:
+    """The first team's lack of one was taken for the second's: it had all processors."""
+    world = make_world(Clock())
+    teams = [Team("red"), Team("blue", cpus=8.0)]
+    deployment = msgspec.structs.replace(world.settings.settings, teams=teams)
+    world.settings = msgspec.structs.replace(world.settings, settings=deployment)
+    found = [TeamJob(1, i, f"j-{i}", 6.0, 0.0) for i in range(2)]
+    assert scheduler.guaranteed_jobs(world, found) == {"j-0"}
+
+
 def test_a_machine_stays_with_a_controller_of_its_zone() -> None:
     zones = ["a", "b", "a"]
     for i in range(50):
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -14,6 +14,7 @@
 from starlingdeck.coordination.names import split_key
 from starlingdeck.coordination.node import SPARE_CONNECTIONS, TOKEN_CALLS, Node
 from starlingdeck.coordination.peers import pack
+from starlingdeck.coordination.scheduler import guaranteed_jobs
 from starlingdeck.coordination.shards import job_shard
 from starlingdeck.coordination.sights import Sight, follow
 from starlingdeck.coordination.writer import Writer
@@ -310,3 +311,17 @@
 
     curio.run(raise_all)
     assert len(workers.called) == MACHINES and workers.peak <= TOKEN_CALLS
+
+
+def test_a_backlog_of_thousands_of_jobs_hides_no_guaranteed_work() -> None:
+    """The 500 oldest jobs were told, whatever their teams: behind a backlog of a team without a
+    guarantee, another's work passed for beyond its own."""
+    node = Node(make_world(Clock()))
+    jobs = JobShard(node.world, 0, 3, 9)
+    for number in range(MACHINES):
+        crew = "blue" if number == MACHINES - 1 else "red"
+        jobs.adopt(new_job(node.world, spec(f"j-{number:06d}", crew=crew), 0, number))
+    node.writers[0] = Writer(node.world, node.state, jobs, None)
+    told = node.planner.own_team_jobs()
+    assert [job.id for job in told] == [f"j-{MACHINES - 1:06d}"]
+    assert guaranteed_jobs(node.world, told) == {told[0].id}
