--- a/starlingdeck/coordination/quarantine.py
+++ b/starlingdeck/coordination/quarantine.py
@@ -4,7 +4,7 @@
 
 log = logging.getLogger(__name__)
 
-KEPT = 1000
+KEPT = 20_000  # each machine of a large fleet, and jobs; some 500 bytes each
 AGAIN_S = 30.0  # (start) until it is tried once more
 
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -14,6 +14,7 @@
 from starlingdeck.coordination.names import split_key
 from starlingdeck.coordination.node import SPARE_CONNECTIONS, TOKEN_CALLS, Node
 from starlingdeck.coordination.peers import pack
+from starlingdeck.coordination.quarantine import Quarantine
 from starlingdeck.coordination.scheduler import guaranteed_jobs
 from starlingdeck.coordination.shards import job_shard
 from starlingdeck.coordination.sights import Sight, follow
@@ -325,3 +326,12 @@
     told = node.planner.own_team_jobs()
     assert [job.id for job in told] == [f"j-{MACHINES - 1:06d}"]
     assert guaranteed_jobs(node.world, told) == {told[0].id}
+
+
+def test_a_fault_of_every_machine_sets_each_aside() -> None:
+    """Past 1,000 the oldest was forgotten: each was tried and logged anew at every step."""
+    quarantine = Quarantine()
+    for _ in range(2):
+        for number in range(MACHINES):
+            quarantine.put("machine", f"vm-{number}", ValueError("x"), 0.0)
+    assert all(quarantine.rests("machine", f"vm-{n}", 1.0) for n in range(MACHINES))
