--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -2,7 +2,8 @@
 
 python scripts/scale.py [PLAN.toml] [--report FILE] [--keep FOLDER]
 Without a plan: three controllers, 150 workers, 45 s with a controller killed in it. Exit status 0:
-no rule broken and every job answered for; 1: something was; 2: a plan that can't be played.
+no rule broken and every job answered for; 1: something was; 2: a plan that can't be
+played, or a port that is taken.
 """
 
 import logging
@@ -20,7 +21,7 @@
 
 from standins.scale import report as reports  # noqa: E402
 from standins.scale.plan import load  # noqa: E402
-from standins.scale.run import play  # noqa: E402
+from standins.scale.run import PortsTaken, play  # noqa: E402
 from starlingdeck.protocol.settings import Fault  # noqa: E402
 
 
@@ -58,6 +59,9 @@
             keep.mkdir(exist_ok=True)
         try:
             row = play(wanted, rung, folder, say)
+        except PortsTaken as why:
+            click.echo(str(why), err=True)
+            sys.exit(2)
         except RuntimeError as why:
             click.echo(str(why), err=True)
             sys.exit(1)
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -53,6 +53,7 @@
     report_s: Seconds = 2.5
     lease_s: Seconds = 15.0
     cancel_s: Seconds = 40.0
+    max_connections: Annotated[int, Meta(ge=0, le=100_000)] = 0  # 0: as many as workers may open
 
 
 class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -23,6 +23,14 @@
 JUDGE_S = 0.2
 
 
+class PortsTaken(Exception):
+    """Something listens already where a rung's processes would; most likely another run."""
+
+    def __init__(self, ports: list[int]) -> None:
+        numbers = ", ".join(map(str, ports))
+        super().__init__(f"port {numbers}: taken already; set another first port with `port`")
+
+
 @dataclass
 class Snapshot:
     """Everything that is counted, at one moment."""
@@ -238,6 +246,8 @@
         folder = keep or Path(scratch)
         folder.mkdir(exist_ok=True)
         one = Play(plan, rung, folder, say)
+        if taken := one.site.taken_ports():
+            raise PortsTaken(taken)
         try:
             return curio.run(one.run)  # type: ignore[no-any-return]
         finally:
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -2,6 +2,7 @@
 
 import os
 import signal
+import socket
 import subprocess
 import sys
 import time
@@ -48,6 +49,20 @@
             "PYTHONPATH": os.pathsep.join([str(ROOT), str(ROOT / "target" / "deps"), *sys.path])
         }
 
+    def taken_ports(self) -> list[int]:
+        """Those of its processes that something on this machine listens on already."""
+        addresses = (self.state, self.cloud, self.checker, *self.hosts, *self.public, *self.cluster)
+        found = []
+        for address in addresses:
+            with socket.socket() as trial:
+                # As servers do: closing connections of an earlier rung are in nobody's way.
+                trial.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                try:
+                    trial.bind(split_address(address))
+                except OSError:
+                    found.append(split_address(address)[1])
+        return found
+
     # --- settings
 
     def controller_settings(self, number: int) -> dict[str, Any]:
@@ -83,7 +98,7 @@
                 "machine_limits": {
                     "cores": 1.0,
                     "mem_mb": 2048.0,
-                    "max_connections": 4 * self.rung.workers + 600,
+                    "max_connections": limits.max_connections or 4 * self.rung.workers + 600,
                 },
                 "skew_ms": 100.0,
             },
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,8 @@
 """The scale run: its checker, its plans, and the stand-ins that it plays against."""
 
+import socket
+import subprocess
+import sys
 from pathlib import Path
 from typing import Any
 
@@ -14,7 +17,7 @@
 from standins.scale import report as reports
 from standins.scale.checker import Checker
 from standins.scale.plan import DEFAULT, Plan, Rung, Trouble, beyond, load
-from standins.scale.site import Site
+from standins.scale.site import ROOT, Site
 from standins.scale.troubles import Sample, Troubles, longest_gap, recovery
 from standins.state import State
 from starlingdeck.protocol import api
@@ -398,3 +401,45 @@
 def test_rungs_ask_for_as_much_as_their_workers_hold() -> None:
     plan = Plan([Rung(100), Rung(100, starts_per_s=7.0)])
     assert [plan.starts(rung) for rung in plan.rungs] == [30.0, 7.0]
+
+
+def bind_below(sock: socket.socket, most: int) -> int:
+    """Bind to the highest free port under `most`, which no outgoing connection has."""
+    for port in range(most - 1, most - 1000, -1):
+        try:
+            sock.bind(("127.0.0.1", port))
+        except OSError:
+            continue
+        return port
+    raise OSError("no port is free")
+
+
+def test_a_run_whose_ports_are_taken_is_refused_before_it_starts(tmp_path: Path) -> None:
+    """Two runs at once: the second said only that its state service had ended by itself."""
+    plan = tmp_path / "plan.toml"
+    with socket.socket() as other:
+        port = bind_below(other, 30_000)
+        other.listen()
+        first = port - 500  # that of the first controller's peers
+        plan.write_text(f"port = {first}\n[[rungs]]\nworkers = 1\ncontrollers = 1\n")
+        done = subprocess.run(
+            [sys.executable, "scripts/scale.py", str(plan)],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=30,
+            check=False,
+        )
+    assert done.returncode == 2 and f"port {port}: taken" in done.stderr
+    assert "ended by itself" not in done.stderr
+
+
+@pytest.mark.parametrize(("line", "most"), [("", 1000), ("max_connections = 2002", 2002)])
+def test_a_plan_may_set_the_connections_of_a_controller(
+    tmp_path: Path, line: str, most: int
+) -> None:
+    path = tmp_path / "plan.toml"
+    path.write_text(f"[limits]\n{line}\n[[rungs]]\nworkers = 100\n")
+    plan = load(path)
+    settings = Site(plan, plan.rungs[0], tmp_path).controller_settings(0)
+    assert settings["settings"]["machine_limits"]["max_connections"] == most
