--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -20,7 +20,7 @@
 import msgspec  # noqa: E402
 
 from standins.scale import report as reports  # noqa: E402
-from standins.scale.plan import load  # noqa: E402
+from standins.scale.plan import Plan, Rung, load  # noqa: E402
 from standins.scale.run import PortsTaken, play  # noqa: E402
 from starlingdeck.protocol.settings import Fault  # noqa: E402
 
@@ -57,14 +57,7 @@
         folder = keep / f"rung-{number + 1}" if keep is not None else None
         if keep is not None:
             keep.mkdir(exist_ok=True)
-        try:
-            row = play(wanted, rung, folder, say)
-        except PortsTaken as why:
-            click.echo(str(why), err=True)
-            sys.exit(2)
-        except RuntimeError as why:
-            click.echo(str(why), err=True)
-            sys.exit(1)
+        row = play_or_exit(wanted, rung, folder)
         told.rows.append(row)
         write(report, told)
         for text in reports.summary(row):
@@ -81,6 +74,18 @@
     sys.exit(1 if any(reports.failed(row) for row in told.rows) else 0)
 
 
+def play_or_exit(wanted: Plan, rung: Rung, folder: Path | None) -> reports.Row:
+    """A rung's row; without one the whole run ends, with the status that tells why."""
+    try:
+        return play(wanted, rung, folder, say)
+    except PortsTaken as why:
+        click.echo(str(why), err=True)
+        sys.exit(2)
+    except RuntimeError as why:
+        click.echo(str(why), err=True)
+        sys.exit(1)
+
+
 def write(path: Path | None, told: reports.Report) -> None:
     if path is not None:
         path.write_bytes(msgspec.json.format(msgspec.json.encode(told), indent=1))
