--- a/starlingdeck/coordination/node.py
+++ b/starlingdeck/coordination/node.py
@@ -47,7 +47,7 @@
 
 TICK_S = 0.1
 STEP_EVERY_S = 0.04  # what comes in meanwhile is worked off together
-DELETED_KEPT_S = 60.0
+DELETED_TOLD_S = 60.0  # how long a deleted machine is told to peers, by each that hears of it
 SPARE_CONNECTIONS = 16  # that calls to workers leave to the state service and the cloud
 TOKEN_CALLS = 64  # calls at once that show workers the token of a shard just taken over
 METERS_EVERY_S = 60.0
@@ -494,7 +494,8 @@
         for shard, holder in self.membership.holders.items():
             out.holdings.add(shard=shard, node=holder.node, token=holder.token, gen=holder.gen)
         out.demands.extend(self.planner.demands.get(self.world.node, (0.0, []))[1])
-        out.deleted.extend(self.deleted)
+        now = self.world.now()
+        out.deleted.extend(n for n, at in self.deleted.items() if now - at <= DELETED_TOLD_S)
         for (team, shard), want in self.transfers.needs.items():
             task = self.transfers.least(team, shard)
             out.needs.add(
@@ -561,12 +562,15 @@
     # --- fleet
 
     def note_deleted(self, names: list[str]) -> None:
+        """Known for longer than all controllers one after the other tell it: who had forgotten a
+        name took it for news from one that still told it, and names were told for ever."""
         now = self.world.now()
+        kept_s = DELETED_TOLD_S * (self.world.shards + 1)
         for name in names:
             self.deleted[name] = now
             for machines in self.machines.values():
                 machines.mark_deleted(name)
-        for name in [n for n, at in self.deleted.items() if now - at > DELETED_KEPT_S]:
+        for name in [n for n, at in self.deleted.items() if now - at > kept_s]:
             del self.deleted[name]
 
     async def fleet_loop(self) -> None:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -12,7 +12,7 @@
 from starlingdeck.coordination.machines import MachineShard
 from starlingdeck.coordination.membership import Holder
 from starlingdeck.coordination.names import split_key
-from starlingdeck.coordination.node import SPARE_CONNECTIONS, TOKEN_CALLS, Node
+from starlingdeck.coordination.node import DELETED_TOLD_S, SPARE_CONNECTIONS, TOKEN_CALLS, Node
 from starlingdeck.coordination.peers import pack
 from starlingdeck.coordination.quarantine import Quarantine
 from starlingdeck.coordination.scheduler import guaranteed_jobs
@@ -335,3 +335,24 @@
         for number in range(MACHINES):
             quarantine.put("machine", f"vm-{number}", ValueError("x"), 0.0)
     assert all(quarantine.rests("machine", f"vm-{n}", 1.0) for n in range(MACHINES))
+
+
+def test_deleted_machines_are_told_for_a_while_only() -> None:
+    """A controller that had forgotten one heard of it once more from another that had not: while
+    machines were deleted, all that ever were stayed in each greeting."""
+    clock = Clock()
+    nodes = [Node(make_world(clock, node=number)) for number in range(3)]
+    told = []
+    for second in range(MACHINES // 10):
+        if second < MACHINES // 20:
+            nodes[0].note_deleted([f"vm-{second}-{i}" for i in range(20)])
+        for sender in (1, 2, 0):  # who deletes tells it after the others have told theirs
+            clock.at += 0.3
+            hello = nodes[sender].hello()
+            told.append(len(hello.deleted))
+            for other in nodes:
+                curio.run(other.on_hello, sender, hello)
+        clock.at += 0.1
+    assert max(told) <= 20 * (DELETED_TOLD_S + 2)
+    assert told[-3:] == [0, 0, 0]  # the last one was deleted 200 s ago
+    assert f"vm-{MACHINES // 20 - 1}-0" in nodes[2].deleted
