--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -47,7 +47,8 @@
 
 TICK_S = 0.1
 STEP_EVERY_S = 0.04  # what comes in meanwhile is worked off together
-DELETED_KEPT_S = 60.0
+DELETED_TOLD_S = 60.0  # how long a deleted machine is told to peers, by each that hears of it
+SPARE_CONNECTIONS = 16  # that calls to workers leave to the state service and the cloud
 METERS_EVERY_S = 60.0
 SLOW_S = 0.15  # an answer to a change after this is told at log level debug
 
@@ -62,6 +63,8 @@
         s = world.settings
         limits = s.settings.machine_limits
         self.http = HttpClient(max_idle=4, max_open=max(16, limits.max_connections // 4))
+        self.most_calls = max(8, self.http.max_open - SPARE_CONNECTIONS)
+        self.calling = 0  # workers that are being called
         budget = StateLimit(
             s.settings.state.rps, s.settings.state.write_rps, world.shards, world.now
         )
@@ -260,11 +263,25 @@
         await self.wake.set()
 
     async def _raise_at_workers(self, machines: MachineShard, old: Sight) -> None:
-        """Show our token to the workers the last view named, and take their reports."""
-        for entry in old.machines.values():
-            if not entry.dead:
-                orders = api.Commands(machines.token, entry.session, [])
-                await curio.spawn(self._do, machines, None, entry.address, orders, daemon=True)
+        """Show our token to the workers the last view named, and take their reports.
+
+        Called all at once, those of a large fleet took every connection: most calls failed
+        without being made, and so did those to the state service.
+        """
+        waiting = [entry for entry in old.machines.values() if not entry.dead]
+        for _ in range(min(self.most_calls, len(waiting))):
+            await curio.spawn(self._show_tokens, machines, waiting, daemon=True)
+
+    async def _show_tokens(self, machines: MachineShard, waiting: list[pb.Machine]) -> None:
+        """Work off what is waiting, together with others, while the shard is ours."""
+        while waiting and self.machines.get(machines.shard) is machines:
+            if self.calling >= self.most_calls:
+                await curio.sleep(TICK_S)
+                continue
+            entry = waiting.pop()
+            orders = api.Commands(machines.token, entry.session, [])
+            self.calling += 1
+            await self._call(machines, None, entry.address, orders)
 
     async def lost(self, shard: int) -> None:
         self.writers.pop(shard, None)
@@ -359,17 +376,7 @@
         if valid:
             self.budget.share_among(len(self.membership.living))
         for shard, machines in list(self.machines.items()):
-            machines.check_silence()
-            machines.shed()
-            for machine in machines.reconcile():
-                machine.busy = True
-                orders = machines.orders(machine, valid)
-                if orders.commands or machine.doubted or machine.unheard_do:
-                    await curio.spawn(
-                        self._do, machines, machine, machine.address, orders, daemon=True
-                    )
-                else:
-                    machine.busy = False
+            await self._call_workers(machines, valid)
             if valid and machines.needs_new_token():
                 try:
                     await self.membership.raise_token(shard)
@@ -387,6 +394,31 @@
         if any(w.shard.dirty for w in self.writers.values()):
             await self.flush.set()
 
+    async def _call_workers(self, machines: MachineShard, valid: bool) -> None:
+        """Send what is due. What there is no connection for stays due: a call that can't be made
+        would count as unanswered, and after two of them a machine gets no calls any more."""
+        machines.check_silence()
+        machines.shed()
+        for machine in machines.reconcile():
+            if self.calling >= self.most_calls:
+                continue
+            orders = machines.orders(machine, valid)
+            if orders.commands or machine.doubted or machine.unheard_do:
+                machine.busy = True
+                self.calling += 1
+                await curio.spawn(
+                    self._call, machines, machine, machine.address, orders, daemon=True
+                )
+
+    async def _call(
+        self, machines: MachineShard, machine: Machine | None, address: str, orders: api.Commands
+    ) -> None:
+        """A call that is counted until it has ended."""
+        try:
+            await self._do(machines, machine, address, orders)
+        finally:
+            self.calling -= 1
+
     async def _do(
         self,
         machines: MachineShard,
@@ -461,7 +493,8 @@
         for shard, holder in self.membership.holders.items():
             out.holdings.add(shard=shard, node=holder.node, token=holder.token, gen=holder.gen)
         out.demands.extend(self.planner.demands.get(self.world.node, (0.0, []))[1])
-        out.deleted.extend(self.deleted)
+        now = self.world.now()
+        out.deleted.extend(n for n, at in self.deleted.items() if now - at <= DELETED_TOLD_S)
         for (team, shard), want in self.transfers.needs.items():
             task = self.transfers.least(team, shard)
             out.needs.add(
@@ -528,12 +561,15 @@
     # --- fleet
 
     def note_deleted(self, names: list[str]) -> None:
+        """Known for longer than all controllers one after the other tell it: who had forgotten a
+        name took it for news from one that still told it, and names were told for ever."""
         now = self.world.now()
+        kept_s = DELETED_TOLD_S * (self.world.shards + 1)
         for name in names:
             self.deleted[name] = now
             for machines in self.machines.values():
                 machines.mark_deleted(name)
-        for name in [n for n, at in self.deleted.items() if now - at > DELETED_KEPT_S]:
+        for name in [n for n, at in self.deleted.items() if now - at > kept_s]:
             del self.deleted[name]
 
     async def fleet_loop(self) -> None:
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -3,6 +3,7 @@
 import itertools
 import random
 
+import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -11,7 +12,7 @@
 from starlingdeck.machines import descheduling as shedding
 from starlingdeck.machines import scoring as placement
 from starlingdeck.machines.scoring import Room
-from starlingdeck.protocol.config import Objective
+from starlingdeck.protocol.config import Objective, Team
 from starlingdeck.scheduling import scheduler
 from starlingdeck.scheduling.scheduler import TeamJob
 from tests.support.builders import Clock, make_world, spec
@@ -99,6 +100,36 @@
         assert (job.id in inside) == (total <= 8.0)
 
 
+@settings(derandomize=True, max_examples=200, deadline=None)
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 1), st.integers(0, 20), st.integers(1, 6), st.integers(0, 3)),
+        max_size=16,
+    )
+)
+def test_what_controllers_tell_each_other_decides_the_guarantees(
+    jobs: list[tuple[int, int, int, int]],
+) -> None:
+    """Each tells only its jobs that bear on them; together they say the same as all jobs."""
+    world = make_world(Clock())
+    found = [
+        TeamJob(team, at, f"j-{i:02d}", float(cpus), 0.0, rank)
+        for i, (team, at, cpus, rank) in enumerate(jobs)
+    ]
+    told = [j for part in range(3) for j in scheduler.bearing_jobs(world, found[part::3])]
+    assert scheduler.guaranteed_jobs(world, told) == scheduler.guaranteed_jobs(world, found)
+
+
+def test_a_guarantee_is_its_own_teams() -> None:
+    """The first team's lack of one was taken for the second's: it had all processors."""
+    world = make_world(Clock())
+    teams = [Team("red"), Team("blue", cpus=8.0)]
+    deployment = msgspec.structs.replace(world.settings.settings, teams=teams)
+    world.settings = msgspec.structs.replace(world.settings, settings=deployment)
+    found = [TeamJob(1, i, f"j-{i}", 6.0, 0.0) for i in range(2)]
+    assert scheduler.guaranteed_jobs(world, found) == {"j-0"}
+
+
 def test_a_machine_stays_with_a_controller_of_its_zone() -> None:
     zones = ["a", "b", "a"]
     for i in range(50):
