--- a/starlingdeck/machines/machine_shard.py
+++ b/starlingdeck/machines/machine_shard.py
@@ -208,6 +208,7 @@
                 changed = True
             info = self.jobs.get(index)
             if info is not None and state in (api.ON, api.SAVING):
+                changed = changed or info.image not in machine.images
                 machine.images[info.image] = now
         if len(seen) != len(machine.tasks):
             changed = True
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -5,7 +5,7 @@
 import curio
 import msgspec
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from starlingdeck.cluster.membership import Holder
@@ -209,6 +209,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(events)
+@example([("r", 1, 1), ("h", 0, 0), ("r", 1, 1)])
 def test_differences_add_up_to_the_whole(steps: list[tuple[str, int, int]]) -> None:
     """Reports, deletions, reservations, time and lost views, against the view made whole."""
     clock = Clock()
