--- a/starlingdeck/coordination/peers.py
+++ b/starlingdeck/coordination/peers.py
@@ -11,7 +11,7 @@
 
 from starlingdeck.coordination.world import World
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.transport.frames import FrameLink, FrameServer, dial
+from starlingdeck.transport.frames import FrameLink, FrameServer, LinkBusy, dial
 
 log = logging.getLogger(__name__)
 
@@ -22,6 +22,10 @@
     """The peer can't be asked now, or did not reply in time."""
 
 
+class PeerBusy(PeerDown):
+    """Nothing was sent: a large message to the peer, still in progress, held the link."""
+
+
 class Peers:
     def __init__(
         self,
@@ -69,7 +73,10 @@
                 users.append(await curio.spawn(link.drain, wait, daemon=True))
                 sent = self.world.now()
                 while not link.closed:
-                    await self.send(node, pb.Envelope(hello=self.hello()))
+                    try:
+                        await self.send(node, pb.Envelope(hello=self.hello()))
+                    except PeerBusy:
+                        sent = self.world.now()  # a link that takes nothing ends by its drain
                     await curio.sleep(0.5)
                     if self.world.now() - max(sent, self.heard.get(node, 0.0)) > wait:
                         break
@@ -146,6 +153,8 @@
         envelope.sender = self.world.node
         try:
             await link.send(envelope.SerializeToString(), self.world.tuning.reply_wait_s)
+        except LinkBusy as fault:
+            raise PeerBusy(repr(fault)) from fault
         except (OSError, curio.TaskTimeout) as fault:
             link.closed = True
             raise PeerDown(repr(fault)) from fault
--- a/starlingdeck/transport/frames.py
+++ b/starlingdeck/transport/frames.py
@@ -9,12 +9,23 @@
 from starlingdeck.transport.client import connect
 from starlingdeck.transport.server import listen
 
-MAX_FRAME = 4 * 1024 * 1024
-MAX_BACKLOG = 2 * 1024 * 1024
+# The largest message is a whole view of one shard that holds every machine. A machine with 32
+# tasks and 20 images takes 920 to 1,030 bytes in it; the rest is for longer names.
+MOST_MACHINES = 6_000
+MACHINE_BYTES = 1_400
+MAX_FRAME = MOST_MACHINES * MACHINE_BYTES  # 8.4 MB
+# Behind a whole view a link may have to queue the whole list of what is to run on its machines
+# (24 bytes a task, 4.6 MB for 32 tasks each) and the differences that follow while both are sent.
+MAX_BACKLOG = 2 * MAX_FRAME
+PIECE_BYTES = 64 * 1024  # sent under one time-out
 CLOSING_S = 0.02
 LENGTH = struct.Struct("!I")
 
 
+class LinkBusy(ConnectionError):
+    """A frame could not be begun in time because another is being sent; the link goes on."""
+
+
 class FrameLink:
     """One connection carrying frames both ways. Writes are serialised."""
 
@@ -28,35 +39,55 @@
 
     async def post(self, payload: bytes) -> None:
         """Queue a frame for `drain`. A peer that takes nothing loses its link, not our memory."""
-        if len(self.backlog) + len(payload) > MAX_BACKLOG:
+        if len(self.backlog) + LENGTH.size + len(payload) > MAX_BACKLOG:
             self.closed = True
             return
         self.backlog += LENGTH.pack(len(payload)) + payload
         await self.waiting.set()
 
     async def drain(self, timeout_s: float) -> None:
-        """Send what is queued, in order, until the link ends."""
+        """Send what is queued, in order, until the link ends or takes nothing for `timeout_s`."""
         try:
             while not self.closed:
                 await self.waiting.wait()
                 self.waiting.clear()
                 batch, self.backlog = bytes(self.backlog), bytearray()
-                async with curio.timeout_after(timeout_s), self.lock:
-                    await self.sock.sendall(batch)
+                async with self.lock:
+                    await self._write(batch, timeout_s)
         except (OSError, curio.TaskTimeout):
             self.closed = True
 
     async def send(self, payload: bytes, timeout_s: float) -> None:
+        """Send one frame. Raises LinkBusy when `timeout_s` passed before its turn came, and
+        TaskTimeout when the link took nothing for as long."""
         self.senders += 1
         try:
-            async with curio.timeout_after(timeout_s), self.lock:
-                if self.closed:
-                    raise ConnectionError("the link is closed")
-                await self.sock.sendall(LENGTH.pack(len(payload)) + payload)
+            await self._take_turn(timeout_s)
+            try:
+                await self._write(LENGTH.pack(len(payload)) + payload, timeout_s)
+            finally:
+                await self.lock.release()
         finally:
             self.senders -= 1
 
+    async def _take_turn(self, timeout_s: float) -> None:
+        try:
+            async with curio.timeout_after(timeout_s):
+                await self.lock.acquire()
+        except curio.TaskTimeout as fault:
+            raise LinkBusy("another frame is being sent") from fault
+
+    async def _write(self, data: bytes, timeout_s: float) -> None:
+        """Send all of it. The time-out is for each piece: a large frame may take long."""
+        view = memoryview(data)
+        for start in range(0, len(data), PIECE_BYTES):
+            if self.closed:
+                raise ConnectionError("the link is closed")
+            async with curio.timeout_after(timeout_s):
+                await self.sock.sendall(view[start : start + PIECE_BYTES])
+
     async def receive(self) -> bytes:
+        """The next frame. Raises ConnectionError when the link ends or a frame is too long."""
         (size,) = LENGTH.unpack(await self._exactly(LENGTH.size))
         if size > MAX_FRAME:
             raise ConnectionError("frame too long")
@@ -81,11 +112,14 @@
 
 
 async def dial(address: str, timeout_s: float) -> FrameLink:
+    """A new link to a peer that listens at the address."""
     async with curio.timeout_after(timeout_s):
         return FrameLink(await connect(address))
 
 
 class FrameServer:
+    """Accepts links on one listening address, `most` at a time."""
+
     def __init__(
         self, address: tuple[str, int], serve: Callable[[FrameLink], Awaitable[None]], most: int
     ) -> None:
@@ -95,6 +129,7 @@
         self.open = 0
 
     async def run(self) -> None:
+        """Accept links until cancelled."""
         sock = listen(self.address)
         async with sock:
             while True:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,6 +1,7 @@
 """Views and lists as differences, and the detour."""
 
 import random
+from collections.abc import Callable
 
 import curio
 import msgspec
@@ -21,8 +22,10 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.transport import frames
+from starlingdeck.transport.frames import FrameLink, FrameServer, dial
 from tests.build import Clock, make_world, spec
 from tests.model import PlainClient, PlainState, at_once
+from tests.ports import free_port
 
 
 def report(name: str, seq: int = 1, token: int = 5) -> api.Report:
@@ -202,6 +205,69 @@
     assert link.closed and len(link.backlog) <= frames.MAX_BACKLOG
 
 
+FULL_TASKS = 32
+FULL_IMAGES = 20
+
+
+def full_shard(node: Node, machines: int) -> MachineShard:
+    """Shard 1 of that many machines, each with all the tasks and images it may have."""
+    shard = MachineShard(node.world, 1, 5, 77, 0.0)
+    for number in range(machines):
+        tasks = [
+            api.ReportTask(f"j-{number * 7 + task:06d}/{task}", 1, "running")
+            for task in range(FULL_TASKS)
+        ]
+        full = msgspec.structs.replace(report(f"vm-{number:05d}"), tasks=tasks)
+        machine = shard.take_report(full, True)
+        machine.images.update({f"image-{number % 40:04d}-{i:02d}": 0.0 for i in range(FULL_IMAGES)})
+    shard.reconcile()
+    node.machines[1] = shard
+    return shard
+
+
+async def until(reached: Callable[[], bool]) -> None:
+    async with curio.timeout_after(30.0):
+        while not reached():
+            await curio.sleep(0.02)
+
+
+def test_a_whole_view_of_4000_full_machines_is_followed_over_a_link() -> None:
+    """It was larger than a link's backlog: the link was dropped and asked for again, for ever."""
+    clock = Clock()
+    ours, theirs = Node(make_world(clock, node=1)), Node(make_world(clock))
+    shard = full_shard(ours, 4_000)
+
+    def names() -> list[str]:
+        sight = theirs.exchange.sights.get(1)
+        return [] if sight is None else [theirs.world.machines[i] for i in sight.machines]
+
+    async def play() -> FrameLink:
+        port = free_port()
+        server = FrameServer(("127.0.0.1", port), theirs.peers.serve, 4)
+        serving = await curio.spawn(server.run, daemon=True)
+        await curio.sleep(0)
+        link = ours.peers.links[0] = await dial(f"127.0.0.1:{port}", 2.0)
+        drain = await curio.spawn(link.drain, 2.0, daemon=True)
+        await ours.exchange.share(True, clock.at)
+        await until(lambda: len(names()) == 4_000)
+        clock.at += 1.0
+        shard.take_report(report("vm-new"), True)
+        shard.reconcile()
+        await ours.exchange.share(True, clock.at)  # a difference, which follows
+        await until(lambda: "vm-new" in names())
+        await drain.cancel()
+        await serving.cancel()
+        return link
+
+    assert not curio.run(play).closed
+    assert len(names()) == 4_001
+    first = theirs.exchange.sights[1].machines[theirs.world.machines.put("vm-00000")]
+    assert len(first.tasks) == FULL_TASKS and len(first.images) == FULL_IMAGES
+    # Of the largest fleet: with half as many machines again it is still one frame.
+    size = len(pb.Envelope(view=shard.whole_view(True)).SerializeToString())
+    assert size * frames.MOST_MACHINES // 4_001 <= frames.MAX_FRAME
+
+
 events = st.lists(
     st.tuples(st.sampled_from("rrrrdhtl"), st.integers(0, 3), st.integers(0, 2)), max_size=25
 )
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,6 +1,7 @@
 """The pooled client and the links between controllers, on loopback."""
 
 import socket as plain
+from time import monotonic as clock
 
 import curio
 import curio.io
@@ -12,9 +13,10 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage.state import Conflict, StateClient, StateLimit, drop
 from starlingdeck.transport.client import HttpClient, Reply
-from starlingdeck.transport.frames import MAX_FRAME, FrameLink, dial
+from starlingdeck.transport.frames import MAX_FRAME, FrameLink, LinkBusy, dial
 from starlingdeck.transport.server import HttpServer, Request, Response, listen
 from tests.build import Clock, make_world
+from tests.ports import free_port
 
 
 async def talk(servers: int, max_open: int) -> tuple[list[int], int]:
@@ -23,10 +25,7 @@
 
     client, statuses = HttpClient(max_open=max_open), []
     for _ in range(servers):
-        probe = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        probe.bind(("127.0.0.1", 0))
-        port = probe.getsockname()[1]
-        await probe.close()
+        port = free_port()
         server = await curio.spawn(HttpServer(("127.0.0.1", port), answer, 9, 5.0).run, daemon=True)
         await curio.sleep(0)
         reply = await client.call(f"127.0.0.1:{port}", "GET", "/", None, 5.0)
@@ -160,3 +159,51 @@
 
     # Not of a socket that was closed under it.
     assert isinstance(curio.run(drive), curio.TaskTimeout)
+
+
+SMALL_BUFFER = 32 * 1024
+
+
+async def slow_link(pause_s: float) -> tuple[FrameLink, FrameLink]:
+    """A link and its other side, with little kept in the kernel between them."""
+    sock = listen(("127.0.0.1", 0))
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+    host, port = sock._socket.getsockname()
+    link = await dial(f"{host}:{port}", 1.0)
+    link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
+    client, _ = await sock.accept()
+    await sock.close()
+    other = FrameLink(client)
+    take = client.recv
+
+    async def recv(most: int) -> bytes:
+        await curio.sleep(pause_s)
+        data: bytes = await take(most)
+        return data
+
+    client.recv = recv
+    return link, other
+
+
+def test_a_large_frame_on_a_slow_link_has_its_time_while_it_makes_progress() -> None:
+    """The time-out was for all that was queued: on a slow link a large view never came through.
+    Who waits for the link meanwhile is told that it is busy, and doesn't end it."""
+
+    async def drive() -> None:
+        link, other = await slow_link(0.02)
+        drain = await curio.spawn(link.drain, 0.2, daemon=True)
+        await link.post(bytes(2_000_000))
+        await curio.sleep(0.05)
+        with pytest.raises(LinkBusy):
+            await link.send(b"late", 0.05)
+        began = clock()
+        async with curio.timeout_after(20.0):
+            assert len(await other.receive()) == 2_000_000
+        assert clock() - began > 0.2 and not link.closed
+        await link.send(b"later", 0.2)
+        assert await other.receive() == b"later"
+        await drain.cancel()
+        await link.close()
+        await other.close()
+
+    curio.run(drive)
