--- a/scripts/counts_proof.py
+++ b/scripts/counts_proof.py
@@ -25,7 +25,7 @@
 sys.path.insert(0, str(ROOT))
 
 from starlingdeck.protocol import api  # noqa: E402
-from starlingdeck.transport.client import HttpClient, NoAnswer, Reply  # noqa: E402
+from starlingdeck.transport.client import HttpClient, NoResponseError, Reply  # noqa: E402
 
 COUNT = "tariff-engine"
 TROUBLES = ("controllers", "workers", "state", "ceiling")
@@ -112,7 +112,7 @@
         data = None if body is None else msgspec.json.encode(body)
         try:
             return await self.http.call(address, method, path, data, 5.0)
-        except NoAnswer:
+        except NoResponseError:
             return None
 
     async def until(
--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -16,16 +16,16 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from starlingdeck.cluster.membership import Holder
-from starlingdeck.controller.controller import Node
-from starlingdeck.jobs.job import Place, new_job
+from starlingdeck.cluster.membership import ShardOwner
+from starlingdeck.controller.controller import Controller
+from starlingdeck.jobs.job import TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
-from starlingdeck.machines.shard_snapshot import Sight
+from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.machines.shard_snapshot import ShardSnapshot
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
-from starlingdeck.storage.state import put
+from starlingdeck.storage.state import put_change
 from tests.support.builders import Clock, make_world, spec
 from tests.support.reference_model import PlainClient, PlainState, at_once
 
@@ -39,48 +39,52 @@
 def main(counts: int, jobs: int, tasks: int, machines: int, plans: int) -> None:
     """Fill a controller with jobs that wait, and time its plans. No time passes for it."""
     rng = random.Random(1)
-    node = Node(make_world(Clock()))
-    node.membership.lease, node.membership.renewed = 1, 1e9
-    shard = JobShard(node.world, 0, 3, 9)
+    node = Controller(make_world(Clock()))
+    node.membership.lease_id, node.membership.renewed_at = 1, 1e9
+    shard = JobShard(node.context, 0, 3, 9)
     shard.loaded = True
-    node.writers[0] = Writer(node.world, node.state, shard)
-    node.membership.holders[2] = Holder(0, 5, 77)
-    node.peers.heard[0] = 1e9
-    sight = Sight(node.world, 2, 77)
-    rooms = [
-        pb.Machine(id=f"vm-{i}", type="small", zone="a", drawable=True, free_cpus=4.0,
-                   free_memory_gb=16.0)
+    node.writers[0] = RecordWriter(node.context, node.state, shard)
+    node.membership.owners[2] = ShardOwner(0, 5, 77)
+    node.peers.last_heard_at[0] = 1e9
+    snapshot = ShardSnapshot(node.context, 2, 77)
+    candidates = [
+        pb.MachineState(id=f"vm-{i}", type="small", zone="a", schedulable=True, available_cpus=4.0,
+                   available_memory_gb=16.0)
         for i in range(machines)
     ]  # fmt: skip
-    sight.take(pb.View(shard=2, gen=77, seq=1, valid=True, whole=True, machines=rooms))
-    node.rooms.show(sight, set(sight.machines))
+    snapshot.apply(
+        pb.Snapshot(shard=2, epoch=77, seq=1, valid=True, full=True, machines=candidates)
+    )
+    node.candidates.update(snapshot, set(snapshot.machines))
     if counts:
         from starlingdeck.counts.ledger import Ledger
-        from starlingdeck.counts.plugin import Counts
+        from starlingdeck.counts.plugin import CountedResourcePlugin
         from starlingdeck.protocol.config import CountSettings
 
-        gate = Counts(node.world, node.state, node.membership, node.writers, CountSettings())
-        node.install(gate)
-        node.writers[0].gate = gate
+        gate = CountedResourcePlugin(
+            node.context, node.state, node.membership, node.writers, CountSettings()
+        )
+        node.register_plugin(gate)
+        node.writers[0].durable_plugin = gate
         for i in range(counts):
-            gate.keep(node.world.counts.put(f"c-{i}"), Ledger(3, (0, 0, 0)), 1)
+            gate.store(node.context.resource_names.intern(f"c-{i}"), Ledger(3, (0, 0, 0)), 1)
     before_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     for i in range(jobs):
         needs = {f"c-{rng.randrange(counts)}": 1 for _ in range(1 + i % 2)} if counts else {}
         more = {"counts": needs} if needs else {}
-        job = new_job(node.world, spec(f"j-{i}", chores=tasks, rank="idle", **more), 0, i)
+        job = new_job(node.context, spec(f"j-{i}", chores=tasks, rank="idle", **more), 0, i)
         shard.jobs[job.index] = job
-    node.planner.reserve_here = lambda _: pb.Reserved()
+    node.planner.reserve_here = lambda _: pb.ReserveReply()
     spent: list[float] = []
 
     async def drive() -> None:
         for _ in range(plans):
             began = time.process_time()
-            await node.planner.plan()
+            await node.planner.run_cycle()
             spent.append(time.process_time() - began)
             await curio.sleep(0)
             for job in shard.jobs.values():
-                job.asking.clear()
+                job.reserving.clear()
                 job.retry_at.clear()
 
     curio.run(drive)
@@ -102,35 +106,37 @@
         return super().apply(conditions, changes)
 
 
-def turns(node: Node, shard: JobShard) -> Iterator[tuple[str, int, int]]:
+def turns(node: Controller, shard: JobShard) -> Iterator[tuple[str, int, int]]:
     """Starts of up to 3 tasks a job from nothing, then in the place of others that end."""
     state = CountingState(random.Random(1))
     writer, gate = node.writers[0], node.admission.durable
     writer.state = PlainClient(state, 0.0)  # type: ignore[assignment]
-    puts = [put(records.shard_key(0), 0)]
+    puts = [put_change(records.shard_key(0), 0)]
     for job in shard.jobs.values():
-        puts.append(put(records.job_key(0, job.id), 0))
-        job.versions[0] = 2
+        puts.append(put_change(records.job_key(0, job.id), 0))
+        job.key_versions[0] = 2
     if gate is not None:
         gate.state = writer.state  # type: ignore[attr-defined]
         for count, found in gate.ledgers.items():  # type: ignore[attr-defined]
-            puts.append(put(gate.key(count), found))  # type: ignore[attr-defined]
+            puts.append(put_change(gate.key(count), found))  # type: ignore[attr-defined]
             gate.stamps[count] = 2  # type: ignore[attr-defined]
     state.apply({}, puts)
     shard.token = state.epoch
-    zone, machine = node.world.zones.put("a"), node.world.machines.put("vm-0")
+    zone, machine = node.context.zone_names.intern("a"), node.context.machine_names.intern("vm-0")
     for what in ("from nothing", "in the place of others"):
         state.written = starts = 0
         for job in shard.jobs.values():
-            for task, place in job.places.items():
-                shard._end(job, task, place, api.W_DONE, "exit done")
-        at_once(node.admission.note(list(shard.jobs.values())))
+            for task, placement in job.placements.items():
+                shard._end_attempt(job, task, placement, api.W_DONE, "exit done")
+        at_once(node.admission.begin_cycle(list(shard.jobs.values())))
         for job in shard.jobs.values():
-            found = job.pending(min(3, node.admission.spare(job)))
+            found = job.pending(min(3, node.admission.headroom(job)))
             for task in found:
-                job.starts[task] = Place(machine, 1, job.tries[task] + 1, 0, zone, since=1e9)
-                shard.dirty.add(job.index)
-            node.admission.picked(job, len(found))
+                job.pending_starts[task] = TaskPlacement(
+                    machine, 1, job.attempts[task] + 1, 0, zone, state_since=1e9
+                )
+                shard.dirty_jobs.add(job.index)
+            node.admission.on_requested(job, len(found))
             starts += len(found)
         while at_once(writer.flush()):
             pass
--- a/scripts/overload_size.py
+++ b/scripts/overload_size.py
@@ -17,13 +17,13 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from starlingdeck.cluster.membership import Holder
-from starlingdeck.controller.controller import Node
+from starlingdeck.cluster.membership import ShardOwner
+from starlingdeck.controller.controller import Controller
 from starlingdeck.jobs.job import new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
-from starlingdeck.machines.shard_snapshot import Sight
+from starlingdeck.machines.shard_snapshot import ShardSnapshot
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings, Tuning
@@ -34,54 +34,58 @@
 RUNS = 15
 
 
-def build(nodes: int, pairs: int, tasks: int, floors: bool) -> tuple[Node, Clock]:
+def build(nodes: int, pairs: int, tasks: int, floors: bool) -> tuple[Controller, Clock]:
     clock = Clock()
-    world = make_world(clock, 1, ("a",) * nodes)
-    world.tuning = Tuning(overload=OverloadSettings() if floors else None)
-    node = Node(world)
-    node.membership.lease, node.membership.renewed = 1, clock.at
+    context = make_world(clock, 1, ("a",) * nodes)
+    context.tuning = Tuning(overload=OverloadSettings() if floors else None)
+    node = Controller(context)
+    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
     for shard in range(nodes):
-        gen = 70 + shard
-        node.membership.holders[shard] = Holder(shard, 5, gen)
-        node.peers.heard[shard] = 1e12
+        epoch = 70 + shard
+        node.membership.owners[shard] = ShardOwner(shard, 5, epoch)
+        node.peers.last_heard_at[shard] = 1e12
         node.peers.links[shard] = object()  # type: ignore[assignment]
         names = [f"vm-{n}" for n in range(shard, MACHINES, nodes)]
-        sight = Sight(world, shard, gen)
+        snapshot = ShardSnapshot(context, shard, epoch)
         shown = [
-            pb.Machine(id=n, type="small", zone="a", drawable=True, youngest_s=[-1, -1, 5, -1])
+            pb.MachineState(
+                id=n, type="small", zone="a", schedulable=True, youngest_s=[-1, -1, 5, -1]
+            )
             for n in names
         ]
-        sight.take(pb.View(shard=shard, gen=gen, seq=1, valid=True, whole=True, machines=shown))
-        node.rooms.show(sight, set(sight.machines))
-    jobs = JobShard(world, 0, 5, 70)
+        snapshot.apply(
+            pb.Snapshot(shard=shard, epoch=epoch, seq=1, valid=True, full=True, machines=shown)
+        )
+        node.candidates.update(snapshot, set(snapshot.machines))
+    jobs = JobShard(context, 0, 5, 70)
     jobs.loaded = True
-    node.writers[0] = Writer(world, node.state, jobs)
-    node.machines[0] = MachineShard(world, 0, 5, 70, 0.0)
+    node.writers[0] = RecordWriter(context, node.state, jobs)
+    node.machines[0] = MachineShard(context, 0, 5, 70, 0.0)
     for n in range(tasks // nodes // TASKS_A_JOB):
         body = spec(f"j-{n:06d}", chores=TASKS_A_JOB, flock=f"c-{n % pairs}", cores=1.0, ram_gb=1.0)
-        job = new_job(world, body, 0, world.wall_ms() - n)
+        job = new_job(context, body, 0, context.wall_clock_ms() - n)
         jobs.jobs[job.index] = job
     for n in range(MACHINES // nodes):
         report = api.Report(f"vm-{n * nodes}", "w", "small", "a", 1, 1, 5, False, None, [])
-        node.machines[0].take_report(report, True)
+        node.machines[0].apply_report(report, True)
     return node, clock
 
 
-def spent_ms(node: Node, clock: Clock, do: str) -> float:
+def spent_ms(node: Controller, clock: Clock, do: str) -> float:
     async def once() -> float:
         began = time.process_time()
         if do == "plan":
-            await node.planner.plan()
+            await node.planner.run_cycle()
         else:
-            node.hello().SerializeToString()
+            node.build_gossip().SerializeToString()
         return (time.process_time() - began) * 1000
 
     took = []
     for _ in range(RUNS):
         clock.at += 0.5
-        node.membership.renewed = clock.at
-        for sight in node.rooms.sights.values():
-            sight.at = clock.at
+        node.membership.renewed_at = clock.at
+        for snapshot in node.candidates.snapshots.values():
+            snapshot.received_at = clock.at
         took.append(curio.run(once))
     return statistics.median(took[4:])
 
@@ -97,7 +101,7 @@
                     if node.overload is not None:
                         node.overload.settings = OverloadSettings(patience_s=0.1)
                     plan, greeting = (spent_ms(node, clock, do) for do in ("plan", "greeting"))
-                    size = len(node.hello().SerializeToString())
+                    size = len(node.build_gossip().SerializeToString())
                     flag = "on" if floors else "off"
                     print(f"{nodes} {pairs} {tasks} {flag} {plan:.1f} {greeting:.1f} {size}")
 
--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -22,7 +22,7 @@
 from standins.scale import report as reports  # noqa: E402
 from standins.scale.plan import Plan, Rung, load  # noqa: E402
 from standins.scale.run import PortsTaken, play  # noqa: E402
-from starlingdeck.protocol.config import Fault  # noqa: E402
+from starlingdeck.protocol.config import ConfigError  # noqa: E402
 
 
 def say(text: str) -> None:
@@ -38,8 +38,8 @@
     """Play a plan's rungs one after the other."""
     try:
         wanted = load(plan)
-    except Fault as fault:
-        for text in fault.lines:
+    except ConfigError as error:
+        for text in error.lines:
             click.echo(text, err=True)
         sys.exit(2)
     # curio warns whenever a wait ends in the same instant as its timeout.
@@ -78,11 +78,11 @@
     """A rung's row; without one the whole run ends, with the status that tells why."""
     try:
         return play(wanted, rung, folder, say)
-    except PortsTaken as why:
-        click.echo(str(why), err=True)
+    except PortsTaken as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
-    except RuntimeError as why:
-        click.echo(str(why), err=True)
+    except RuntimeError as error:
+        click.echo(str(error), err=True)
         sys.exit(1)
 
 
--- a/standins/agent.py
+++ b/standins/agent.py
@@ -96,7 +96,7 @@
             elif command.op == api.STOP and task.state != EXITED:
                 self.ended(command.task, "halted")
                 actions.end.append(command.task)
-            elif command.op == api.FORGET and task.state == EXITED:
+            elif command.op == api.REAP and task.state == EXITED:
                 del self.tasks[command.task]
         return actions
 
@@ -114,9 +114,9 @@
         """A task has its image and is on the machine."""
         self.tasks[name].state = RUNNING
 
-    def ended(self, name: str, why: str) -> None:
+    def ended(self, name: str, error: str) -> None:
         task = self.tasks[name]
-        task.state, task.why = EXITED, why
+        task.state, task.why = EXITED, error
 
     def expire(self, now: float, lease_s: float) -> list[str]:
         """Ends the session when the lease is over; the tasks that were killed by that."""
--- a/standins/hollow.py
+++ b/standins/hollow.py
@@ -30,7 +30,7 @@
 from standins.serve import answer, error, serve
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import split_address
-from starlingdeck.transport.client import HttpClient, NoAnswer
+from starlingdeck.transport.client import HttpClient, NoResponseError
 from starlingdeck.transport.server import HttpServer, Request, Response
 
 TICK_S = 0.02
@@ -176,7 +176,7 @@
             reply = await self.http.call(address, "POST", api.REPORT, body, ANSWER_S)
             status = reply.status
             stats.reply_bytes += len(reply.body)
-        except NoAnswer:
+        except NoResponseError:
             stats.unanswered += 1
             self.names.append(self.names.pop(0))
         self.telling = False
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from starlingdeck.protocol.config import Fault, faults_of, load_tuning
+from starlingdeck.protocol.config import ConfigError, load_tuning, validation_errors
 
 Rate = Annotated[float, Meta(ge=0, le=100_000)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -110,20 +110,20 @@
         return DEFAULT
     try:
         raw = msgspec.toml.decode(path.read_bytes())
-    except (OSError, msgspec.DecodeError) as fault:
-        raise Fault([f"{path}: {fault}"]) from fault
-    lines = faults_of(raw, Plan, "")
+    except (OSError, msgspec.DecodeError) as error:
+        raise ConfigError([f"{path}: {error}"]) from error
+    lines = validation_errors(raw, Plan, "")
     for name, kind in (("rungs", Rung), ("troubles", Trouble)):
         rows = raw.get(name)
         if isinstance(rows, list):
             lines = [line for line in lines if not line.startswith(f"{name}:")]
             for number, row in enumerate(rows):
-                lines += faults_of(row, kind, f"{name}[{number}]")
+                lines += validation_errors(row, kind, f"{name}[{number}]")
     if not lines:
         plan = msgspec.convert(raw, Plan)
         lines = beyond(plan, memory_mb(), sockets()) + tuning_faults(plan)
     if lines:
-        raise Fault([f"{path}: {line}" for line in lines])
+        raise ConfigError([f"{path}: {line}" for line in lines])
     return plan
 
 
@@ -162,8 +162,8 @@
         return []
     try:
         load_tuning(Path(plan.tuning))
-    except Fault as fault:
-        return [f"tuning: {line}" for line in fault.lines]
+    except ConfigError as error:
+        return [f"tuning: {line}" for line in error.lines]
     return []
 
 
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -19,7 +19,7 @@
 from standins.state import Stats
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import split_address
-from starlingdeck.transport.client import HttpClient, NoAnswer, Reply
+from starlingdeck.transport.client import HttpClient, NoResponseError, Reply
 
 ROOT = Path(__file__).resolve().parents[2]
 READY_S = 60.0
@@ -209,7 +209,7 @@
     ) -> Reply | None:
         try:
             return await self.http.call(address, method, path, body, 10.0)
-        except NoAnswer:
+        except NoResponseError:
             return None
 
     async def told(self, address: str, kind: type[T]) -> T:
--- a/standins/scale/users.py
+++ b/standins/scale/users.py
@@ -13,7 +13,7 @@
 from standins.scale.checker import Checker
 from standins.scale.plan import Users
 from starlingdeck.protocol import api
-from starlingdeck.transport.client import HttpClient, NoAnswer, Reply
+from starlingdeck.transport.client import HttpClient, NoResponseError, Reply
 
 ANSWER_S = 5.0
 POLL_ANSWER_S = 2.0
@@ -113,7 +113,7 @@
         try:
             address = self.rng.choice(self.addresses)
             reply = await self.http.call(address, method, path, body, timeout_s)
-        except NoAnswer:
+        except NoResponseError:
             self.unanswered += 1
             return None
         self.refused += reply.status not in (200, 201)
--- a/standins/state.py
+++ b/standins/state.py
@@ -85,7 +85,7 @@
         if path == api.WATCH:
             return await self.watch(query(request))
         if path == api.LEASES and post:
-            return self.lease(msgspec.json.decode(request.body, type=api.LeaseAsk))
+            return self.lease(msgspec.json.decode(request.body, type=api.LeaseRequest))
         if path.startswith(api.LEASES + "/"):
             return self.renew(int(path.split("/")[2]), post)
         return error(400, "no such path")
@@ -95,7 +95,7 @@
         # After an outage every lease has its full time again.
         self.leases = {k: (self.out_until + ttl, ttl) for k, (_, ttl) in self.leases.items()}
 
-    def lease(self, asked: api.LeaseAsk) -> Response:
+    def lease(self, asked: api.LeaseRequest) -> Response:
         ttl = asked.ttl_ms / 1000
         lease = max(self.leases, default=0) + 1 + self.epoch
         self.leases[lease] = (time.monotonic() + ttl, ttl)
@@ -108,7 +108,7 @@
         self.leases[lease] = (time.monotonic() + ttl, ttl)
         return answer()
 
-    def malformed(self, body: bytes, txn: api.Txn) -> str:
+    def malformed(self, body: bytes, txn: api.Transaction) -> str:
         """Which limit of the protocol a transaction breaks, or nothing."""
         limits = self.limits
         if len(body) > MOST_TXN:
@@ -118,14 +118,14 @@
         if limits.txn_ops and len(txn.conditions) > CONDITIONS * limits.txn_ops:
             return "too many conditions"
         if limits.value_kb:
-            most = limits.value_kb * 1024
+            limit = limits.value_kb * 1024
             for change in txn.changes:
-                if change.put is not None and len(msgspec.json.encode(change.value)) > most:
+                if change.put is not None and len(msgspec.json.encode(change.value)) > limit:
                     return f"value of {change.put} too large"
         return ""
 
     async def txn(self, body: bytes) -> Response:
-        txn = msgspec.json.decode(body, type=api.Txn)
+        txn = msgspec.json.decode(body, type=api.Transaction)
         fault = self.malformed(body, txn)
         if fault:
             self.stats.malformed += 1
@@ -143,7 +143,7 @@
         if txn.changes:
             self.stats.changes += len(txn.changes)
             await self.apply(txn.changes)
-        return answer(api.TxnDone(self.epoch))
+        return answer(api.TransactionResult(self.epoch))
 
     def version(self, key: str) -> int:
         found = self.keys.get(key)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -19,7 +19,7 @@
 from standins.serve import answer, serve
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import split_address
-from starlingdeck.transport.client import HttpClient, NoAnswer, Reply
+from starlingdeck.transport.client import HttpClient, NoResponseError, Reply
 from starlingdeck.transport.server import Request, Response
 
 
@@ -76,7 +76,7 @@
     async def work(self, name: str) -> None:
         """Hold a session to the engine; say `done` when the work is complete."""
         result = Path(self.args.results) / name.replace("/", "_")
-        why = "done"
+        error = "done"
         if not result.exists():
             try:
                 sock = await curio.open_connection(*split_address(self.args.engine))
@@ -90,9 +90,9 @@
                     await sock.sendall(b"done\n")
                     await sock.recv(1)  # the engine has closed the session
             except OSError:
-                why = "error"
+                error = "error"
         self.runs.pop(name, None)
-        self.agent.ended(name, why)
+        self.agent.ended(name, error)
         await self.news.set()
 
     async def reports(self) -> None:
@@ -115,7 +115,7 @@
         try:
             address = self.controllers[name]
             reply = await self.http.call(address, "POST", api.REPORT, body, ANSWER_S)
-        except NoAnswer:
+        except NoResponseError:
             reply = Reply(0, b"", None)
         if self.cut:
             return
--- a/starlingdeck/admission/quota.py
+++ b/starlingdeck/admission/quota.py
@@ -7,26 +7,26 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.context import World
+from starlingdeck.context import ControllerContext
 
 Pair = tuple[float, float]  # cpus, gpus
 FREE = 1e12
 
 
 class Quota(Struct):
-    world: World
+    context: ControllerContext
     shares: dict[int, list[Pair]] = field(default_factory=dict)
     versions: dict[int, int] = field(default_factory=dict)
     giving: dict[tuple[int, int], Pair] = field(default_factory=dict)
 
     def limit(self, team: int) -> Pair:
-        item = self.world.settings.settings.teams[team]
+        item = self.context.settings.settings.teams[team]
         return (item.cpus_max or FREE, item.gpus_max or FREE)
 
     def split(self, team: int) -> list[Pair]:
         """The shares last read, or equal ones while no key was ever written."""
         cpus, gpus = self.limit(team)
-        n = self.world.shards
+        n = self.context.shard_count
         return self.shares.get(team, [(cpus / n, gpus / n)] * n)
 
     def share(self, team: int, shard: int) -> Pair:
@@ -36,7 +36,7 @@
 
     def learn(self, team: int, shares: list[Pair], version: int) -> None:
         """What the key says; an older reading changes nothing."""
-        if version > self.versions.get(team, 0) and len(shares) == self.world.shards:
+        if version > self.versions.get(team, 0) and len(shares) == self.context.shard_count:
             self.shares[team] = [(float(c), float(g)) for c, g in shares]
             self.versions[team] = version
 
--- a/starlingdeck/admission/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -8,14 +8,19 @@
 
 from starlingdeck.admission.quota import Pair, Quota
 from starlingdeck.cluster.membership import Membership
-from starlingdeck.context import MANY, World
-from starlingdeck.jobs.admission import Wait
+from starlingdeck.context import UNBOUNDED, ControllerContext
+from starlingdeck.jobs.admission import WaitReason
 from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.storage import records
-from starlingdeck.storage.state import Conflict, StateClient, StateError, StateUnknown
-from starlingdeck.storage.state import put as put_key
+from starlingdeck.storage.state import (
+    OutcomeUnknownError,
+    StateClient,
+    StateError,
+    TransactionConflictError,
+)
+from starlingdeck.storage.state import put_change as put_key
 
 log = logging.getLogger(__name__)
 
@@ -23,19 +28,19 @@
 class QuotaTransfer:
     def __init__(
         self,
-        world: World,
+        context: ControllerContext,
         state: StateClient,
         membership: Membership,
-        writers: Mapping[int, Writer],
+        writers: Mapping[int, RecordWriter],
         wake: curio.Event,
     ) -> None:
-        self.world = world
+        self.context = context
         self.state = state
         self.membership = membership
         self.writers = writers
         self.wake = wake
-        self.quota = Quota(world)
-        self.needs: dict[tuple[int, int], Pair] = {}
+        self.quota = Quota(context)
+        self.quota_needs: dict[tuple[int, int], Pair] = {}
         self.sizes: dict[tuple[int, int], set[Pair]] = {}  # of the tasks that wait there
         # What a hold's attempts of a team use: walked over once a plan, then added to as tasks are
         # picked. What comes free meanwhile is left for the next plan. By hold, so that a shard
@@ -44,7 +49,7 @@
 
     def limited(self, team: int) -> bool:
         """Whether a team has any limit to keep."""
-        teams = self.world.settings.settings.teams
+        teams = self.context.settings.settings.teams
         return team < len(teams) and (teams[team].cpus_max > 0 or teams[team].gpus_max > 0)
 
     def used(self, shard: int, team: int) -> Pair:
@@ -52,47 +57,47 @@
         cpus = gpus = 0.0
         for job in self.writers[shard].shard.jobs.values():
             if job.team == team:
-                cpus += job.used() * job.spec.cpus
-                gpus += job.used() * job.spec.gpus
+                cpus += job.active_attempts() * job.spec.cpus
+                gpus += job.active_attempts() * job.spec.gpus
         return cpus, gpus
 
-    def spare(self, job: Job) -> int:
+    def headroom(self, job: Job) -> int:
         """For how many more tasks of a job its shard has quota."""
         if not self.limited(job.team):
-            return MANY
-        hold = (self.writers[job.shard].shard.gen, job.team)
+            return UNBOUNDED
+        hold = (self.writers[job.shard].shard.epoch, job.team)
         used = self.using.get(hold)
         if used is None:
             used = self.using[hold] = self.used(job.shard, job.team)
         share = self.quota.share(job.team, job.shard)
-        spare = MANY
+        spare = UNBOUNDED
         for size, have, gone in zip((job.spec.cpus, job.spec.gpus), share, used, strict=True):
             if size > 0:
                 spare = min(spare, int((have - gone) / size + 1e-9))
         return max(0, spare)
 
-    def waits(self, job: Job) -> list[Wait]:
+    def wait_reasons(self, job: Job) -> list[WaitReason]:
         self.using = {}
-        if self.spare(job):
+        if self.headroom(job):
             return []
         used = f"the limit of team {job.spec.team!r} is used"
-        return [Wait(used, "an end of its work, or a higher limit")]
+        return [WaitReason(used, "an end of its work, or a higher limit")]
 
-    def picked(self, job: Job, tasks: int) -> None:
+    def on_requested(self, job: Job, tasks: int) -> None:
         writer = self.writers.get(job.shard)
-        hold = (writer.shard.gen, job.team) if writer is not None else (0, job.team)
+        hold = (writer.shard.epoch, job.team) if writer is not None else (0, job.team)
         if hold in self.using:
             cpus, gpus = self.using[hold]
             self.using[hold] = (cpus + tasks * job.spec.cpus, gpus + tasks * job.spec.gpus)
 
-    def idle(self) -> None:
-        self.needs, self.sizes = {}, {}
+    def on_idle(self) -> None:
+        self.quota_needs, self.sizes = {}, {}
 
-    def least(self, team: int, shard: int) -> Pair:
+    def smallest_task(self, team: int, shard: int) -> Pair:
         """The smallest task that waits in a shard of ours for its team's quota; none: zeros."""
         return min(self.sizes.get((team, shard), ()), default=(0.0, 0.0))
 
-    async def note(self, jobs: Sequence[Job]) -> None:
+    async def begin_cycle(self, jobs: Sequence[Job]) -> None:
         """Which shards of ours lack quota for what waits; the others may pass some on."""
         wants: dict[tuple[int, int], Pair] = {}
         sizes: dict[tuple[int, int], set[Pair]] = {}
@@ -107,14 +112,14 @@
                 old[0] + n * job.spec.cpus,
                 old[1] + n * job.spec.gpus,
             )
-        self.needs, self.using, self.sizes = {}, {}, sizes
+        self.quota_needs, self.using, self.sizes = {}, {}, sizes
         for (team, shard), want in wants.items():
             used, share = self.used(shard, team), self.quota.share(team, shard)
             short = tuple(w - (s - u) for w, s, u in zip(want, share, used, strict=True))
             if max(short) > 1e-6:
                 need = (max(0.0, short[0]), max(0.0, short[1]))
-                self.needs[(team, shard)] = need
-                await self.give(team, shard, need, self.least(team, shard))
+                self.quota_needs[(team, shard)] = need
+                await self.transfer_to(team, shard, need, self.smallest_task(team, shard))
 
     def _kept(self, team: int, giver: int, taker: int, task: Pair) -> Pair | None:
         """How much of its share a shard that lacks quota itself keeps, if it is to pass on a rest;
@@ -136,16 +141,18 @@
         held = [s for s in sizes if s[0] <= share[0] + 1e-9 and s[1] <= share[1] + 1e-9]
         return max((s[0] for s in held), default=0.0), max((s[1] for s in held), default=0.0)
 
-    async def give(self, team: int, taker: int, want: Pair, task: Pair) -> None:
+    async def transfer_to(self, team: int, taker: int, want: Pair, task: Pair) -> None:
         """Pass on quota that shards of ours don't use, keeping what their own jobs wait for and
         can use. `task`: the smallest that waits for it at the taker."""
-        if not self.membership.valid() or team >= len(self.world.settings.settings.teams):
+        if not self.membership.lease_is_valid() or team >= len(
+            self.context.settings.settings.teams
+        ):
             return
         for giver, writer in list(self.writers.items()):
             if not writer.shard.loaded:
                 continue
             used = self.used(giver, team)
-            if (team, giver) in self.needs:
+            if (team, giver) in self.quota_needs:
                 kept = self._kept(team, giver, taker, task)
                 if kept is None:
                     continue
@@ -166,14 +173,14 @@
             records.shard_key(giver): shard.token,
         }
         try:
-            version = await self.state.txn(conditions, [put_key(key, after)])
+            version = await self.state.transact(conditions, [put_key(key, after)])
             self.quota.learn(team, after, version)
             log.info("team %d: shard %d passed on quota: %s", team, giver, after)
-        except (StateError, Conflict) as why:
-            log.info("team %d: quota not passed on: %r", team, why)
+        except (StateError, TransactionConflictError) as error:
+            log.info("team %d: quota not passed on: %r", team, error)
             # Until the key has been read again the transfer counts as made.
             await self._reread_quota(key)
-            if isinstance(why, StateUnknown):
+            if isinstance(error, OutcomeUnknownError):
                 # It may still be executed: only a write after it, or its trace, ends that.
                 await self._settle_transfer(key, team)
         self.quota.settle(team, giver)
@@ -185,16 +192,16 @@
             try:
                 version = self.quota.versions.get(team, 0)
                 shares = self.quota.split(team)
-                stamp = await self.state.txn({key: version}, [put_key(key, shares)])
+                stamp = await self.state.transact({key: version}, [put_key(key, shares)])
                 self.quota.learn(team, shares, stamp)
                 return
-            except Conflict:
+            except TransactionConflictError:
                 await self._reread_quota(key)
                 return
             except StateError:
-                await curio.sleep(0.5 + 0.5 * self.world.rng.random())
+                await curio.sleep(0.5 + 0.5 * self.context.rng.random())
 
-    def learn(self, key: str, value: msgspec.Raw, version: int) -> None:
+    def on_key_changed(self, key: str, value: msgspec.Raw, version: int) -> None:
         shares = msgspec.json.decode(value, type=list[Pair])
         self.quota.learn(int(key[len(records.QUOTA) :]), shares, version)
 
@@ -204,8 +211,8 @@
             try:
                 entry = await self.state.get(key)
             except StateError:
-                await curio.sleep(0.5 + 0.5 * self.world.rng.random())
+                await curio.sleep(0.5 + 0.5 * self.context.rng.random())
                 continue
             if entry is not None:
-                self.learn(key, entry.value, entry.version)
+                self.on_key_changed(key, entry.value, entry.version)
             return
--- a/starlingdeck/autoscaling/policy.py
+++ b/starlingdeck/autoscaling/policy.py
@@ -5,15 +5,15 @@
 
 from msgspec import Struct, field, structs
 
-from starlingdeck.context import Size, World, fits, holds, total_of
-from starlingdeck.machines.scoring import Room
+from starlingdeck.context import ControllerContext, Resources, fit_count, fits, machine_capacity
+from starlingdeck.machines.scoring import Candidate
 from starlingdeck.protocol import api
 
-MOST_ASKED = 50  # machines in one rental request, by the cloud's protocol
-FEW_BOOTS = 5  # (start) before the nominal time is given up for what was seen
-BOOTS_KEPT = 30
-MOST_BOOT = 4.0  # (start) times the nominal time: then it is returned as stuck
-MOST_WANTED = 200  # machines asked for in one go
+MAX_RENTAL_REQUEST = 50  # machines in one rental request, by the cloud's protocol
+MIN_BOOT_SAMPLES = 5  # (start) before the nominal time is given up for what was seen
+MAX_BOOT_SAMPLES = 30
+MAX_BOOT_FACTOR = 4.0  # (start) times the nominal time: then it is returned as stuck
+MAX_PENDING_RENTALS = 200  # machines asked for in one go
 
 Bin = tuple[int, str, bool, list[float]]  # type, zone, spot, room
 
@@ -21,7 +21,7 @@
 class Demand(Struct):
     """Tasks of one kind that found no machine."""
 
-    size: Size
+    size: Resources
     count: int
     types: tuple[str, ...]
     zone: str
@@ -30,7 +30,7 @@
     service: bool
 
 
-class Ask(Struct):
+class RentalRequest(Struct):
     """A rental request; its name is never used for anything else."""
 
     name: str
@@ -42,7 +42,7 @@
     tries: int = 0
 
 
-class Listed(Struct):
+class ListedMachine(Struct):
     """A machine as the cloud's list had it, or as a rental's answer promised it."""
 
     name: str
@@ -57,52 +57,58 @@
 
 
 class FleetState(Struct):
-    listed: dict[str, Listed] = field(default_factory=dict)
-    asks: list[Ask] = field(default_factory=list)
+    listed: dict[str, ListedMachine] = field(default_factory=dict)
+    requests: list[RentalRequest] = field(default_factory=list)
     no_capacity: dict[tuple[int, str, bool], float] = field(default_factory=dict)
     backoff: dict[tuple[int, str, bool], float] = field(default_factory=dict)
     boots: dict[int, list[float]] = field(default_factory=dict)  # by type: the last, to nominal
     counter: int = 0
 
 
-def boot_s(world: World, item: Listed) -> float:
+def boot_s(context: ControllerContext, item: ListedMachine) -> float:
     """The nominal boot time of a machine's type."""
-    kind = world.types.get(item.type)
+    kind = context.machine_types.get(item.type)
     return kind.boot_s if kind else 60.0
 
 
-def expected_s(world: World, state: FleetState, item: Listed) -> float:
+def expected_s(context: ControllerContext, state: FleetState, item: ListedMachine) -> float:
     """How long a machine's boot is waited for before it is replaced in the reckoning: by the boots
     of its type that came lately. By the nominal time alone a late wave was rented twice."""
     seen = sorted(state.boots.get(item.type, ()))
     factor = 1.8
-    if len(seen) >= FEW_BOOTS:
-        factor = min(MOST_BOOT, max(1.2, 1.3 * seen[int(len(seen) * 0.9)]))
-    return boot_s(world, item) * factor + 10
+    if len(seen) >= MIN_BOOT_SAMPLES:
+        factor = min(MAX_BOOT_FACTOR, max(1.2, 1.3 * seen[int(len(seen) * 0.9)]))
+    return boot_s(context, item) * factor + 10
 
 
-def learn_boot(world: World, state: FleetState, item: Listed, now: float) -> None:
+def learn_boot(
+    context: ControllerContext, state: FleetState, item: ListedMachine, now: float
+) -> None:
     """A machine that we knew while it booted is up for the first time."""
-    kind = world.types.get(item.type)
+    kind = context.machine_types.get(item.type)
     if item.booting and kind is not None and kind.boot_s > 0:
         item.booting = False
         seen = state.boots.setdefault(item.type, [])
         seen.append((now - item.rented) / kind.boot_s)
-        del seen[:-BOOTS_KEPT]
+        del seen[:-MAX_BOOT_SAMPLES]
 
 
-def coming(world: World, state: FleetState, up: set[str], now: float) -> list[Listed]:
+def coming(
+    context: ControllerContext, state: FleetState, up: set[str], now: float
+) -> list[ListedMachine]:
     """Machines that are paid for and should still come up."""
     found = []
     for item in state.listed.values():
         if item.name in up or item.state == api.FAILED:
             continue
-        if now - item.rented < expected_s(world, state, item):
+        if now - item.rented < expected_s(context, state, item):
             found.append(item)
     return found
 
 
-def stuck(world: World, state: FleetState, up: set[str], started: float, now: float) -> list[str]:
+def stuck(
+    context: ControllerContext, state: FleetState, up: set[str], started: float, now: float
+) -> list[str]:
     """Boots that never came up, and machines that run but whose worker never reports.
 
     A controller that has just started has heard nobody yet: on its first steps every
@@ -113,12 +119,12 @@
     found = []
     for item in state.listed.values():
         if item.name in up:
-            learn_boot(world, state, item, now)
+            learn_boot(context, state, item, now)
             item.last_up = now
             continue
         watched = now - max(started, item.rented, item.last_up)
         if item.state == api.BOOTING:
-            late = now - item.rented > boot_s(world, item) * 4 + 30 and watched > 30
+            late = now - item.rented > boot_s(context, item) * 4 + 30 and watched > 30
         else:
             late = watched > 90
         if late:
@@ -126,15 +132,15 @@
     return found
 
 
-def wanted_asks(
-    world: World,
+def plan_rentals(
+    context: ControllerContext,
     state: FleetState,
     demands: Sequence[Demand],
-    rooms: Sequence[Room],
-    pending_boots: Sequence[Listed],
-    draining: Sequence[Room],
+    candidates: Sequence[Candidate],
+    pending_boots: Sequence[ListedMachine],
+    draining: Sequence[Candidate],
     now: float,
-) -> list[Ask]:
+) -> list[RentalRequest]:
     """Rentals for the demand that neither free room nor machines on the way can take.
 
     A wave of demand is asked for at once: eight at a time, machines came up 10 s later
@@ -142,30 +148,30 @@
     """
     bins: list[Bin] = []
     for item in pending_boots:
-        kind = world.types.get(item.type)
+        kind = context.machine_types.get(item.type)
         if kind is not None:
-            bins.append((item.type, item.zone, item.spot, list(total_of(kind))))
-    for ask in state.asks:
-        kind = world.types.get(ask.type)
+            bins.append((item.type, item.zone, item.spot, list(machine_capacity(kind))))
+    for ask in state.requests:
+        kind = context.machine_types.get(ask.type)
         if kind is not None:
             for _ in range(ask.count):
-                bins.append((ask.type, ask.zone, ask.spot, list(total_of(kind))))
-    needs = together(demands) + spare_demand(world, rooms, draining)
+                bins.append((ask.type, ask.zone, ask.spot, list(machine_capacity(kind))))
+    needs = together(demands) + spare_demand(context, candidates, draining)
     new: dict[tuple[int, str, bool], int] = {}
     for need in sorted(needs, key=lambda d: (-d.rank, -d.size[0])):
         if not math.isfinite(sum(need.size)) or need.count < 1:
             continue  # a peer's nonsense
-        left = need.count - _take(world, need, need.count, bins)
-        while left > 0 and sum(new.values()) < MOST_WANTED:
-            choice = cheapest(world, state, structs.replace(need, count=left), now)
+        left = need.count - _take(context, need, need.count, bins)
+        while left > 0 and sum(new.values()) < MAX_PENDING_RENTALS:
+            choice = cheapest(context, state, structs.replace(need, count=left), now)
             if choice is None:
                 break
-            bins.append((*choice, list(total_of(world.types[choice[0]]))))
-            left -= _take(world, need, left, bins[-1:])
+            bins.append((*choice, list(machine_capacity(context.machine_types[choice[0]]))))
+            left -= _take(context, need, left, bins[-1:])
             new[choice] = new.get(choice, 0) + 1
     # What was wanted first is asked first, and each kind in one call: calls are few.
     return [
-        Ask("", kind, zone, spot, min(count, MOST_ASKED), now)
+        RentalRequest("", kind, zone, spot, min(count, MAX_RENTAL_REQUEST), now)
         for (kind, zone, spot), count in new.items()
     ]
 
@@ -184,7 +190,9 @@
     return list(found.values())
 
 
-def spare_demand(world: World, rooms: Sequence[Room], draining: Sequence[Room]) -> list[Demand]:
+def spare_demand(
+    context: ControllerContext, candidates: Sequence[Candidate], draining: Sequence[Candidate]
+) -> list[Demand]:
     """Room to keep free for failures and for the next jobs: a share of the ordinary machines
     on ordinary ones, and the same share of all machines on any.
 
@@ -193,15 +201,15 @@
     """
     out = []
     for spot in (False, True):
-        live = [r for r in rooms if spot or not r.spot]
-        gone = [r for r in draining if spot or not r.spot]
+        live = [candidate for candidate in candidates if spot or not candidate.spot]
+        gone = [candidate for candidate in draining if spot or not candidate.spot]
         if not live:
             continue
-        unit = min((r.total for r in live), key=lambda t: t[0])
-        total = sum(r.total[0] for r in live)
-        free = sum(max(0.0, r.free[0]) for r in live)
-        lost = sum(r.total[0] - max(0.0, r.free[0]) for r in gone)
-        short = total * world.tuning.spare_share + lost - free
+        unit = min((candidate.capacity for candidate in live), key=lambda t: t[0])
+        total = sum(candidate.capacity[0] for candidate in live)
+        free = sum(max(0.0, candidate.available[0]) for candidate in live)
+        lost = sum(candidate.capacity[0] - max(0.0, candidate.available[0]) for candidate in gone)
+        short = total * context.tuning.spare_share + lost - free
         if short > 0 and unit[0] > 0:
             out.append(Demand(unit, math.ceil(short / unit[0]), (), "", spot, 0, False))
     return out
@@ -215,15 +223,15 @@
     return need.spot or not spot
 
 
-def _take(world: World, need: Demand, count: int, bins: Sequence[Bin]) -> int:
+def _take(context: ControllerContext, need: Demand, count: int, bins: Sequence[Bin]) -> int:
     """How many of the need's tasks the bins hold; their room is taken."""
     taken = 0
     for kind, zone, spot, free in bins:
         if taken == count:
             break
-        if not _fits_kind(need, world.type_names[kind], zone, spot):
+        if not _fits_kind(need, context.type_names[kind], zone, spot):
             continue
-        n = min(count - taken, holds(need.size, free))
+        n = min(count - taken, fit_count(need.size, free))
         if n > 0:
             taken += n
             for d in range(3):
@@ -232,15 +240,15 @@
 
 
 def cheapest(
-    world: World, state: FleetState, need: Demand, now: float
+    context: ControllerContext, state: FleetState, need: Demand, now: float
 ) -> tuple[int, str, bool] | None:
     """Type, zone and kind with the lowest price per task among those with capacity."""
     best, best_rank = None, math.inf
-    for index, kind in world.types.items():
-        total = total_of(kind)
+    for index, kind in context.machine_types.items():
+        total = machine_capacity(kind)
         if not fits(need.size, total):
             continue
-        most = holds(need.size, total)
+        limit = fit_count(need.size, total)
         for zone in kind.zones:
             for spot in (False, True):
                 key = (index, zone, spot)
@@ -249,7 +257,7 @@
                 if state.no_capacity.get(key, 0.0) > now:
                     continue
                 price = kind.spot_price if spot else kind.price
-                rank = price / max(1, min(most, need.count))
+                rank = price / max(1, min(limit, need.count))
                 if rank < best_rank:
                     best, best_rank = key, rank
     return best
--- a/starlingdeck/cli.py
+++ b/starlingdeck/cli.py
@@ -15,13 +15,13 @@
 
 from starlingdeck import __version__
 from starlingdeck.protocol import api
-from starlingdeck.protocol.config import Fault, load_settings, load_tuning
+from starlingdeck.protocol.config import ConfigError, load_settings, load_tuning
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def _fail(fault: Fault) -> None:
-    for line in fault.lines:
+def _fail(error: ConfigError) -> None:
+    for line in error.lines:
         click.echo(line, err=True)
     sys.exit(2)
 
@@ -68,16 +68,16 @@
     logging.getLogger("curio").setLevel(logging.ERROR)
     try:
         settings, tuned = load_settings(config), load_tuning(_tuning_path(tuning))
-    except Fault as fault:
-        _fail(fault)
+    except ConfigError as error:
+        _fail(error)
         return
     import curio
 
-    from starlingdeck.context import World
-    from starlingdeck.controller.controller import Node
-    from starlingdeck.metrics.latency import Slices
+    from starlingdeck.context import ControllerContext
+    from starlingdeck.controller.controller import Controller
+    from starlingdeck.metrics.latency import TaskProfiler
 
-    world = World(
+    context = ControllerContext(
         settings,
         tuned,
         time.monotonic,
@@ -89,13 +89,15 @@
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
     if logging.getLogger().isEnabledFor(logging.DEBUG):
-        world.slices = Slices(world.now)
-    node = Node(world)
+        context.profiler = TaskProfiler(context.now)
+    node = Controller(context)
     if tuned.counts is not None:
-        from starlingdeck.counts.plugin import Counts
+        from starlingdeck.counts.plugin import CountedResourcePlugin
 
-        node.install(Counts(world, node.state, node.membership, node.writers, tuned.counts))
-    curio.run(node.run, activations=[world.slices] if world.slices else None)
+        node.register_plugin(
+            CountedResourcePlugin(context, node.state, node.membership, node.writers, tuned.counts)
+        )
+    curio.run(node.run, activations=[context.profiler] if context.profiler else None)
 
 
 @main.command()
@@ -106,14 +108,14 @@
     faults: list[str] = []
     try:
         load_settings(config)
-    except Fault as fault:
-        faults += fault.lines
+    except ConfigError as error:
+        faults += error.lines
     try:
         load_tuning(_tuning_path(tuning))
-    except Fault as fault:
-        faults += fault.lines
+    except ConfigError as error:
+        faults += error.lines
     if faults:
-        _fail(Fault(faults))
+        _fail(ConfigError(faults))
     click.echo("ok")
 
 
@@ -126,8 +128,8 @@
         conn.request(method, path, body)
         reply = conn.getresponse()
         text = reply.read().decode("utf-8", "replace")
-    except (OSError, http.client.HTTPException) as fault:
-        click.echo(f"{server}: {fault}", err=True)
+    except (OSError, http.client.HTTPException) as error:
+        click.echo(f"{server}: {error}", err=True)
         sys.exit(1)
     if reply.status not in (200, 201):
         click.echo(text, err=True)
@@ -199,7 +201,7 @@
 @counts.command("set")
 @server_option
 @click.argument("name")
-@click.argument("ceiling", type=click.IntRange(0, api.MOST_UNITS))
+@click.argument("ceiling", type=click.IntRange(0, api.MAX_UNITS))
 @click.option("--rev", type=int, help="Only if it is still at this revision. Default: as it is.")
 @click.option("--stop", is_flag=True, help="Stop what is over it: lowest rank, youngest first.")
 @click.option("--preempt/--no-preempt", default=None, help="May higher work stop lower work?")
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -7,59 +7,61 @@
 import msgspec
 from msgspec import Struct
 
-from starlingdeck.cluster.sharding import heirs
-from starlingdeck.context import DRIFT, World
+from starlingdeck.cluster.sharding import failover_candidates
+from starlingdeck.context import CLOCK_DRIFT, ControllerContext
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.records import NodeValue, ShardValue
 from starlingdeck.storage.state import (
-    Conflict,
-    LeaseLost,
+    LeaseLostError,
     StateClient,
     StateError,
     TooOld,
-    drop,
-    put,
+    TransactionConflictError,
+    delete_change,
+    put_change,
 )
 
 log = logging.getLogger(__name__)
 
-TURN_S = 0.3  # how much later each next heir moves
+FAILOVER_STAGGER_S = 0.3  # how much later each next heir moves
 GRACE_S = 0.3  # how long others leave an absent shard to its own controller
 HAND_BACK_S = 2.0  # how long a returned controller must live before it gets its shard back
 HAND_BACK_AGAIN_S = 10.0  # and before the next try, when it did not take it
-WATCH_S = 3.0
+WATCH_TIMEOUT_S = 3.0
 
 
-class Holder(Struct, frozen=True):
+class ShardOwner(Struct, frozen=True):
     node: int
     token: int
-    gen: int
+    epoch: int
 
 
-class Hooks(Struct):
+class OwnershipHooks(Struct):
     """What the node does when its holdings or the cluster's keys change."""
 
-    gained: Callable[[int, int, int, float], Awaitable[None]]
-    lost: Callable[[int], Awaitable[None]]
-    raised: Callable[[int, int], Awaitable[None]]
-    key: Callable[[api.Event], Awaitable[None]]
+    on_acquired: Callable[[int, int, int, float], Awaitable[None]]
+    on_lost: Callable[[int], Awaitable[None]]
+    on_token_raised: Callable[[int, int], Awaitable[None]]
+    on_cluster_key: Callable[[api.Event], Awaitable[None]]
     may_hand_back: Callable[[int], bool]
 
 
 class Membership:
-    def __init__(self, world: World, state: StateClient, hooks: Hooks) -> None:
-        self.world = world
+    def __init__(
+        self, context: ControllerContext, state: StateClient, hooks: OwnershipHooks
+    ) -> None:
+        self.context = context
         self.state = state
         self.hooks = hooks
-        self.ttl = world.tuning.state_lease_s
-        self.lease = 0
-        self.renewed = -1e9
-        self.boot = world.rng.getrandbits(48)
-        self.held: dict[int, Holder] = {}
-        self.holders: dict[int, Holder] = {}
+        self.ttl = context.tuning.state_lease_s
+        self.lease_id = 0
+        self.renewed_at = -1e9
+        self.boot = context.rng.getrandbits(48)
+        self.held: dict[int, ShardOwner] = {}
+        self.owners: dict[int, ShardOwner] = {}
         self.present: dict[int, tuple[int, ShardValue]] = {}
-        self.living: dict[int, float] = {}
+        self.live_nodes: dict[int, float] = {}
         self.absent: dict[int, float] = {}
         self.handed: dict[int, float] = {}
         self.takes: dict[int, int] = {}  # shard -> the version of its last takeover's key
@@ -72,26 +74,29 @@
 
     # --- what this node may do
 
-    def valid(self) -> bool:
+    def lease_is_valid(self) -> bool:
         """No other node can have taken a shard of ours: our lease surely stands."""
-        return self.lease > 0 and self.world.now() < self.renewed + self.ttl / DRIFT - 0.2
+        return (
+            self.lease_id > 0
+            and self.context.now() < self.renewed_at + self.ttl / CLOCK_DRIFT - 0.2
+        )
 
-    def may_renew_workers(self) -> bool:
+    def may_renew_worker_leases(self) -> bool:
         """Cut off from the state service, leases of workers are kept for a bounded time."""
-        return self.lease > 0 and self.world.now() < self.renewed + max(
-            self.ttl / DRIFT - 0.2, self.world.outage_s
+        return self.lease_id > 0 and self.context.now() < self.renewed_at + max(
+            self.ttl / CLOCK_DRIFT - 0.2, self.context.outage_renewal_s
         )
 
-    def note_holder(self, shard: int, holder: Holder) -> bool:
+    def record_owner(self, shard: int, owner: ShardOwner) -> bool:
         """Learn of a holder from keys or peers; a higher token wins. True if it is news."""
-        known = self.holders.get(shard)
-        shards = self.world.shards
-        if shard >= shards or holder.node >= shards:
+        known = self.owners.get(shard)
+        shards = self.context.shard_count
+        if shard >= shards or owner.node >= shards:
             return False  # of another deployment, or garbled: there is nobody to tell anything
-        if known is not None and known.token >= holder.token:
+        if known is not None and known.token >= owner.token:
             return False
-        self.holders[shard] = holder
-        return known is None or known.gen != holder.gen
+        self.owners[shard] = owner
+        return known is None or known.epoch != owner.epoch
 
     # --- loops
 
@@ -101,34 +106,36 @@
 
     async def renew(self) -> float:
         """Get or keep our state lease; how long until the next time."""
-        sent = self.world.now()
+        sent = self.context.now()
         try:
-            if not self.lease:
+            if not self.lease_id:
                 lease = await self.state.lease(self.ttl)
-                self.lease, self.renewed, self.announced = lease, sent, False
+                self.lease_id, self.renewed_at, self.announced = lease, sent, False
             else:
-                await self.state.renew(self.lease)
-                self.renewed = sent
+                await self.state.renew(self.lease_id)
+                self.renewed_at = sent
             if not self.announced:
                 await self._announce()
-        except LeaseLost:
+        except LeaseLostError:
             log.info("our state lease ended")
-            self.lease = 0
+            self.lease_id = 0
             await self._drop_all()
             return 0.0
-        except (StateError, Conflict) as fault:
+        except (StateError, TransactionConflictError) as error:
             if self.reached:
-                log.info("state lease not renewed: %s", fault)
+                log.info("state lease not renewed: %s", error)
             self.reached = False
-            return 0.2 + 0.2 * self.world.rng.random()
+            return 0.2 + 0.2 * self.context.rng.random()
         if not self.reached:
             log.info("state lease renewed again")
         self.reached = True
         return self.ttl / 4
 
     async def _announce(self) -> None:
-        value = NodeValue(self.world.node, self.boot)
-        await self.state.txn({}, [put(records.node_key(self.world.node), value, self.lease)], True)
+        value = NodeValue(self.context.node, self.boot)
+        await self.state.transact(
+            {}, [put_change(records.node_key(self.context.node), value, self.lease_id)], True
+        )
         self.announced = True
 
     async def watch_loop(self) -> None:
@@ -140,27 +147,27 @@
         try:
             if not self.synced:
                 await self._read_all()
-            events = await self.state.watch(records.CLUSTER, self.revision, WATCH_S)
+            events = await self.state.watch(records.CLUSTER, self.revision, WATCH_TIMEOUT_S)
             for event in events.events:
                 await self._event(event)
             self.revision = max(self.revision, events.revision)
         except TooOld:
             self.synced = False
-        except StateError as fault:
-            log.debug("watch failed: %s", fault)
+        except StateError as error:
+            log.debug("watch failed: %s", error)
             self.synced = False
-            return 0.3 + 0.3 * self.world.rng.random()
+            return 0.3 + 0.3 * self.context.rng.random()
         return 0.0
 
     async def _read_all(self) -> None:
         entries, revision = await self.state.read(records.CLUSTER)
         keys = {e.key for e in entries}
-        for shard in range(self.world.shards):
+        for shard in range(self.context.shard_count):
             if records.shard_key(shard) not in keys:
                 await self._event(api.Event(delete=records.shard_key(shard), version=revision))
-        for node in list(self.living):
+        for node in list(self.live_nodes):
             if records.node_key(node) not in keys:
-                del self.living[node]
+                del self.live_nodes[node]
         for entry in entries:
             await self._event(api.Event(put=entry.key, value=entry.value, version=entry.version))
         self.revision = revision
@@ -171,28 +178,28 @@
         try:
             if key.startswith(records.NODES):
                 self._node_event(int(key[len(records.NODES) :]), event)
-            elif key.startswith(records.HOLDS):
-                self.takes[int(key[len(records.HOLDS) :])] = event.version
+            elif key.startswith(records.TAKEOVERS):
+                self.takes[int(key[len(records.TAKEOVERS) :])] = event.version
             elif key.startswith(records.SHARDS):
                 await self._shard_event(int(key[len(records.SHARDS) :]), event)
             else:
-                await self.hooks.key(event)
-        except (ValueError, msgspec.DecodeError) as fault:
-            log.error("nonsense under %s: %s", key, fault)
+                await self.hooks.on_cluster_key(event)
+        except (ValueError, msgspec.DecodeError) as error:
+            log.error("nonsense under %s: %s", key, error)
 
     def _node_event(self, node: int, event: api.Event) -> None:
         if event.put:
-            self.living.setdefault(node, self.world.now())
+            self.live_nodes.setdefault(node, self.context.now())
         else:
-            self.living.pop(node, None)
-            if node == self.world.node and self.lease:
+            self.live_nodes.pop(node, None)
+            if node == self.context.node and self.lease_id:
                 # One that a former life announced late, or the first try got no answer: who isn't
                 # announced gets its shards never back.
                 log.info("our node key is gone")
                 self.announced = False
 
     async def _shard_event(self, shard: int, event: api.Event) -> None:
-        if not 0 <= shard < self.world.shards:
+        if not 0 <= shard < self.context.shard_count:
             raise ValueError("no such shard")
         mine = self.held.get(shard)
         if not event.put:
@@ -200,12 +207,12 @@
                 await self._drop(shard)
             if shard not in self.held:
                 self.present.pop(shard, None)
-                self.absent.setdefault(shard, self.world.now())
+                self.absent.setdefault(shard, self.context.now())
             return
         value = msgspec.json.decode(event.value, type=ShardValue)
         if mine is not None and event.version <= mine.token:
             return
-        if mine is not None and value.gen == mine.gen:
+        if mine is not None and value.gen == mine.epoch:
             # A raise of ours that got no answer was executed after all.
             await self._raised(shard, event.version)
             return
@@ -215,28 +222,28 @@
             self.logged.add(shard)
         self.present[shard] = (event.version, value)
         self.absent.pop(shard, None)
-        self.note_holder(shard, Holder(value.node, event.version, value.gen))
+        self.record_owner(shard, ShardOwner(value.node, event.version, value.gen))
 
-    async def own_loop(self) -> None:
+    async def ownership_loop(self) -> None:
         while True:
             await curio.sleep(0.1)
             await self.own()
 
     async def own(self) -> None:
         """Take what nobody holds, and hand back what is another's."""
-        if not (self.synced and self.lease and self.valid()):
+        if not (self.synced and self.lease_id and self.lease_is_valid()):
             return
-        for shard in range(self.world.shards):
+        for shard in range(self.context.shard_count):
             try:
                 await self._consider(shard)
-            except (StateError, LeaseLost, Conflict) as fault:
-                log.info("shard %d: %r", shard, fault)
+            except (StateError, LeaseLostError, TransactionConflictError) as error:
+                log.info("shard %d: %r", shard, error)
                 self.synced = False
 
     async def _consider(self, shard: int) -> None:
-        now, me = self.world.now(), self.world.node
+        now, me = self.context.now(), self.context.node
         if shard in self.held:
-            back = self.living.get(shard)
+            back = self.live_nodes.get(shard)
             if (
                 shard != me
                 and back is not None
@@ -255,11 +262,11 @@
                 await self._take(shard, there[0], self._left_s(there[1]))
             return
         since = self.absent.setdefault(shard, now)
-        order = heirs(shard, self.world.shard_zones, sorted({*self.living, me}))
+        order = failover_candidates(shard, self.context.shard_zones, sorted({*self.live_nodes, me}))
         turn = order.index(me)
-        wait = 0.0 if shard == me else turn * TURN_S + GRACE_S
+        wait = 0.0 if shard == me else turn * FAILOVER_STAGGER_S + GRACE_S
         if now - since >= wait:
-            await self._take(shard, 0, self.world.outage_s)
+            await self._take(shard, 0, self.context.outage_renewal_s)
 
     def _left_s(self, value: ShardValue) -> float:
         """How long holders before our own last hold may still renew workers' leases.
@@ -269,33 +276,35 @@
         """
         if not value.quiet_ms:
             return 0.0
-        off_ms = 2 * self.world.settings.settings.skew_ms
-        left_ms = value.quiet_ms + off_ms - self.world.wall_ms()
-        return min(max(0.0, left_ms / 1000), self.world.outage_s)
+        off_ms = 2 * self.context.settings.settings.skew_ms
+        left_ms = value.quiet_ms + off_ms - self.context.wall_clock_ms()
+        return min(max(0.0, left_ms / 1000), self.context.outage_renewal_s)
 
     async def _take(self, shard: int, version: int, wait_s: float) -> None:
-        gen = self.world.rng.getrandbits(60)
+        epoch = self.context.rng.getrandbits(60)
         key = records.shard_key(shard)
-        quiet_ms = self.world.wall_ms() + int(wait_s * 1000) if wait_s > 0 else 0
+        quiet_ms = self.context.wall_clock_ms() + int(wait_s * 1000) if wait_s > 0 else 0
         # One carried out late, after another's hold, would show a `quiet_ms` from before that.
-        last = records.hold_key(shard)
+        last = records.takeover_key(shard)
         conditions = {key: version, last: self.takes.get(shard, 0)}
-        value = ShardValue(self.world.node, gen, quiet_ms, self.writes_log(shard))
-        change = put(key, value, self.lease)
-        token = await self.state.txn(conditions, [change, put(last, self.world.node)], True)
+        value = ShardValue(self.context.node, epoch, quiet_ms, self.writes_log(shard))
+        change = put_change(key, value, self.lease_id)
+        token = await self.state.transact(
+            conditions, [change, put_change(last, self.context.node)], True
+        )
         self.takes[shard] = token
         self.quiet[shard] = quiet_ms
-        holder = Holder(self.world.node, token, gen)
-        self.held[shard] = holder
-        self.holders[shard] = holder
+        owner = ShardOwner(self.context.node, token, epoch)
+        self.held[shard] = owner
+        self.owners[shard] = owner
         self.present.pop(shard, None)
         self.absent.pop(shard, None)
         log.info("shard %d: taken over with token %d", shard, token)
-        await self.hooks.gained(shard, token, gen, wait_s)
+        await self.hooks.on_acquired(shard, token, epoch, wait_s)
 
     def writes_log(self, shard: int) -> bool:
         """Whether a shard's records may be behind its commit log."""
-        return self.world.tuning.group_commit is not None or shard in self.logged
+        return self.context.tuning.group_commit is not None or shard in self.logged
 
     async def raise_token(self, shard: int) -> None:
         """Rewrite the shard's key, so that its stamp and with it our token rises."""
@@ -303,40 +312,40 @@
         if mine is None:
             return
         key = records.shard_key(shard)
-        value = ShardValue(mine.node, mine.gen, self.quiet.get(shard, 0), self.writes_log(shard))
-        change = put(key, value, self.lease)
-        token = await self.state.txn({key: mine.token}, [change], True)
+        value = ShardValue(mine.node, mine.epoch, self.quiet.get(shard, 0), self.writes_log(shard))
+        change = put_change(key, value, self.lease_id)
+        token = await self.state.transact({key: mine.token}, [change], True)
         await self._raised(shard, token)
 
     async def _raised(self, shard: int, token: int) -> None:
         mine = self.held.get(shard)
         if mine is not None and token > mine.token:
-            self.held[shard] = self.holders[shard] = Holder(mine.node, token, mine.gen)
+            self.held[shard] = self.owners[shard] = ShardOwner(mine.node, token, mine.epoch)
             log.info("shard %d: token raised to %d", shard, token)
-            await self.hooks.raised(shard, token)
+            await self.hooks.on_token_raised(shard, token)
 
     async def _hand_back(self, shard: int) -> None:
         mine = self.held[shard]
         log.info("shard %d: handed back", shard)
         await self._drop(shard)
-        self.absent[shard] = self.handed[shard] = self.world.now()
-        await self.state.txn(
-            {records.shard_key(shard): mine.token}, [drop(records.shard_key(shard))], True
+        self.absent[shard] = self.handed[shard] = self.context.now()
+        await self.state.transact(
+            {records.shard_key(shard): mine.token}, [delete_change(records.shard_key(shard))], True
         )
 
     async def _drop(self, shard: int) -> None:
         if self.held.pop(shard, None) is not None:
             log.info("shard %d: no longer ours", shard)
-            await self.hooks.lost(shard)
+            await self.hooks.on_lost(shard)
 
     async def _drop_all(self) -> None:
         for shard in list(self.held):
             await self._drop(shard)
         self.synced = False
 
-    async def seen_elsewhere(self, shard: int, holder: Holder) -> None:
+    async def observe_owner(self, shard: int, owner: ShardOwner) -> None:
         """A peer says that a shard has a newer holder."""
         mine = self.held.get(shard)
-        if mine is not None and holder.token > mine.token and holder.gen != mine.gen:
+        if mine is not None and owner.token > mine.token and owner.epoch != mine.epoch:
             await self._drop(shard)
-        self.note_holder(shard, holder)
+        self.record_owner(shard, owner)
--- a/starlingdeck/cluster/peers.py
+++ b/starlingdeck/cluster/peers.py
@@ -9,60 +9,61 @@
 import curio
 from google.protobuf.message import DecodeError
 
-from starlingdeck.context import World
+from starlingdeck.context import ControllerContext
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.transport.frames import FrameLink, FrameServer, LinkBusy, dial
+from starlingdeck.transport.frames import FrameLink, FrameServer, LinkBusyError, dial
 
 log = logging.getLogger(__name__)
 
-Answer = Callable[[pb.Envelope], Awaitable[pb.Envelope | None]]
+MessageHandler = Callable[[pb.Envelope], Awaitable[pb.Envelope | None]]
 
 
-class PeerDown(Exception):
+class PeerUnavailableError(Exception):
     """The peer can't be asked now, or did not reply in time."""
 
 
-class PeerBusy(PeerDown):
+class PeerBusyError(PeerUnavailableError):
     """Nothing was sent: a large message to the peer, still in progress, held the link."""
 
 
 class Peers:
     def __init__(
         self,
-        world: World,
-        answer: Answer,
-        hello: Callable[[], pb.Hello],
+        context: ControllerContext,
+        answer: MessageHandler,
+        gossip: Callable[[], pb.Gossip],
         again: Callable[[int, int], None],
     ) -> None:
-        self.world = world
-        self.answer = answer
-        self.hello = hello
-        self.again = again
+        self.context = context
+        self.handle_message = answer
+        self.build_gossip = gossip
+        self.on_resync_request = again
         self.links: dict[int, FrameLink] = {}
-        self.heard: dict[int, float] = {}
+        self.last_heard_at: dict[int, float] = {}
         self.calls: dict[int, tuple[curio.Event, list[pb.Envelope], int]] = {}
         self.next_call = 1
 
-    def up(self, node: int) -> bool:
-        if node == self.world.node:
+    def is_reachable(self, node: int) -> bool:
+        if node == self.context.node:
             return True
         return (
             node in self.links
-            and self.world.now() - self.heard.get(node, -1e9) < self.world.tuning.reply_wait_s
+            and self.context.now() - self.last_heard_at.get(node, -1e9)
+            < self.context.tuning.reply_wait_s
         )
 
-    def down_for(self, node: int) -> float:
-        return self.world.now() - self.heard.get(node, self.started)
+    def unreachable_s(self, node: int) -> float:
+        return self.context.now() - self.last_heard_at.get(node, self.started)
 
     async def run(self, server: FrameServer) -> None:
-        self.started = self.world.now()
+        self.started = self.context.now()
         await curio.spawn(server.run, daemon=True)
-        for node, (_, _, address) in enumerate(self.world.settings.members()):
-            if node != self.world.node:
+        for node, (_, _, address) in enumerate(self.context.settings.members()):
+            if node != self.context.node:
                 await curio.spawn(self._keep_link, node, address, daemon=True)
 
     async def _keep_link(self, node: int, address: str) -> None:
-        wait = self.world.tuning.reply_wait_s
+        wait = self.context.tuning.reply_wait_s
         while True:
             link: FrameLink | None = None
             users: list[curio.Task] = []
@@ -71,17 +72,17 @@
                 self.links[node] = link
                 users.append(await curio.spawn(self._read_replies, node, link, daemon=True))
                 users.append(await curio.spawn(link.drain, wait, daemon=True))
-                sent = self.world.now()
+                sent = self.context.now()
                 while not link.closed:
                     try:
-                        await self.send(node, pb.Envelope(hello=self.hello()))
-                    except PeerBusy:
-                        sent = self.world.now()  # a link that takes nothing ends by its drain
+                        await self.send(node, pb.Envelope(gossip=self.build_gossip()))
+                    except PeerBusyError:
+                        sent = self.context.now()  # a link that takes nothing ends by its drain
                     await curio.sleep(0.5)
-                    if self.world.now() - max(sent, self.heard.get(node, 0.0)) > wait:
+                    if self.context.now() - max(sent, self.last_heard_at.get(node, 0.0)) > wait:
                         break
-            except (OSError, curio.TaskTimeout, PeerDown) as fault:
-                log.debug("peer %d: %r", node, fault)
+            except (OSError, curio.TaskTimeout, PeerUnavailableError) as error:
+                log.debug("peer %d: %r", node, error)
             finally:
                 if self.links.get(node) is link:
                     self.links.pop(node, None)
@@ -89,21 +90,21 @@
                     await user.cancel()
                 if link is not None:
                     await link.close()
-            await curio.sleep(0.3 + 0.3 * self.world.rng.random())
+            await curio.sleep(0.3 + 0.3 * self.context.rng.random())
 
     async def _read_replies(self, node: int, link: FrameLink) -> None:
         try:
             while True:
                 envelope = pb.Envelope.FromString(await link.receive())
-                self.heard[node] = self.world.now()
-                if envelope.WhichOneof("body") == "again":
-                    self.again(node, envelope.again.shard)
+                self.last_heard_at[node] = self.context.now()
+                if envelope.WhichOneof("body") == "resync_request":
+                    self.on_resync_request(node, envelope.resync_request.shard)
                 waiting = self.calls.pop(envelope.call, None)
                 if waiting is not None:
                     waiting[1].append(envelope)
                     await waiting[0].set()
-        except (OSError, DecodeError) as fault:
-            log.debug("link to %d ended: %r", node, fault)
+        except (OSError, DecodeError) as error:
+            log.debug("link to %d ended: %r", node, error)
         finally:
             link.closed = True
             # Nobody will answer on this link: a submission passed on must not wait for that.
@@ -116,48 +117,48 @@
         try:
             while True:
                 envelope = pb.Envelope.FromString(await link.receive())
-                if envelope.WhichOneof("body") in ("reserve", "forward"):
+                if envelope.WhichOneof("body") in ("reserve_request", "forward_request"):
                     await curio.spawn(self._reply, link, envelope, daemon=True)
                 else:
                     await self._reply(link, envelope)
-        except (OSError, DecodeError, curio.TaskTimeout) as fault:
-            log.debug("a peer's connection ended: %r", fault)
+        except (OSError, DecodeError, curio.TaskTimeout) as error:
+            log.debug("a peer's connection ended: %r", error)
         except Exception:
             # What it meant is sent again, whole, on its next connection.
             log.exception("a peer's message was not understood")
 
     async def _reply(self, link: FrameLink, envelope: pb.Envelope) -> None:
         try:
-            reply = await self.answer(envelope)
+            reply = await self.handle_message(envelope)
             if reply is None:
-                if not envelope.call and envelope.WhichOneof("body") != "hello":
+                if not envelope.call and envelope.WhichOneof("body") != "gossip":
                     return
-                reply = pb.Envelope(nothing=pb.Nothing())
-            reply.sender, reply.call, reply.reply = self.world.node, envelope.call, True
-            await link.send(reply.SerializeToString(), self.world.tuning.reply_wait_s)
-        except (OSError, curio.TaskTimeout) as fault:
-            log.debug("no reply to %d: %r", envelope.sender, fault)
+                reply = pb.Envelope(empty=pb.Empty())
+            reply.sender, reply.call, reply.reply = self.context.node, envelope.call, True
+            await link.send(reply.SerializeToString(), self.context.tuning.reply_wait_s)
+        except (OSError, curio.TaskTimeout) as error:
+            log.debug("no reply to %d: %r", envelope.sender, error)
 
-    async def post(self, node: int, envelope: pb.Envelope) -> None:
+    async def enqueue(self, node: int, envelope: pb.Envelope) -> None:
         """One way, and without waiting for a peer that is slow or silent."""
         link = self.links.get(node)
         if link is not None and not link.closed:
-            envelope.sender = self.world.node
-            await link.post(envelope.SerializeToString())
+            envelope.sender = self.context.node
+            await link.enqueue(envelope.SerializeToString())
 
     async def send(self, node: int, envelope: pb.Envelope) -> None:
         """One way; what is lost is sent again by the loop that wanted it."""
         link = self.links.get(node)
         if link is None or link.closed:
-            raise PeerDown(f"no link to {node}")
-        envelope.sender = self.world.node
+            raise PeerUnavailableError(f"no link to {node}")
+        envelope.sender = self.context.node
         try:
-            await link.send(envelope.SerializeToString(), self.world.tuning.reply_wait_s)
-        except LinkBusy as fault:
-            raise PeerBusy(repr(fault)) from fault
-        except (OSError, curio.TaskTimeout) as fault:
+            await link.send(envelope.SerializeToString(), self.context.tuning.reply_wait_s)
+        except LinkBusyError as error:
+            raise PeerBusyError(repr(error)) from error
+        except (OSError, curio.TaskTimeout) as error:
             link.closed = True
-            raise PeerDown(repr(fault)) from fault
+            raise PeerUnavailableError(repr(error)) from error
 
     async def call(self, node: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
         number = self.next_call
@@ -169,17 +170,17 @@
             await self.send(node, envelope)
             async with curio.timeout_after(timeout_s):
                 await event.wait()
-        except curio.TaskTimeout as fault:
-            raise PeerDown(f"no reply from {node}") from fault
+        except curio.TaskTimeout as error:
+            raise PeerUnavailableError(f"no reply from {node}") from error
         finally:
             self.calls.pop(number, None)
         if not box:
-            raise PeerDown(f"the link to {node} ended")
+            raise PeerUnavailableError(f"the link to {node} ended")
         reply: pb.Envelope = box[0]
         return reply
 
 
-def pack(envelopes: list[pb.Envelope]) -> str:
+def encode_batch(envelopes: list[pb.Envelope]) -> str:
     """For the detour: messages as text that fits a key's value."""
     batch = b"".join(
         len(data := e.SerializeToString()).to_bytes(4, "big") + data for e in envelopes
@@ -187,7 +188,7 @@
     return base64.b64encode(zlib.compress(batch)).decode("ascii")
 
 
-def unpack(text: str) -> list[pb.Envelope]:
+def decode_batch(text: str) -> list[pb.Envelope]:
     try:
         batch = zlib.decompress(base64.b64decode(text))
         found, at = [], 0
@@ -196,5 +197,5 @@
             found.append(pb.Envelope.FromString(batch[at + 4 : at + 4 + size]))
             at += 4 + size
         return found
-    except (zlib.error, binascii.Error, DecodeError) as fault:
-        raise ValueError(f"garbled detour: {fault}") from fault
+    except (zlib.error, binascii.Error, DecodeError) as error:
+        raise ValueError(f"garbled detour: {error}") from error
--- a/starlingdeck/cluster/sharding.py
+++ b/starlingdeck/cluster/sharding.py
@@ -4,11 +4,11 @@
 from collections.abc import Sequence
 
 
-def job_shard(job: str, shards: int) -> int:
+def shard_of_job(job: str, shards: int) -> int:
     return zlib.crc32(job.encode()) % shards
 
 
-def machine_shard(machine: str, zone: str, zones: Sequence[str]) -> int:
+def shard_of_machine(machine: str, zone: str, zones: Sequence[str]) -> int:
     """`zones[i]` is the zone of shard i's own controller.
 
     A machine goes to a controller of its zone if there is any, so that a cut
@@ -18,7 +18,7 @@
     return near[zlib.crc32(machine.encode()) % len(near)]
 
 
-def heirs(shard: int, zones: Sequence[str], living: Sequence[int]) -> list[int]:
+def failover_candidates(shard: int, zones: Sequence[str], living: Sequence[int]) -> list[int]:
     """Living nodes in the order in which they should take the shard over."""
     n = len(zones)
     return sorted(living, key=lambda i: (i != shard, zones[i] != zones[shard], (i - shard) % n))
--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -7,168 +7,178 @@
 import msgspec
 
 from starlingdeck.admission.quota_transfer import QuotaTransfer
-from starlingdeck.api.heartbeat_api import REPORT, Reports
-from starlingdeck.api.job_api import Users, fault
-from starlingdeck.autoscaling.cloud import CloudClient, CloudError, Fleet, learn_types
-from starlingdeck.cluster.membership import Holder, Hooks, Membership
+from starlingdeck.api.heartbeat_api import REPORT, HeartbeatApi
+from starlingdeck.api.job_api import JobApi, error_response
+from starlingdeck.autoscaling.cloud import Autoscaler, CloudClient, CloudError, learn_types
+from starlingdeck.cluster.membership import Membership, OwnershipHooks, ShardOwner
 from starlingdeck.cluster.peers import Peers
-from starlingdeck.context import World
-from starlingdeck.controller.metrics_report import hearing, largest, waiting
-from starlingdeck.jobs.admission import Admission, Durable
+from starlingdeck.context import ControllerContext
+from starlingdeck.controller.metrics_report import reachability_lines, starving_lines, waiting_tasks
+from starlingdeck.jobs.admission import AdmissionController, DurablePlugin
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.mailbox import Inbox
-from starlingdeck.jobs.record_writer import IDLE_S, Writer
+from starlingdeck.jobs.mailbox import Mailbox
+from starlingdeck.jobs.record_writer import IDLE_WAIT_S, RecordWriter
 from starlingdeck.machines.machine import Machine
 from starlingdeck.machines.machine_shard import MachineShard
-from starlingdeck.machines.shard_snapshot import Sight
+from starlingdeck.machines.shard_snapshot import ShardSnapshot
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import split_address
-from starlingdeck.scheduling.candidate_pool import Rooms
-from starlingdeck.scheduling.overload import Overload
+from starlingdeck.scheduling.candidate_pool import CandidatePool
+from starlingdeck.scheduling.overload import OverloadController
 from starlingdeck.scheduling.planner import Planner
 from starlingdeck.scheduling.scheduler import TeamJob
 from starlingdeck.storage import records
-from starlingdeck.storage.limiter import Limiter
+from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.storage.state import (
-    Conflict,
-    LeaseLost,
+    LeaseLostError,
+    RequestBudget,
     StateClient,
     StateError,
-    StateLimit,
+    TransactionConflictError,
 )
-from starlingdeck.storage.state import put as put_key
-from starlingdeck.sync.state_sync import Exchange
-from starlingdeck.transport.client import HttpClient, NoAnswer, NotSent
+from starlingdeck.storage.state import put_change as put_key
+from starlingdeck.sync.state_sync import StateSync
+from starlingdeck.transport.client import ConnectionFailedError, HttpClient, NoResponseError
 from starlingdeck.transport.frames import FrameServer
 from starlingdeck.transport.server import HttpServer, Request, Response
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.1
-STEP_EVERY_S = 0.04  # what comes in meanwhile is worked off together
-DELETED_TOLD_S = 60.0  # how long a deleted machine is told to peers, by each that hears of it
-SPARE_CONNECTIONS = 16  # that calls to workers leave to the state service and the cloud
-METERS_EVERY_S = 60.0
-SLOW_S = 0.15  # an answer to a change after this is told at log level debug
+MAX_RECONCILE_INTERVAL_S = 0.1
+MIN_RECONCILE_INTERVAL_S = 0.04  # what comes in meanwhile is worked off together
+DELETED_ANNOUNCE_S = 60.0  # how long a deleted machine is told to peers, by each that hears of it
+RESERVED_CONNECTIONS = 16  # that calls to workers leave to the state service and the cloud
+METRICS_INTERVAL_S = 60.0
+SLOW_RESPONSE_S = 0.15  # an answer to a change after this is told at log level debug
 
 
 def _under(request: Request, path: str) -> bool:
     return request.path == path or request.path.startswith(path + "/")
 
 
-class Node:
-    def __init__(self, world: World) -> None:
-        self.world = world
-        s = world.settings
+class Controller:
+    def __init__(self, context: ControllerContext) -> None:
+        self.context = context
+        s = context.settings
         limits = s.settings.machine_limits
         self.http = HttpClient(max_idle=4, max_open=max(16, limits.max_connections // 4))
-        self.most_calls = max(8, self.http.max_open - SPARE_CONNECTIONS)
-        self.calling = 0  # workers that are being called
-        budget = StateLimit(
-            s.settings.state.rps, s.settings.state.write_rps, world.shards, world.now
+        self.max_worker_calls = max(8, self.http.max_open - RESERVED_CONNECTIONS)
+        self.worker_calls = 0  # workers that are being called
+        budget = RequestBudget(
+            s.settings.state.rps, s.settings.state.write_rps, context.shard_count, context.now
         )
-        self.budget = budget
-        self.state = StateClient(self.http, s.external.state, budget, world.now)
-        cloud_share = Limiter(s.settings.cloud.rps * 0.8, 1.5, world.now)
-        self.cloud = CloudClient(self.http, s.external.cloud, cloud_share)
-        hooks = Hooks(self.gained, self.lost, self.raised, self.cluster_key, self.may_hand_back)
-        self.membership = Membership(world, self.state, hooks)
-        self.peers = Peers(world, self.on_message, self.hello, self.on_again)
-        self.writers: dict[int, Writer] = {}
+        self.request_budget = budget
+        self.state = StateClient(self.http, s.external.state, budget, context.now)
+        cloud_share = TokenBucket(s.settings.cloud.rps * 0.8, 1.5, context.now)
+        self.cloud_client = CloudClient(self.http, s.external.cloud, cloud_share)
+        hooks = OwnershipHooks(
+            self.on_shard_acquired,
+            self.on_shard_lost,
+            self.on_token_raised,
+            self.on_cluster_key,
+            self.may_hand_back,
+        )
+        self.membership = Membership(context, self.state, hooks)
+        self.peers = Peers(context, self.on_message, self.build_gossip, self.on_resync_request)
+        self.writers: dict[int, RecordWriter] = {}
         self.machines: dict[int, MachineShard] = {}
         self.wake = curio.Event()
         self.flush = curio.Event()
-        self.inbox = Inbox(world, self.membership, self.wake)
-        self.transfers = QuotaTransfer(world, self.state, self.membership, self.writers, self.wake)
-        self.admission = Admission([self.transfers])
-        self.users = Users(
-            world,
+        self.mailbox = Mailbox(context, self.membership, self.wake)
+        self.quota_transfer = QuotaTransfer(
+            context, self.state, self.membership, self.writers, self.wake
+        )
+        self.admission = AdmissionController([self.quota_transfer])
+        self.job_api = JobApi(
+            context,
             self.state,
             self.membership,
             self.peers,
             self.writers,
             self.admission,
-            self.kick_soon,
+            self.request_wake,
         )
-        self.reports = Reports(world, self.membership, self.peers, self.machines)
-        self.rooms = Rooms(world, self.membership, self.peers)
-        self.exchange = Exchange(
-            world,
+        self.heartbeat_api = HeartbeatApi(context, self.membership, self.peers, self.machines)
+        self.candidates = CandidatePool(context, self.membership, self.peers)
+        self.state_sync = StateSync(
+            context,
             self.state,
             self.membership,
             self.peers,
             self.writers,
             self.machines,
-            self.rooms,
+            self.candidates,
         )
-        wanted = world.tuning.overload
+        wanted = context.tuning.overload
         self.overload = (
-            Overload(world, self.writers, self.machines, wanted) if wanted is not None else None
+            OverloadController(context, self.writers, self.machines, wanted)
+            if wanted is not None
+            else None
         )
         self.planner = Planner(
-            world,
+            context,
             self.membership,
             self.peers,
             self.writers,
-            self.rooms,
+            self.candidates,
             self.admission,
             self.on_reserve,
             self.overload,
             self.wake,
             self.flush,
         )
-        self.types_kept: list[api.MachineType] = []
-        self.deleted: dict[str, float] = {}
-        self.fleet: Fleet | None = None
-        self.kicked = False
+        self.stored_types: list[api.MachineType] = []
+        self.deleted_machines: dict[str, float] = {}
+        self.autoscaler: Autoscaler | None = None
+        self.wake_requested = False
 
-    def install(self, gate: Durable) -> None:
+    def register_plugin(self, gate: DurablePlugin) -> None:
         """Put a further kind of limit in force, before the start."""
-        self.admission.install(gate)
+        self.admission.register(gate)
 
     # --- start
 
     async def run(self) -> None:
-        s = self.world.settings
+        s = self.context.settings
         limits = s.settings.machine_limits
         server = HttpServer(
             split_address(s.public_addr),
             self.serve,
             int(limits.max_connections * 0.6),
-            self.world.tuning.stall_s,
+            self.context.tuning.stall_s,
         )
         frames = FrameServer(
-            split_address(s.cluster_listen), self.peers.serve, 4 * self.world.shards
+            split_address(s.cluster_listen), self.peers.serve, 4 * self.context.shard_count
         )
         loops: list[Callable[..., object]] = [
             server.run,
             self.membership.renew_loop,
             self.membership.watch_loop,
-            self.membership.own_loop,
-            self.step_loop,
+            self.membership.ownership_loop,
+            self.reconcile_loop,
             self.planner.run,
             self.write_loop,
-            self.fleet_loop,
+            self.autoscaling_loop,
             self.types_loop,
-            self.meters_loop,
+            self.metrics_loop,
         ]
         if self.admission.durable is not None:
             loops.append(self.admission.durable.run)
         await self.peers.run(frames)
         async with curio.TaskGroup() as group:
             for loop in loops:
-                await group.spawn(self._for_ever, loop)
+                await group.spawn(self._supervise, loop)
 
     async def types_loop(self) -> None:
-        await learn_types(self.world, self.cloud, self.kept_types, self.keep_types)
+        await learn_types(self.context, self.cloud_client, self.load_types, self.store_types)
 
-    async def meters_loop(self) -> None:
+    async def metrics_loop(self) -> None:
         while True:
-            await curio.sleep(METERS_EVERY_S)
+            await curio.sleep(METRICS_INTERVAL_S)
             for line in (
-                *self.world.meters.lines(),
-                *self.world.tally.lines(waiting(self.world, self.writers)),
+                *self.context.latencies.lines(),
+                *self.context.counters.lines(waiting_tasks(self.context, self.writers)),
             ):
                 log.info("%s", line)
             if self.admission.durable is not None:
@@ -178,39 +188,39 @@
                 for line in self.overload.lines():
                     log.info("%s", line)
             for line in (
-                *hearing(self.machines),
-                *largest(self.world, self.writers, self.admission),
+                *reachability_lines(self.machines),
+                *starving_lines(self.context, self.writers, self.admission),
             ):
                 log.info("%s", line)
-            if self.world.slices is not None:
-                for line in self.world.slices.lines():
+            if self.context.profiler is not None:
+                for line in self.context.profiler.lines():
                     log.debug("%s", line)
 
-    async def kept_types(self) -> list[api.MachineType]:
+    async def load_types(self) -> list[api.MachineType]:
         """The machine types that a controller last read from the cloud."""
         try:
             entry = await self.state.get(records.TYPES, True)
             if entry is not None:
                 return msgspec.json.decode(entry.value, type=list[api.MachineType])
-        except (StateError, msgspec.DecodeError) as why:
-            log.info("kept machine types not read: %s", why)
+        except (StateError, msgspec.DecodeError) as error:
+            log.info("kept machine types not read: %s", error)
         return []
 
-    async def keep_types(self, types: list[api.MachineType]) -> None:
+    async def store_types(self, types: list[api.MachineType]) -> None:
         """Keep them for controllers that start while the cloud can't be asked."""
         plain = [msgspec.structs.replace(t, price=0.0, spot_price=0.0) for t in types]
-        if self.fleet is None or plain == self.types_kept:
+        if self.autoscaler is None or plain == self.stored_types:
             return
-        if len(msgspec.json.encode(types)) > self.world.settings.settings.state.value_kb * 1000:
+        if len(msgspec.json.encode(types)) > self.context.settings.settings.state.value_kb * 1000:
             log.error("too many machine types to keep")
             return
         try:
-            await self.state.txn({}, [put_key(records.TYPES, types)])
-            self.types_kept = plain
-        except (StateError, Conflict) as why:
-            log.info("machine types not kept: %s", why)
+            await self.state.transact({}, [put_key(records.TYPES, types)])
+            self.stored_types = plain
+        except (StateError, TransactionConflictError) as error:
+            log.info("machine types not kept: %s", error)
 
-    async def _for_ever(self, loop) -> None:  # type: ignore[no-untyped-def]
+    async def _supervise(self, loop) -> None:  # type: ignore[no-untyped-def]
         """A loop that meets something unforeseen says so and goes on."""
         (await curio.current_task()).name = loop.__qualname__
         while True:
@@ -218,82 +228,82 @@
                 await loop()
             except Exception:
                 log.exception("%s stumbled", loop.__qualname__)
-                await curio.sleep(0.5 + 0.5 * self.world.rng.random())
+                await curio.sleep(0.5 + 0.5 * self.context.rng.random())
 
-    def kick_soon(self) -> None:
-        self.kicked = True
+    def request_wake(self) -> None:
+        self.wake_requested = True
 
     # --- holdings
 
-    async def gained(self, shard: int, token: int, gen: int, wait_s: float) -> None:
-        jobs = JobShard(self.world, shard, token, gen)
-        self.writers[shard] = Writer(self.world, self.state, jobs, self.admission.durable)
-        machines = MachineShard(self.world, shard, token, gen, wait_s)
+    async def on_shard_acquired(self, shard: int, token: int, epoch: int, wait_s: float) -> None:
+        jobs = JobShard(self.context, shard, token, epoch)
+        self.writers[shard] = RecordWriter(self.context, self.state, jobs, self.admission.durable)
+        machines = MachineShard(self.context, shard, token, epoch, wait_s)
         self.machines[shard] = machines
-        for name in self.deleted:
+        for name in self.deleted_machines:
             machines.mark_deleted(name)
         if shard == 0:
-            self.fleet = Fleet(
-                self.world,
-                self.cloud,
+            self.autoscaler = Autoscaler(
+                self.context,
+                self.cloud_client,
                 token,
-                self.rooms.all,
+                self.candidates.candidates,
                 self.planner.all_demands,
-                self.note_deleted,
+                self.record_deleted,
             )
-        old = self.exchange.sights.pop(shard, None)
+        old = self.state_sync.snapshots.pop(shard, None)
         await curio.spawn(self._load, self.writers[shard], daemon=True)
         if old is not None:
-            await curio.spawn(self._raise_at_workers, machines, old, daemon=True)
+            await curio.spawn(self._announce_token_to_workers, machines, old, daemon=True)
 
-    async def _load(self, writer: Writer) -> None:
+    async def _load(self, writer: RecordWriter) -> None:
         shard = writer.shard.shard
         while self.writers.get(shard) is writer and not writer.shard.loaded:
             try:
                 # The former holder may have passed on quota that our watch hasn't shown yet.
                 for entry in (await self.state.read(records.QUOTA))[0]:
-                    self.transfers.learn(entry.key, entry.value, entry.version)
-                notes = (await self.state.read(records.inbox_key(shard, "")))[0]
+                    self.quota_transfer.on_key_changed(entry.key, entry.value, entry.version)
+                notes = (await self.state.read(records.mailbox_key(shard, "")))[0]
                 await writer.load()
-                self.exchange.judge_all(writer.shard)
-                await self.inbox.clear(writer, notes)
-            except (StateError, msgspec.DecodeError) as why:
-                log.info("shard %d not read: %s", shard, why)
-                await curio.sleep(0.2 + 0.2 * self.world.rng.random())
+                self.state_sync.reevaluate_all(writer.shard)
+                await self.mailbox.drop_entries(writer, notes)
+            except (StateError, msgspec.DecodeError) as error:
+                log.info("shard %d not read: %s", shard, error)
+                await curio.sleep(0.2 + 0.2 * self.context.rng.random())
         await self.wake.set()
 
-    async def _raise_at_workers(self, machines: MachineShard, old: Sight) -> None:
+    async def _announce_token_to_workers(self, machines: MachineShard, old: ShardSnapshot) -> None:
         """Show our token to the workers the last view named, and take their reports.
 
         Called all at once, those of a large fleet took every connection: most calls failed
         without being made, and so did those to the state service.
         """
-        waiting = [entry for entry in old.machines.values() if not entry.dead]
-        for _ in range(min(self.most_calls, len(waiting))):
-            await curio.spawn(self._show_tokens, machines, waiting, daemon=True)
+        waiting = [entry for entry in old.machines.values() if not entry.lost]
+        for _ in range(min(self.max_worker_calls, len(waiting))):
+            await curio.spawn(self._announce_token, machines, waiting, daemon=True)
 
-    async def _show_tokens(self, machines: MachineShard, waiting: list[pb.Machine]) -> None:
+    async def _announce_token(self, machines: MachineShard, waiting: list[pb.MachineState]) -> None:
         """Work off what is waiting, together with others, while the shard is ours."""
         while waiting and self.machines.get(machines.shard) is machines:
-            if self.calling >= self.most_calls:
-                await curio.sleep(TICK_S)
+            if self.worker_calls >= self.max_worker_calls:
+                await curio.sleep(MAX_RECONCILE_INTERVAL_S)
                 continue
             entry = waiting.pop()
             orders = api.Commands(machines.token, entry.session, [])
-            self.calling += 1
+            self.worker_calls += 1
             await self._call(machines, None, entry.address, orders)
 
-    async def lost(self, shard: int) -> None:
+    async def on_shard_lost(self, shard: int) -> None:
         self.writers.pop(shard, None)
         self.machines.pop(shard, None)
         if shard == 0:
-            self.fleet = None
+            self.autoscaler = None
 
-    async def raised(self, shard: int, token: int) -> None:
+    async def on_token_raised(self, shard: int, token: int) -> None:
         writer, machines = self.writers.get(shard), self.machines.get(shard)
         if writer is not None:
             # A write that met the raised key before we knew of it took the shard for lost.
-            writer.shard.token, writer.lost = token, False
+            writer.shard.token, writer.ownership_lost = token, False
         if machines is not None:
             machines.token = token
 
@@ -301,27 +311,29 @@
         """Its own controller lives, by the state service; that we can't reach it is no reason
         to keep its shard: its machines may be cut off from us just as it is."""
         writer = self.writers.get(shard)
-        return self.membership.valid() and writer is not None and writer.shard.loaded
+        return self.membership.lease_is_valid() and writer is not None and writer.shard.loaded
 
-    async def cluster_key(self, event: api.Event) -> None:
+    async def on_cluster_key(self, event: api.Event) -> None:
         """Keys of the cluster that are neither nodes nor shards."""
         key = event.put or ""
-        if key.startswith(records.INBOX):
-            shard, _, name = key[len(records.INBOX) :].partition("/")
+        if key.startswith(records.MAILBOX):
+            shard, _, name = key[len(records.MAILBOX) :].partition("/")
             writer = self.writers.get(int(shard))
             if writer is not None and writer.shard.loaded:
-                await curio.spawn(self.inbox.act, writer, name, key, event.version, daemon=True)
+                await curio.spawn(
+                    self.mailbox.handle_entry, writer, name, key, event.version, daemon=True
+                )
         elif key.startswith(records.QUOTA):
-            self.transfers.learn(key, event.value, event.version)
+            self.quota_transfer.on_key_changed(key, event.value, event.version)
         elif self.admission.durable is not None and key.startswith(self.admission.durable.prefix):
-            self.admission.durable.learn(key, bytes(event.value), event.version)
-            self.rooms.news = True
+            self.admission.durable.on_key_changed(key, bytes(event.value), event.version)
+            self.candidates.changed = True
             await self.wake.set()
             await self.flush.set()
         elif (
             key.startswith(records.RELAY)
             and event.put
-            and await self.exchange.take_detour(key, event.value, self.on_message)
+            and await self.state_sync.receive_relay(key, event.value, self.on_message)
         ):
             await self.wake.set()
 
@@ -330,82 +342,86 @@
     async def serve(self, request: Request) -> Response:
         if request.path == api.REPORT:
             if request.method != "POST":
-                return fault(405, "use POST")
-            began = self.world.now()
-            response = await self.reports.take(request.body)
-            self.world.meters.note("answer report", self.world.now() - began)
+                return error_response(405, "use POST")
+            began = self.context.now()
+            response = await self.heartbeat_api.handle(request.body)
+            self.context.latencies.record("answer report", self.context.now() - began)
         elif request.path == api.HEALTH:
             if request.method not in ("GET", "HEAD"):
-                return fault(405, "use GET")
+                return error_response(405, "use GET")
             return self.health()
         elif self.admission.durable is not None and _under(request, self.admission.durable.path):
             return await self.admission.durable.serve(request)
         else:
-            began = self.world.now()
-            response = await self.users.handle(request)
+            began = self.context.now()
+            response = await self.job_api.handle(request)
             kind = "look" if request.method == "GET" else "change"
-            took_s = self.world.now() - began
-            self.world.meters.note(f"answer {kind}", took_s)
-            if kind == "change" and (took_s > SLOW_S or response.status >= 400):
+            took_s = self.context.now() - began
+            self.context.latencies.record(f"answer {kind}", took_s)
+            if kind == "change" and (took_s > SLOW_RESPONSE_S or response.status >= 400):
                 log.debug("answered %d after %.3f s: %s", response.status, took_s, response.body)
-        if self.kicked or self.reports.news:
-            self.kicked = self.reports.news = False
+        if self.wake_requested or self.heartbeat_api.has_updates:
+            self.wake_requested = self.heartbeat_api.has_updates = False
             await self.wake.set()
         return response
 
     def health(self) -> Response:
         """With neither the state service nor a peer every answer is a refusal: while the workers'
         leases are still renewed, users are better off elsewhere."""
-        others = any(self.peers.up(n) for n in range(self.world.shards) if n != self.world.node)
-        ready = bool(self.world.types) and (self.membership.valid() or others)
-        return Response(200) if ready else fault(503, "not ready")
+        others = any(
+            self.peers.is_reachable(n)
+            for n in range(self.context.shard_count)
+            if n != self.context.node
+        )
+        ready = bool(self.context.machine_types) and (self.membership.lease_is_valid() or others)
+        return Response(200) if ready else error_response(503, "not ready")
 
     # --- the step loop: from what is to what is wanted
 
-    async def step_loop(self) -> None:
+    async def reconcile_loop(self) -> None:
         while True:
-            async with curio.ignore_after(TICK_S):
+            async with curio.ignore_after(MAX_RECONCILE_INTERVAL_S):
                 await self.wake.wait()
             self.wake.clear()
-            await self.step()
-            await curio.sleep(STEP_EVERY_S)
+            await self.reconcile()
+            await curio.sleep(MIN_RECONCILE_INTERVAL_S)
 
-    async def step(self) -> None:
-        valid = self.membership.valid()
-        now = self.world.now()
+    async def reconcile(self) -> None:
+        valid = self.membership.lease_is_valid()
+        now = self.context.now()
         if valid:
-            self.budget.share_among(len(self.membership.living))
+            self.request_budget.share_among(len(self.membership.live_nodes))
         for shard, machines in list(self.machines.items()):
             await self._call_workers(machines, valid)
             if valid and machines.needs_new_token():
                 try:
                     await self.membership.raise_token(shard)
-                except (StateError, Conflict, LeaseLost) as why:
-                    log.info("token not raised: %r", why)
-        if await self.exchange.share(valid, now):
+                except (StateError, TransactionConflictError, LeaseLostError) as error:
+                    log.info("token not raised: %r", error)
+        if await self.state_sync.publish_snapshots(valid, now):
             await self.flush.set()
-        self.exchange.drop_old(now)
+        self.state_sync.drop_expired(now)
         if valid:
             # A former holder's list, the first to reach a new machine holder, started a task again
             # that was long cancelled there: only who surely holds the shard says what it wants.
-            await self.exchange.send_wants(now)
-            for node, text in self.exchange.detour(now, self.hello):
-                await curio.spawn(self.exchange.put_detour, node, text, daemon=True)
-        if any(w.shard.dirty for w in self.writers.values()):
+            await self.state_sync.send_desired_state(now)
+            for node, text in self.state_sync.relay_messages(now, self.build_gossip):
+                await curio.spawn(self.state_sync.write_relay, node, text, daemon=True)
+        if any(writer.shard.dirty_jobs for writer in self.writers.values()):
             await self.flush.set()
 
     async def _call_workers(self, machines: MachineShard, valid: bool) -> None:
         """Send what is due. What there is no connection for stays due: a call that can't be made
         would count as unanswered, and after two of them a machine gets no calls any more."""
-        machines.check_silence()
-        machines.shed()
+        machines.expire_leases()
+        machines.deschedule()
         for machine in machines.reconcile():
-            if self.calling >= self.most_calls:
+            if self.worker_calls >= self.max_worker_calls:
                 continue
-            orders = machines.orders(machine, valid)
-            if orders.commands or machine.doubted or machine.unheard_do:
-                machine.busy = True
-                self.calling += 1
+            orders = machines.commands_for(machine, valid)
+            if orders.commands or machine.needs_probe or machine.unanswered_commands:
+                machine.command_in_flight = True
+                self.worker_calls += 1
                 await curio.spawn(
                     self._call, machines, machine, machine.address, orders, daemon=True
                 )
@@ -415,11 +431,11 @@
     ) -> None:
         """A call that is counted until it has ended."""
         try:
-            await self._do(machines, machine, address, orders)
+            await self._send_commands(machines, machine, address, orders)
         finally:
-            self.calling -= 1
+            self.worker_calls -= 1
 
-    async def _do(
+    async def _send_commands(
         self,
         machines: MachineShard,
         machine: Machine | None,
@@ -427,77 +443,81 @@
         orders: api.Commands,
     ) -> None:
         """Commands straight to a worker; the answer's body is its newest report."""
-        asked = machine.mark() if machine is not None else None
+        asked = machine.position() if machine is not None else None
         try:
             body = msgspec.json.encode(orders)
-            wait = self.world.tuning.reply_wait_s
+            wait = self.context.tuning.reply_wait_s
             reply = await self.http.call(address, "POST", api.COMMANDS, body, wait)
             report = api.decode_report(reply.body)
-            if machines.deleted(report.machine):
+            if machines.is_deleted(report.machine):
                 return
-            taken = machines.take_report(report, False, asked)
+            taken = machines.apply_report(report, False, asked)
             if reply.status == 409:
-                machines.refused_orders(taken)
+                machines.on_command_rejected(taken)
             elif reply.status != 200:
-                raise NoAnswer(f"status {reply.status}")
-            elif taken.launches:
-                taken.retry_at = self.world.now() + 0.3
-        except (NoAnswer, api.FieldFault) as why:
+                raise NoResponseError(f"status {reply.status}")
+            elif taken.pending_launches:
+                taken.retry_at = self.context.now() + 0.3
+        except (NoResponseError, api.ValidationError) as error:
             if machine is not None:
-                machines.unanswered(machine, orders, not isinstance(why, NotSent))
+                machines.on_command_unanswered(
+                    machine, orders, not isinstance(error, ConnectionFailedError)
+                )
         finally:
             if machine is not None:
-                machine.busy = False
+                machine.command_in_flight = False
         await self.wake.set()
 
     # --- messages
 
     async def on_message(self, envelope: pb.Envelope) -> pb.Envelope | None:
         kind = envelope.WhichOneof("body")
-        if kind == "hello":
-            await self.on_hello(envelope.sender, envelope.hello)
-        elif kind == "view":
-            judged = self.exchange.take_view(envelope.view)
+        if kind == "gossip":
+            await self.on_gossip(envelope.sender, envelope.gossip)
+        elif kind == "snapshot":
+            judged = self.state_sync.apply_snapshot(envelope.snapshot)
             if judged is None:
-                return pb.Envelope(again=pb.Again(shard=envelope.view.shard))
+                return pb.Envelope(resync_request=pb.ResyncRequest(shard=envelope.snapshot.shard))
             if judged:
                 await self.flush.set()
             await self.wake.set()
-        elif kind == "wants":
-            self.exchange.take_wants(envelope.wants)
+        elif kind == "desired_state":
+            self.state_sync.apply_desired_state(envelope.desired_state)
             await self.wake.set()
-        elif kind == "reserve":
-            return pb.Envelope(reserved=self.on_reserve(envelope.reserve))
-        elif kind == "forward" and envelope.forward.method == REPORT:
-            response = await self.reports.take(envelope.forward.body, True)
+        elif kind == "reserve_request":
+            return pb.Envelope(reserve_reply=self.on_reserve(envelope.reserve_request))
+        elif kind == "forward_request" and envelope.forward_request.method == REPORT:
+            response = await self.heartbeat_api.handle(envelope.forward_request.body, True)
             await self.wake.set()
-            forwarded = pb.Forwarded(status=response.status, body=response.body)
-            return pb.Envelope(forwarded=forwarded)
-        elif kind == "forward":
-            done = await self.users.forwarded(envelope.forward)
+            forwarded = pb.ForwardReply(status=response.status, body=response.body)
+            return pb.Envelope(forward_reply=forwarded)
+        elif kind == "forward_request":
+            done = await self.job_api.handle_forwarded(envelope.forward_request)
             await self.wake.set()
-            return pb.Envelope(forwarded=done)
+            return pb.Envelope(forward_reply=done)
         return None
 
-    def on_reserve(self, msg: pb.Reserve) -> pb.Reserved:
-        machines = self.machines.get(msg.to_shard)
-        if machines is None or not self.membership.valid():
-            return pb.Reserved()
-        return machines.reserve(msg)
-
-    def on_again(self, node: int, shard: int) -> None:
-        self.exchange.again(node, shard)
-
-    def hello(self) -> pb.Hello:
-        out = pb.Hello()
-        for shard, holder in self.membership.holders.items():
-            out.holdings.add(shard=shard, node=holder.node, token=holder.token, gen=holder.gen)
-        out.demands.extend(self.planner.demands.get(self.world.node, (0.0, []))[1])
-        now = self.world.now()
-        out.deleted.extend(n for n, at in self.deleted.items() if now - at <= DELETED_TOLD_S)
-        for (team, shard), want in self.transfers.needs.items():
-            task = self.transfers.least(team, shard)
-            out.needs.add(
+    def on_reserve(self, message: pb.ReserveRequest) -> pb.ReserveReply:
+        machines = self.machines.get(message.to_shard)
+        if machines is None or not self.membership.lease_is_valid():
+            return pb.ReserveReply()
+        return machines.reserve(message)
+
+    def on_resync_request(self, node: int, shard: int) -> None:
+        self.state_sync.on_resync_request(node, shard)
+
+    def build_gossip(self) -> pb.Gossip:
+        out = pb.Gossip()
+        for shard, owner in self.membership.owners.items():
+            out.ownerships.add(shard=shard, node=owner.node, token=owner.token, epoch=owner.epoch)
+        out.demands.extend(self.planner.demands.get(self.context.node, (0.0, []))[1])
+        now = self.context.now()
+        out.deleted_machines.extend(
+            n for n, at in self.deleted_machines.items() if now - at <= DELETED_ANNOUNCE_S
+        )
+        for (team, shard), want in self.quota_transfer.quota_needs.items():
+            task = self.quota_transfer.smallest_task(team, shard)
+            out.quota_needs.add(
                 team=team,
                 shard=shard,
                 cpus=want[0],
@@ -506,79 +526,81 @@
                 task_gpus=task[1],
             )
         for job in self.planner.own_team_jobs():
-            out.jobs.add(
+            out.team_jobs.add(
                 team=job.team,
-                at_ms=job.at_ms,
+                submitted_ms=job.submitted_ms,
                 id=job.id,
                 cpus=job.cpus,
                 gpus=job.gpus,
                 rank=job.rank,
             )
         if self.admission.durable is not None:
-            self.admission.durable.greet(out)
+            self.admission.durable.add_to_gossip(out)
         if self.overload is not None:
-            self.overload.greet(out)
+            self.overload.add_to_gossip(out)
         return out
 
-    async def on_hello(self, sender: int, hello: pb.Hello) -> None:
-        for item in hello.holdings:
-            holder = Holder(item.node, item.token, item.gen)
-            await self.membership.seen_elsewhere(item.shard, holder)
-        self.planner.demands[sender] = (self.world.now(), list(hello.demands))
+    async def on_gossip(self, sender: int, gossip: pb.Gossip) -> None:
+        for item in gossip.ownerships:
+            owner = ShardOwner(item.node, item.token, item.epoch)
+            await self.membership.observe_owner(item.shard, owner)
+        self.planner.demands[sender] = (self.context.now(), list(gossip.demands))
         self.planner.team_jobs[sender] = [
-            TeamJob(j.team, j.at_ms, j.id, j.cpus, j.gpus, j.rank) for j in hello.jobs
+            TeamJob(j.team, j.submitted_ms, j.id, j.cpus, j.gpus, j.rank) for j in gossip.team_jobs
         ]
-        for need in hello.needs:
+        for need in gossip.quota_needs:
             task = (need.task_cpus, need.task_gpus)
-            await self.transfers.give(need.team, need.shard, (need.cpus, need.gpus), task)
+            await self.quota_transfer.transfer_to(
+                need.team, need.shard, (need.cpus, need.gpus), task
+            )
         if self.admission.durable is not None:
-            self.admission.durable.greeted(sender, hello)
+            self.admission.durable.receive_gossip(sender, gossip)
         if self.overload is not None:
-            self.overload.greeted(hello)
-        fresh = [name for name in hello.deleted if name not in self.deleted]
+            self.overload.receive_gossip(gossip)
+        fresh = [name for name in gossip.deleted_machines if name not in self.deleted_machines]
         if fresh:
-            self.note_deleted(fresh)
+            self.record_deleted(fresh)
 
     # --- durable changes
 
     async def write_loop(self) -> None:
         while True:
-            idle_s = min((w.idle_s for w in self.writers.values()), default=IDLE_S)
+            idle_s = min((w.idle_wait_s for w in self.writers.values()), default=IDLE_WAIT_S)
             async with curio.ignore_after(idle_s):
                 await self.flush.wait()
             self.flush.clear()
             for writer in list(self.writers.values()):
                 try:
-                    while self.membership.valid() and await writer.flush():
+                    while self.membership.lease_is_valid() and await writer.flush():
                         await self.wake.set()
-                except (StateError, LeaseLost, msgspec.DecodeError) as why:
-                    log.info("shard %d: not written: %r", writer.shard.shard, why)
-                    await curio.sleep(0.1 + 0.2 * self.world.rng.random())
-                if writer.lost:
+                except (StateError, LeaseLostError, msgspec.DecodeError) as error:
+                    log.info("shard %d: not written: %r", writer.shard.shard, error)
+                    await curio.sleep(0.1 + 0.2 * self.context.rng.random())
+                if writer.ownership_lost:
                     self.membership.synced = False
                     await curio.sleep(0.1)
 
     # --- fleet
 
-    def note_deleted(self, names: list[str]) -> None:
+    def record_deleted(self, names: list[str]) -> None:
         """Known for longer than all controllers one after the other tell it: who had forgotten a
         name took it for news from one that still told it, and names were told for ever."""
-        now = self.world.now()
-        kept_s = DELETED_TOLD_S * (self.world.shards + 1)
+        now = self.context.now()
+        kept_s = DELETED_ANNOUNCE_S * (self.context.shard_count + 1)
         for name in names:
-            self.deleted[name] = now
+            self.deleted_machines[name] = now
             for machines in self.machines.values():
                 machines.mark_deleted(name)
-        for name in [n for n, at in self.deleted.items() if now - at > kept_s]:
-            del self.deleted[name]
+        for name in [n for n, at in self.deleted_machines.items() if now - at > kept_s]:
+            del self.deleted_machines[name]
 
-    async def fleet_loop(self) -> None:
+    async def autoscaling_loop(self) -> None:
         while True:
             await curio.sleep(0.5)
-            if self.fleet is None or not self.membership.valid():
+            if self.autoscaler is None or not self.membership.lease_is_valid():
                 continue
             try:
-                await self.fleet.step()
-            except CloudError as why:
-                log.info("cloud: %s", why or "no capacity")
-                await curio.sleep(0.5 + 0.5 * self.world.rng.random())
+                await self.autoscaler.step()
+            except CloudError as error:
+                log.info("cloud: %s", error or "no capacity")
+                await curio.sleep(0.5 + 0.5 * self.context.rng.random())
--- a/starlingdeck/counts/ledger.py
+++ b/starlingdeck/counts/ledger.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from starlingdeck.machines.machine import may_preempt
-from starlingdeck.protocol.api import MOST_UNITS
+from starlingdeck.protocol.api import MAX_UNITS
 
 
 class Ledger(Struct, omit_defaults=True, frozen=True):
@@ -40,10 +40,10 @@
     by: str = ""
 
 
-def sound(ledger: Ledger, shards: int) -> bool:
+def is_valid(ledger: Ledger, shards: int) -> bool:
     """Whether a ledger that was read can be reckoned with."""
     amounts = (ledger.ceiling, *ledger.held)
-    return len(ledger.held) == shards and all(0 <= n <= MOST_UNITS for n in amounts)
+    return len(ledger.held) == shards and all(0 <= n <= MAX_UNITS for n in amounts)
 
 
 def cap(ledger: Ledger, shard: int) -> int:
@@ -85,7 +85,7 @@
     claim: bool = False  # units that come free are to be kept for it
 
 
-def better(one: Waiter, other: Waiter, turn_ms: float) -> bool:
+def outranks(one: Waiter, other: Waiter, turn_ms: float) -> bool:
     """Whether `one` goes before `other`, which waits at another shard.
 
     Guarantee, then rank; among equals whoever came clearly earlier. Strictly by arrival, units
@@ -99,7 +99,7 @@
     return one.at_ms + turn_ms < other.at_ms
 
 
-class Use(Struct, frozen=True):
+class UnitUse(Struct, frozen=True):
     """A task that holds units, for choosing which is to stop."""
 
     shard: int
@@ -113,7 +113,7 @@
     yields: bool = False
 
 
-def victims(uses: Iterable[Use], excess: int, new: Waiter | None = None) -> list[Use]:
+def victims(uses: Iterable[UnitUse], excess: int, new: Waiter | None = None) -> list[UnitUse]:
     """Which tasks are to stop so that `excess` units come free: lowest rank, youngest first.
 
     Those already told to count first. For a waiter only work that it may preempt, and nobody
--- a/starlingdeck/counts/ledger_store.py
+++ b/starlingdeck/counts/ledger_store.py
@@ -7,22 +7,22 @@
 import msgspec
 from msgspec import Struct, field
 
-from starlingdeck.context import World
+from starlingdeck.context import ControllerContext
 from starlingdeck.counts import ledger
 from starlingdeck.counts.ledger import Ledger
-from starlingdeck.jobs.job import Job, Place
+from starlingdeck.jobs.job import Job, TaskPlacement
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
-from starlingdeck.storage.state import StateClient, put
+from starlingdeck.storage.state import StateClient, put_change
 
 log = logging.getLogger(__name__)
 
 CONFLICT_S = (0.005, 0.020)  # a ledger that another shard changed is read again after this
 
 
-class Doubt(Struct):
+class UncertainWrite(Struct):
     """Writes of a shard that may be executed yet, while these ledgers have these stamps."""
 
     shard: JobShard
@@ -31,32 +31,34 @@
     jobs: set[int] = field(default_factory=set)
 
 
-class Books:
+class LedgerStore:
     """Ledgers are cached from the watch on their keys, one a declared count; a stale one costs a
     conflict, never a unit too many."""
 
     prefix = records.COUNTS
 
-    def __init__(self, world: World, state: StateClient, writers: Mapping[int, Writer]) -> None:
-        self.world = world
+    def __init__(
+        self, context: ControllerContext, state: StateClient, writers: Mapping[int, RecordWriter]
+    ) -> None:
+        self.context = context
         self.state = state
         self.writers = writers
         self.ledgers: dict[int, Ledger] = {}
         self.stamps: dict[int, int] = {}
-        self.doubts: dict[int, Doubt] = {}
+        self.uncertain_writes: dict[int, UncertainWrite] = {}
         self.freed_at: dict[int, list[float]] = {}  # count -> when ends were proven, for the meters
         self.fresh = False  # since the last plan: units of a ledger came free
 
-    def learn(self, key: str, value: bytes, version: int) -> None:
+    def on_key_changed(self, key: str, value: bytes, version: int) -> None:
         name = key[len(self.prefix) :]
         if not api.COUNT.fullmatch(name):
             raise ValueError("no name of a count")
         new = msgspec.json.decode(value, type=Ledger)
-        if not ledger.sound(new, self.world.shards):
+        if not ledger.is_valid(new, self.context.shard_count):
             raise ValueError(f"a ledger that can't be: {new}")
-        self.keep(self.world.counts.put(name), new, version)
+        self.store(self.context.resource_names.intern(name), new, version)
 
-    def keep(self, count: int, new: Ledger, version: int) -> None:
+    def store(self, count: int, new: Ledger, version: int) -> None:
         """What a ledger says; an older reading changes nothing."""
         if version <= self.stamps.get(count, 0):
             return
@@ -64,20 +66,20 @@
         self.ledgers[count], self.stamps[count] = new, version
         self.fresh |= old is not None and new.ceiling - new.total > old.ceiling - old.total
         if old is None or old.rev != new.rev:
-            log.info("count %s: %s", self.world.counts[count], told(new))
+            log.info("count %s: %s", self.context.resource_names[count], announce(new))
 
     def key(self, count: int) -> str:
-        return records.count_key(self.world.counts[count])
+        return records.count_key(self.context.resource_names[count])
 
     async def reread(self, name: str) -> None:
         entry = await self.state.get(records.count_key(name), True)
         if entry is not None:
-            self.learn(entry.key, bytes(entry.value), entry.version)
+            self.on_key_changed(entry.key, bytes(entry.value), entry.version)
 
     # --- doubt
 
-    def in_doubt(self, shard: int, count: int) -> bool:
-        doubt = self.doubts.get(shard)
+    def is_uncertain(self, shard: int, count: int) -> bool:
+        doubt = self.uncertain_writes.get(shard)
         return doubt is not None and count in doubt.counts
 
     async def settle(self, shard: JobShard) -> None:
@@ -86,30 +88,32 @@
         Starts within what a shard holds leave the ledger as it is. A start or a release that is
         applied minutes late would find its conditions true, and the unit gone to another task.
         """
-        doubt = self.doubts.get(shard.shard)
+        doubt = self.uncertain_writes.get(shard.shard)
         if doubt is None:
             return
         if doubt.shard is shard:
             for count, stamp in list(doubt.stamps.items()):
-                await self.reread(self.world.counts[count])
+                await self.reread(self.context.resource_names[count])
                 if self.stamps[count] <= stamp:
                     conditions = {
                         self.key(count): stamp,
                         records.shard_key(shard.shard): shard.token,
                     }
                     same = self.ledgers[count]
-                    version = await self.state.txn(conditions, [put(self.key(count), same)], True)
-                    self.keep(count, same, version)
+                    version = await self.state.transact(
+                        conditions, [put_change(self.key(count), same)], True
+                    )
+                    self.store(count, same, version)
                 del doubt.stamps[count]
             for index in doubt.jobs & shard.jobs.keys():
                 shard.jobs[index].stale = True
-        del self.doubts[shard.shard]
+        del self.uncertain_writes[shard.shard]
 
-    def doubt(self, shard: JobShard, stamps: dict[int, int], jobs: Sequence[Job]) -> None:
+    def mark_uncertain(self, shard: JobShard, stamps: dict[int, int], jobs: Sequence[Job]) -> None:
         """A write that depends on these ledgers may be executed yet."""
-        found = self.doubts.get(shard.shard)
+        found = self.uncertain_writes.get(shard.shard)
         if found is None or found.shard is not shard:
-            found = self.doubts[shard.shard] = Doubt(shard)
+            found = self.uncertain_writes[shard.shard] = UncertainWrite(shard)
         found.stamps |= stamps
         found.counts |= stamps.keys()
         found.jobs |= {job.index for job in jobs}
@@ -118,22 +122,22 @@
         """Read ledgers again that another shard has changed; True if there were any."""
         ours = [key for key in failed if key.startswith(self.prefix)]
         if ours:
-            await curio.sleep(self.world.rng.uniform(*CONFLICT_S))
+            await curio.sleep(self.context.rng.uniform(*CONFLICT_S))
         for key in ours:
             await self.reread(key[len(self.prefix) :])
         return bool(ours)
 
-    def holders(self, count: int) -> Iterator[tuple[Job, int, Place, int]]:
+    def holders(self, count: int) -> Iterator[tuple[Job, int, TaskPlacement, int]]:
         """The recorded tasks here that hold units of a count, and how many."""
         for writer in self.writers.values():
             for job in writer.shard.jobs.values():
-                units = dict(job.needs).get(count, 0) if job.needs else 0
+                units = dict(job.resource_needs).get(count, 0) if job.resource_needs else 0
                 if units:
-                    for task, place in job.places.items():
-                        yield job, task, place, units
+                    for task, placement in job.placements.items():
+                        yield job, task, placement, units
 
 
-def told(found: Ledger) -> str:
+def announce(found: Ledger) -> str:
     if found.removed:
         return f"{found.total} held, removed"
     return f"{found.total} of {found.ceiling} held {list(found.held)}"
--- a/starlingdeck/fairness/demand_snapshot.py
+++ b/starlingdeck/fairness/demand_snapshot.py
@@ -9,52 +9,52 @@
 
 from msgspec import Struct, field
 
-Pair = tuple[int, str]  # team (index), class of jobs; "" for those not named
-Size = tuple[float, float, float]  # cpus, gpus, memory in GB
+TeamClass = tuple[int, str]  # team (index), class of jobs; "" for those not named
+Resources = tuple[float, float, float]  # cpus, gpus, memory in GB
 
-MOST_PAIRS = 32  # named by one part; the rest of a team's are summed
-NOTHING: Size = (0.0, 0.0, 0.0)
+MAX_TEAM_CLASSES = 32  # named by one part; the rest of a team's are summed
+NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
 
 
-class Load(Struct, frozen=True):
+class ClassDemand(Struct, frozen=True):
     """A pair's work at one shard: what has room, and what found none."""
 
-    running: Size = NOTHING
-    waiting: Size = NOTHING
+    running: Resources = NO_RESOURCES
+    waiting: Resources = NO_RESOURCES
 
 
-class Part(Struct, frozen=True):
+class ShardDemand(Struct, frozen=True):
     """One shard's, as its holder tells it. `pressed`: work there waits too long, or did lately."""
 
     shard: int
     token: int
     seq: int
-    capacity: Size
-    loads: dict[Pair, Load]
-    pressed: bool = False
+    capacity: Resources
+    loads: dict[TeamClass, ClassDemand]
+    overloaded: bool = False
 
 
-class Picture(Struct):
+class DemandSnapshot(Struct):
     """The newest part of every shard, and when it came."""
 
-    parts: dict[int, Part] = field(default_factory=dict)
-    heard: dict[int, float] = field(default_factory=dict)
+    shards: dict[int, ShardDemand] = field(default_factory=dict)
+    received_at: dict[int, float] = field(default_factory=dict)
 
-    def take(self, part: Part, now: float) -> bool:
+    def update(self, part: ShardDemand, now: float) -> bool:
         """False for a part that is older than the one known."""
-        old = self.parts.get(part.shard)
+        old = self.shards.get(part.shard)
         if old is not None and (old.token, old.seq) >= (part.token, part.seq):
             return False
-        self.parts[part.shard] = part
-        self.heard[part.shard] = now
+        self.shards[part.shard] = part
+        self.received_at[part.shard] = now
         return True
 
-    def known(self, now: float, keep_s: float) -> dict[int, Part]:
+    def known(self, now: float, keep_s: float) -> dict[int, ShardDemand]:
         """The parts that still count."""
-        return {s: p for s, p in self.parts.items() if now - self.heard[s] < keep_s}
+        return {s: p for s, p in self.shards.items() if now - self.received_at[s] < keep_s}
 
 
-def total(sizes: Iterable[Size]) -> Size:
+def total(sizes: Iterable[Resources]) -> Resources:
     cpus = gpus = memory_gb = 0.0
     for size in sizes:
         cpus += size[0]
@@ -63,19 +63,21 @@
     return cpus, gpus, memory_gb
 
 
-def bounded(loads: Mapping[Pair, Load], most: int = MOST_PAIRS) -> dict[Pair, Load]:
+def bounded(
+    loads: Mapping[TeamClass, ClassDemand], limit: int = MAX_TEAM_CLASSES
+) -> dict[TeamClass, ClassDemand]:
     """The largest loads by name; the rest of each team summed under the class \"\"."""
 
-    def rank(pair: Pair) -> tuple[float, Pair]:
+    def rank(pair: TeamClass) -> tuple[float, TeamClass]:
         load = loads[pair]
         return -max(total((load.running, load.waiting))), pair
 
     ordered = sorted((pair for pair in loads if pair[1]), key=rank)
-    named = {pair: loads[pair] for pair in ordered[:most]}
+    named = {pair: loads[pair] for pair in ordered[:limit]}
     for pair in sorted(loads.keys() - named.keys()):
-        rest = named.get((pair[0], ""), Load())
+        rest = named.get((pair[0], ""), ClassDemand())
         load = loads[pair]
-        named[(pair[0], "")] = Load(
+        named[(pair[0], "")] = ClassDemand(
             total((rest.running, load.running)), total((rest.waiting, load.waiting))
         )
     return named
--- a/starlingdeck/fairness/fair_share.py
+++ b/starlingdeck/fairness/fair_share.py
@@ -9,33 +9,35 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.fairness.demand_snapshot import Pair, Part, Size, total
+from starlingdeck.fairness.demand_snapshot import Resources, ShardDemand, TeamClass, total
 
 K = TypeVar("K", bound=Hashable)
 
 
-class Shares(Struct, frozen=True):
+class FairShares(Struct, frozen=True):
     """What follows from one picture."""
 
     overload: bool = False
-    capacity: Size = (0.0, 0.0, 0.0)
-    floors: dict[Pair, float] = field(default_factory=dict)
-    split: dict[int, dict[Pair, float]] = field(default_factory=dict)  # shard -> its part of them
-    marks: tuple[tuple[int, int, int], ...] = ()  # shard, token, seq of every part
-
-    def part(self, shard: int, pair: Pair) -> float:
+    capacity: Resources = (0.0, 0.0, 0.0)
+    minimum_shares: dict[TeamClass, float] = field(default_factory=dict)
+    split: dict[int, dict[TeamClass, float]] = field(
+        default_factory=dict
+    )  # shard -> its part of them
+    signals: tuple[tuple[int, int, int], ...] = ()  # shard, token, seq of every part
+
+    def shard_share(self, shard: int, pair: TeamClass) -> float:
         """What a shard may promise to a pair; a pair that isn't named shares its team's rest."""
         own = self.split.get(shard, {})
         found = own.get(pair)
         return own.get((pair[0], ""), 0.0) if found is None else found
 
 
-def dominant(size: Size, capacity: Size) -> float:
+def dominant_share(size: Resources, capacity: Resources) -> float:
     """The largest share of any resource that a size takes; of one that isn't there, nothing."""
     return max(s / c if c > 0 else 0.0 for s, c in zip(size, capacity, strict=True))
 
 
-def fill(wanted: Mapping[K, float], capacity: float) -> dict[K, float]:
+def water_fill(wanted: Mapping[K, float], capacity: float) -> dict[K, float]:
     """Max-min: nobody gets more than it wants, and what it leaves is split over the others."""
     left = capacity
     shares: dict[K, float] = {}
@@ -46,19 +48,19 @@
     return shares
 
 
-def fair(wanted: Mapping[Pair, float]) -> dict[Pair, float]:
+def max_min_shares(wanted: Mapping[TeamClass, float]) -> dict[TeamClass, float]:
     """Max-min over teams, then over each team's classes: classes are names that users make up,
     and a thousand of them must not be a thousand claims against another team's one."""
-    teams: dict[int, dict[Pair, float]] = {}
+    teams: dict[int, dict[TeamClass, float]] = {}
     for pair in sorted(wanted):
         teams.setdefault(pair[0], {})[pair] = wanted[pair]
-    shares: dict[Pair, float] = {}
-    for team, share in fill({t: sum(own.values()) for t, own in teams.items()}, 1.0).items():
-        shares |= fill(teams[team], share)
+    shares: dict[TeamClass, float] = {}
+    for team, share in water_fill({t: sum(own.values()) for t, own in teams.items()}, 1.0).items():
+        shares |= water_fill(teams[team], share)
     return shares
 
 
-def reckon(parts: Mapping[int, Part], shards: int, floor: float) -> Shares:
+def compute_fair_shares(parts: Mapping[int, ShardDemand], shards: int, floor: float) -> FairShares:
     """Floors, as `floor` of each pair's fair share, and their split over the shards by demand.
 
     Only machines are promised whose holders are in the picture. A shard promises no more than
@@ -67,17 +69,17 @@
     """
     capacity = total(part.capacity for part in parts.values())
     marks = tuple((s, part.token, part.seq) for s, part in sorted(parts.items()))
-    overload = any(part.pressed for part in parts.values())
+    overload = any(part.overloaded for part in parts.values())
     if not overload or max(capacity, default=0.0) <= 0:
-        return Shares(overload, capacity, marks=marks)
-    demand: dict[Pair, dict[int, float]] = {}
+        return FairShares(overload, capacity, signals=marks)
+    demand: dict[TeamClass, dict[int, float]] = {}
     for shard, part in sorted(parts.items()):
         for pair, load in part.loads.items():
-            share = dominant(total((load.running, load.waiting)), capacity)
+            share = dominant_share(total((load.running, load.waiting)), capacity)
             demand.setdefault(pair, {})[shard] = share
     wanted = {pair: sum(own.values()) for pair, own in demand.items()}
-    floors = {pair: floor * share for pair, share in fair(wanted).items()}
-    split: dict[int, dict[Pair, float]] = {shard: {} for shard in parts}
+    floors = {pair: floor * share for pair, share in max_min_shares(wanted).items()}
+    split: dict[int, dict[TeamClass, float]] = {shard: {} for shard in parts}
     for pair, own in demand.items():
         for shard, share in own.items():
             if share > 0:
@@ -87,4 +89,4 @@
         if promised > 1 / shards:
             for pair in part_of:
                 part_of[pair] /= promised * shards
-    return Shares(overload, capacity, floors, split, marks)
+    return FairShares(overload, capacity, floors, split, marks)
--- a/starlingdeck/fairness/minimum_share.py
+++ b/starlingdeck/fairness/minimum_share.py
@@ -5,18 +5,18 @@
 
 from msgspec import Struct
 
-from starlingdeck.fairness.demand_snapshot import Pair
+from starlingdeck.fairness.demand_snapshot import TeamClass
 
 LATE_SHARE = 0.25  # (start) of a floor's room for work that can't be in time any more
 SLACK = 1.5  # (start) of a part, until what is kept is given up again
 NEXT_TO_NOTHING = 1e-9
 
 
-class Work(Struct, frozen=True):
+class WorkItem(Struct, frozen=True):
     """One job at this shard. `share` is what one of its tasks takes of all capacity."""
 
     key: int
-    pair: Pair
+    pair: TeamClass
     at_ms: int
     share: float
     running: int  # tasks that have room, or are about to get it
@@ -25,11 +25,11 @@
     late: bool = False  # for every aim
 
 
-def kept(works: Sequence[Work], part: Callable[[Pair], float]) -> dict[int, int]:
+def protected_work(works: Sequence[WorkItem], part: Callable[[TeamClass], float]) -> dict[int, int]:
     """How many running tasks of each job nothing may stop for others: a pair's oldest jobs
     first, as far as its part goes. Parts move with the waits elsewhere: what is kept stays so
     up to half as much again, or tasks would be stopped soon after they were started as due."""
-    spent: dict[Pair, float] = {}
+    spent: dict[TeamClass, float] = {}
     found: dict[int, int] = {}
     for work in sorted(works, key=lambda w: (w.at_ms, w.key)):
         due, used = part(work.pair), spent.get(work.pair, 0.0)
@@ -44,13 +44,15 @@
     return found
 
 
-def first(works: Sequence[Work], part: Callable[[Pair], float]) -> list[tuple[int, int]]:
+def below_share(
+    works: Sequence[WorkItem], part: Callable[[TeamClass], float]
+) -> list[tuple[int, int]]:
     """Which waiting jobs go before all others, and with how many tasks: those of pairs that
     run less than their part, the one furthest below it first. `works` come in the order of the
     plan, which holds within a pair; a quarter of the room is for late work, oldest first, so
     that it ends too."""
-    running: dict[Pair, float] = {}
-    waiting: dict[Pair, list[Work]] = {}
+    running: dict[TeamClass, float] = {}
+    waiting: dict[TeamClass, list[WorkItem]] = {}
     for work in works:
         running[work.pair] = running.get(work.pair, 0.0) + work.running * work.share
         if work.waiting:
@@ -68,7 +70,7 @@
     return list(found.items())
 
 
-def _give(works: Sequence[Work], room: float, found: dict[int, int]) -> float:
+def _give(works: Sequence[WorkItem], room: float, found: dict[int, int]) -> float:
     """Add tasks until the room is spent; what they take. The last may overshoot: a part that is
     smaller than one task would else never start any."""
     spent = 0.0
--- a/starlingdeck/jobs/admission.py
+++ b/starlingdeck/jobs/admission.py
@@ -9,89 +9,89 @@
 
 from msgspec import Struct
 
-from starlingdeck.context import MANY
-from starlingdeck.jobs.job import Draft, Job
+from starlingdeck.context import UNBOUNDED
+from starlingdeck.jobs.job import Job, JobUpdate
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.transport.server import Request, Response
 
 
-class Wait(Struct, frozen=True):
+class WaitReason(Struct, frozen=True):
     """Why a job's next task may not start, and what would change that."""
 
-    because: str
+    reason: str
     released_by: str
 
 
-class Gate(Protocol):
+class AdmissionPlugin(Protocol):
     """One kind of limit."""
 
-    async def note(self, jobs: Sequence[Job]) -> None:
+    async def begin_cycle(self, jobs: Sequence[Job]) -> None:
         """A plan begins; these jobs have tasks to place, in no order."""
 
-    def spare(self, job: Job) -> int:
+    def headroom(self, job: Job) -> int:
         """For how many more of the job's tasks there is room. Asked in the order of the plan."""
 
-    def picked(self, job: Job, tasks: int) -> None:
+    def on_requested(self, job: Job, tasks: int) -> None:
         """Machines are being asked for that many more of the job's tasks."""
 
-    def waits(self, job: Job) -> list[Wait]:
+    def wait_reasons(self, job: Job) -> list[WaitReason]:
         """Every reason that holds now; empty if the next task may start."""
 
-    def idle(self) -> None:
+    def on_idle(self) -> None:
         """Nothing waits."""
 
 
-class Grant(Protocol):
+class TransactionReservation(Protocol):
     """What one transaction of a job shard takes and gives back."""
 
     def admit(self, job: Job) -> None:
         """Withhold those of the job's starts that there is no room for now."""
 
-    def add(self, draft: Draft) -> bool:
+    def add(self, update: JobUpdate) -> bool:
         """Take up a job's part; False if its starts can't come in."""
 
-    def drop(self) -> None:
+    def remove_last(self) -> None:
         """Take the last part out again: the transaction has no room for it."""
 
-    def size(self) -> int:
+    def key_count(self) -> int:
         """Keys so far, beside those of the jobs: each is a condition, and may be a change."""
 
-    def parts(self) -> tuple[dict[str, int], list[api.Change]]:
+    def conditions_and_changes(self) -> tuple[dict[str, int], list[api.Change]]:
         """Conditions and changes; after this nothing is added."""
 
-    def done(self, revision: int) -> None: ...
+    def on_committed(self, revision: int) -> None: ...
 
-    async def refused(self, failed: list[str]) -> bool:
+    async def on_conflict(self, failed: list[str]) -> bool:
         """The transaction met a conflict; True if it was (also) ours, and may be tried again."""
 
-    def unknown(self) -> None:
+    def on_unknown_outcome(self) -> None:
         """No answer: the transaction may be executed yet."""
 
 
-class Durable(Gate, Protocol):
+class DurablePlugin(AdmissionPlugin, Protocol):
     """A gate whose grants are written together with the starts and ends they are for."""
 
-    def due(self) -> bool:
+    def is_due(self) -> bool:
         """Whether something came free that is too dear to lie idle until the next plan."""
 
     prefix: str  # of its keys; the cluster's watch brings their changes
     path: str  # of the operators' requests that it answers
 
-    def learn(self, key: str, value: bytes, version: int) -> None: ...
+    def on_key_changed(self, key: str, value: bytes, version: int) -> None: ...
 
-    def open(self, shard: JobShard) -> Grant: ...
+    def begin_transaction(self, shard: JobShard) -> TransactionReservation: ...
 
     async def settle(self, shard: JobShard) -> None:
         """End the doubt that unanswered transactions left; marks the jobs to be read again."""
 
-    async def refuse(self, spec: api.JobSpec) -> str:
+    async def rejection_reason(self, spec: api.JobSpec) -> str:
         """Why a job can never run, or nothing."""
 
-    def greet(self, hello: pb.Hello) -> None: ...
+    def add_to_gossip(self, gossip: pb.Gossip) -> None: ...
 
-    def greeted(self, sender: int, hello: pb.Hello) -> None: ...
+    def receive_gossip(self, sender: int, gossip: pb.Gossip) -> None: ...
 
     async def serve(self, request: Request) -> Response: ...
 
@@ -101,50 +101,50 @@
         """For the log, once a minute."""
 
 
-class Admission:
+class AdmissionController:
     """All gates in one."""
 
-    def __init__(self, gates: list[Gate]) -> None:
-        self.gates = gates
-        self.durable: Durable | None = None  # asked of jobs with needs only
+    def __init__(self, gates: list[AdmissionPlugin]) -> None:
+        self.plugins = gates
+        self.durable: DurablePlugin | None = None  # asked of jobs with needs only
 
-    def install(self, gate: Durable) -> None:
+    def register(self, gate: DurablePlugin) -> None:
         self.durable = gate
 
-    def _all(self) -> list[Gate]:
-        return self.gates if self.durable is None else [*self.gates, self.durable]
+    def _all(self) -> list[AdmissionPlugin]:
+        return self.plugins if self.durable is None else [*self.plugins, self.durable]
 
-    async def note(self, jobs: Sequence[Job]) -> None:
+    async def begin_cycle(self, jobs: Sequence[Job]) -> None:
         for gate in self._all():
-            await gate.note(jobs)
-
-    def spare(self, job: Job) -> int:
-        room = MANY
-        for gate in self.gates:
-            room = min(room, gate.spare(job))
-        if job.needs:
-            room = min(room, self.durable.spare(job)) if self.durable is not None else 0
+            await gate.begin_cycle(jobs)
+
+    def headroom(self, job: Job) -> int:
+        room = UNBOUNDED
+        for gate in self.plugins:
+            room = min(room, gate.headroom(job))
+        if job.resource_needs:
+            room = min(room, self.durable.headroom(job)) if self.durable is not None else 0
         return room
 
-    def picked(self, job: Job, tasks: int) -> None:
+    def on_requested(self, job: Job, tasks: int) -> None:
         for gate in self._all() if tasks else ():
-            gate.picked(job, tasks)
+            gate.on_requested(job, tasks)
 
-    def waits(self, job: Job) -> list[Wait]:
+    def wait_reasons(self, job: Job) -> list[WaitReason]:
         """Every reason that holds now; empty if the next task may start."""
-        if job.needs and self.durable is None:
-            return [Wait("counts are switched off here", "a controller that keeps them")]
-        return [why for gate in self._all() for why in gate.waits(job)]
+        if job.resource_needs and self.durable is None:
+            return [WaitReason("counts are switched off here", "a controller that keeps them")]
+        return [error for gate in self._all() for error in gate.wait_reasons(job)]
 
-    def due(self) -> bool:
-        return self.durable is not None and self.durable.due()
+    def is_due(self) -> bool:
+        return self.durable is not None and self.durable.is_due()
 
-    async def refuse(self, spec: api.JobSpec) -> str:
+    async def rejection_reason(self, spec: api.JobSpec) -> str:
         """Why a job can never run, or nothing."""
         if self.durable is not None:
-            return await self.durable.refuse(spec)
+            return await self.durable.rejection_reason(spec)
         return "counts: none are kept here" if any((spec.counts or {}).values()) else ""
 
-    def idle(self) -> None:
+    def on_idle(self) -> None:
         for gate in self._all():
-            gate.idle()
+            gate.on_idle()
--- a/starlingdeck/jobs/commit_log.py
+++ b/starlingdeck/jobs/commit_log.py
@@ -10,7 +10,7 @@
 
 from starlingdeck.storage.commit_log import (
     JobChange,
-    Logged,
+    LoggedChange,
     LogView,
     encode_commit,
     encode_segment,
@@ -18,10 +18,10 @@
 )
 from starlingdeck.storage.records import LOG_START, Chunk, Position
 
-SLOTS = 64
+MAX_SLOTS = 64
 SEGMENT_BYTES = 4096  # (start) of a segment that takes no further commit
 VALUE_SPARE = 200  # bytes of a value beside its commits
-CHECKPOINT_AT = SLOTS // 4  # clean slots below which records are rewritten
+CHECKPOINT_AT = MAX_SLOTS // 4  # clean slots below which records are rewritten
 RESERVED = 4  # slots that only ends may use
 
 ChunkId = tuple[int, int]  # a job's index and the number of a chunk of its record
@@ -66,7 +66,7 @@
         self.lost: set[int] = set()  # slots whose segment can't be read; kept as they are
         self.open: int | None = None
         self.where: defaultdict[ChunkId, set[int]] = defaultdict(set)  # the slots it is dirty in
-        self.tail: defaultdict[str, list[Logged]] = defaultdict(list)
+        self.tail: defaultdict[str, list[LoggedChange]] = defaultdict(list)
         self.unknown: Prepared | None = None
         self.durable: Position = LOG_START  # all commits up to here are in memory
 
@@ -90,7 +90,7 @@
                 self.where[chunk].discard(slot)
 
     def adopt_job(
-        self, index: int, name: str, chunks: Mapping[int, Chunk], changes: Sequence[Logged]
+        self, index: int, name: str, chunks: Mapping[int, Chunk], changes: Sequence[LoggedChange]
     ) -> None:
         """Notes which of a job's changes its record doesn't hold yet."""
         for logged in changes:
@@ -120,7 +120,7 @@
 
     def _clean(self) -> Iterator[int]:
         """Slots that may be begun anew, but for the open one."""
-        for slot in range(SLOTS):
+        for slot in range(MAX_SLOTS):
             if slot in self.lost or slot == self.open:
                 continue
             found = self.slots.get(slot)
@@ -178,7 +178,7 @@
         for change, index in zip(commit.changes, commit.jobs, strict=True):
             for number in change.chunks():
                 self._mark(commit.slot, (index, number))
-            self.tail[change.job].append(Logged(commit.position, commit.slot, change))
+            self.tail[change.job].append(LoggedChange(commit.position, commit.slot, change))
 
     def fence(self, commit: Prepared) -> msgspec.Raw:
         """What its key holds without a commit: once written, that can't be carried out any more."""
@@ -219,14 +219,14 @@
         if not any((index, number) in self.where for number in numbers):
             self.tail.pop(name, None)
 
-    def oldest_dirty(self, most: int) -> list[ChunkId]:
+    def oldest_dirty(self, limit: int) -> list[ChunkId]:
         """The chunks to rewrite so that the oldest slots come free."""
         found: dict[ChunkId, None] = {}
         for slot in sorted(self.slots.values(), key=lambda s: s.last):
             found.update(dict.fromkeys(slot.dirty))
-            if len(found) >= most:
+            if len(found) >= limit:
                 break
-        return list(found)[:most]
+        return list(found)[:limit]
 
     @property
     def empty(self) -> bool:
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -10,15 +10,21 @@
 import msgspec
 from msgspec import Struct
 
-from starlingdeck.context import World
+from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.commit_log import Prepared
-from starlingdeck.jobs.job import URGENT, Draft, Job
+from starlingdeck.jobs.job import MIN_URGENT_RANK, Job, JobUpdate
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import GroupCommitSettings
 from starlingdeck.storage import records
 from starlingdeck.storage.commit_log import JobChange, read_segments, segment_key
-from starlingdeck.storage.state import Conflict, StateClient, StateError, StateUnknown, put
+from starlingdeck.storage.state import (
+    OutcomeUnknownError,
+    StateClient,
+    StateError,
+    TransactionConflictError,
+    put_change,
+)
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +40,7 @@
 class Batch(Struct):
     """What goes into the next commit. `more`: not all that waits did."""
 
-    drafts: list[Draft] = []
+    drafts: list[JobUpdate] = []
     changes: list[JobChange] = []
     encoded: list[bytes] = []
     conditions: dict[str, int] = {}
@@ -49,12 +55,12 @@
 
     def __init__(
         self,
-        world: World,
+        context: ControllerContext,
         state: StateClient,
         shard: JobShard,
         settings: GroupCommitSettings | None,
     ) -> None:
-        self.world = world
+        self.context = context
         self.state = state
         self.shard = shard
         self.settings = settings
@@ -65,22 +71,26 @@
 
     def by_log(self, job: Job) -> bool:
         """Whether a job's next write is a commit of the log; else its record is rewritten."""
-        if self.settings is None or job.needs or not (job.ends or job.starts):
+        if (
+            self.settings is None
+            or job.resource_needs
+            or not (job.pending_ends or job.pending_starts)
+        ):
             return False
-        if self.shard.final_of(job):
+        if self.shard.terminal_state_of(job):
             return False
         # Without any room the ends go on by records, and the starts wait.
-        return not job.ends or self.shard.log.bytes_free() >= LEAST_BYTES
+        return not job.pending_ends or self.shard.commit_log.bytes_free() >= LEAST_BYTES
 
     def may_start(self) -> bool:
         """Whether starts may be recorded at all: a full log holds them back."""
-        return self.settings is None or self.shard.log.bytes_free(True) >= LEAST_BYTES
+        return self.settings is None or self.shard.commit_log.bytes_free(True) >= LEAST_BYTES
 
     def due_s(self) -> float | None:
         """How long until the next commit; None when nothing waits for one."""
         if self.settings is None:
             return None
-        now = self.world.now()
+        now = self.context.now()
         waiting = self._waiting()
         self.since = {job.index: self.since.get(job.index, now) for job in waiting}
         if self.at_once and waiting:
@@ -89,16 +99,16 @@
         return max(0.0, min(due) - now) if due else None
 
     def _waiting(self) -> list[Job]:
-        jobs = (self.shard.jobs.get(index) for index in self.shard.dirty)
+        jobs = (self.shard.jobs.get(index) for index in self.shard.dirty_jobs)
         starting = self.may_start()
         return [
             job
             for job in jobs
             if job is not None
             and not job.stale
-            and (job.ends or (job.starts and starting and not job.cancelled))
+            and (job.pending_ends or (job.pending_starts and starting and not job.cancelled))
             and self.by_log(job)
-            and not self.world.rests("job", job.id)
+            and not self.context.is_quarantined("job", job.id)
         ]
 
     @staticmethod
@@ -111,8 +121,8 @@
         """As much of what waits as one commit takes, urgent starts first."""
         batch = Batch()
         starting = self.may_start()
-        room = self.shard.log.bytes_free(starting)
-        txn_ops = self.world.settings.settings.state.txn_ops
+        room = self.shard.commit_log.bytes_free(starting)
+        txn_ops = self.context.settings.settings.state.txn_ops
         allowed = CONDITIONS * txn_ops - 2  # the shard's key and the commit's own
         waiting = self._waiting()
         waiting.sort(key=lambda j: (not _urgent(j), self.since.get(j.index, 0.0)))
@@ -123,23 +133,23 @@
                 break
             try:
                 # The record's own key is a condition as well.
-                part = self.shard.draft_change(job, starting, max(1, left - 1), MOST_TASKS)
-            except Exception as why:
-                self.world.set_aside("job", job.id, why)
+                part = self.shard.draft_log_change(job, starting, max(1, left - 1), MOST_TASKS)
+            except Exception as error:
+                self.context.quarantine_failed("job", job.id, error)
                 continue
             if part is None:
-                self.shard.dirty.discard(job.index)
+                self.shard.dirty_jobs.discard(job.index)
                 continue
-            draft, change = part
+            update, change = part
             encoded = msgspec.json.encode(change)
-            if len(encoded) + 1 > room or len(draft.conditions) > left:
+            if len(encoded) + 1 > room or len(update.conditions) > left:
                 batch.more = True
                 continue
             room -= len(encoded) + 1
-            batch.drafts.append(draft)
+            batch.drafts.append(update)
             batch.changes.append(change)
             batch.encoded.append(encoded)
-            batch.conditions |= draft.conditions
+            batch.conditions |= update.conditions
         return batch
 
     async def commit(self, batch: Batch) -> bool:
@@ -147,25 +157,25 @@
         shard_key = records.shard_key(self.shard.shard)
         token = self.shard.token
         jobs = [draft.job.index for draft in batch.drafts]
-        commit = self.shard.log.prepare(batch.changes, batch.encoded, jobs)
+        commit = self.shard.commit_log.prepare(batch.changes, batch.encoded, jobs)
         conditions = {shard_key: token, commit.key: commit.version, **batch.conditions}
         added = self._doubt(batch)
         try:
-            change = put(commit.key, commit.value)
-            revision = await self.state.txn(conditions, [change], True)
-        except Conflict as fault:
+            change = put_change(commit.key, commit.value)
+            revision = await self.state.transact(conditions, [change], True)
+        except TransactionConflictError as error:
             self._undoubt(added)
-            return await self._refused(fault, batch, commit, token)
-        except StateUnknown:
+            return await self._refused(error, batch, commit, token)
+        except OutcomeUnknownError:
             # Until it is known whether it was carried out, nothing else of the shard is written.
-            self.shard.log.unknown = commit
-            for draft in batch.drafts:
-                draft.job.stale = True
+            self.shard.commit_log.unknown = commit
+            for update in batch.drafts:
+                update.job.stale = True
             raise
         except StateError:
             self._undoubt(added)
             raise
-        self.shard.log.written(commit, revision)
+        self.shard.commit_log.written(commit, revision)
         self.at_once = batch.more
         await self._apply(batch, added, revision)
         return True
@@ -173,40 +183,44 @@
     async def _apply(self, batch: Batch, added: list[Doubts], revision: int) -> None:
         """Make a durable commit true here, job by job: hundreds of tasks at a stretch let
         submissions wait. Until its turn a job's answers come from the log."""
-        began = self.world.now()
-        for draft, doubts in zip(batch.drafts, added, strict=True):
-            self.since.pop(draft.job.index, None)
-            self.shard.commit(draft, revision)
+        began = self.context.now()
+        for update, doubts in zip(batch.drafts, added, strict=True):
+            self.since.pop(update.job.index, None)
+            self.shard.apply_update(update, revision)
             self._undoubt([doubts])
-            if self.world.now() - began > STRETCH_S:
+            if self.context.now() - began > STRETCH_S:
                 await curio.sleep(0)
-                began = self.world.now()
+                began = self.context.now()
 
     def _doubt(self, batch: Batch) -> list[Doubts]:
         """Others that read the log may tell its users of an end before we know: until then the
         job's answers come from there as well."""
         added = []
-        for draft, change in zip(batch.drafts, batch.changes, strict=True):
-            ended = {task // records.CHUNK for task in change.done} - draft.job.in_doubt
-            draft.job.in_doubt |= ended
-            added.append((draft.job, ended))
+        for update, change in zip(batch.drafts, batch.changes, strict=True):
+            ended = {
+                task // records.TASKS_PER_CHUNK for task in change.done
+            } - update.job.uncertain_chunks
+            update.job.uncertain_chunks |= ended
+            added.append((update.job, ended))
         return added
 
     @staticmethod
     def _undoubt(added: list[Doubts]) -> None:
         for job, ended in added:
-            job.in_doubt -= ended
+            job.uncertain_chunks -= ended
 
-    async def _refused(self, fault: Conflict, batch: Batch, commit: Prepared, token: int) -> bool:
+    async def _refused(
+        self, error: TransactionConflictError, batch: Batch, commit: Prepared, token: int
+    ) -> bool:
         """Nothing was written: another controller changed a record, or the shard isn't ours."""
-        if records.shard_key(self.shard.shard) in fault.failed:
+        if records.shard_key(self.shard.shard) in error.failed:
             return token != self.shard.token  # our token rose meanwhile
-        if commit.key in fault.failed:
+        if commit.key in error.failed:
             # Its version is not the one that we know: look what it holds before writing on.
-            self.shard.log.unknown = commit
-        for draft in batch.drafts:
-            if any(key in fault.failed for key in draft.conditions):
-                draft.job.stale = True
+            self.shard.commit_log.unknown = commit
+        for update in batch.drafts:
+            if any(key in error.failed for key in update.conditions):
+                update.job.stale = True
         return True
 
     # --- a commit of unknown fate
@@ -217,7 +231,7 @@
         A commit that was not yet carried out may be at any time, after newer writes: its key is
         written again without it first, and so its condition can't hold any more.
         """
-        commit = self.shard.log.unknown
+        commit = self.shard.commit_log.unknown
         if commit is None:
             return
         entry = await self.state.get(commit.key, True)
@@ -228,57 +242,59 @@
             self._read_fate(commit, entry)
         else:
             raise StateError(f"{commit.key} is gone")
-        self.shard.log.unknown = None
+        self.shard.commit_log.unknown = None
         for index in commit.jobs:
             job = self.shard.jobs.get(index)
             if job is not None:
                 job.stale = True  # read again, with what is now known of the log
-                job.in_doubt.clear()
+                job.uncertain_chunks.clear()
 
     async def _fence(self, commit: Prepared) -> None:
-        key, ring = records.shard_key(self.shard.shard), self.shard.log
+        key, ring = records.shard_key(self.shard.shard), self.shard.commit_log
         conditions = {key: self.shard.token, commit.key: commit.version}
         try:
-            version = await self.state.txn(conditions, [put(commit.key, ring.fence(commit))], True)
-        except Conflict as fault:
-            raise StateError(f"a commit's fate is still open: {fault}") from fault
+            version = await self.state.transact(
+                conditions, [put_change(commit.key, ring.fence(commit))], True
+            )
+        except TransactionConflictError as error:
+            raise StateError(f"a commit's fate is still open: {error}") from error
         ring.fenced(commit, version)
         log.info("shard %d: a commit without an answer was fenced off", self.shard.shard)
 
     def _read_fate(self, commit: Prepared, entry: api.Entry) -> None:
         if commit.position in read_segments([entry]).last.values():
-            self.shard.log.written(commit, entry.version)
+            self.shard.commit_log.written(commit, entry.version)
             log.info("shard %d: a commit without an answer was carried out", self.shard.shard)
         else:
-            self.shard.log.fenced(commit, entry.version)
+            self.shard.commit_log.fenced(commit, entry.version)
 
     # --- segments that nobody needs any more
 
     def checkpoint_due(self) -> bool:
         """Whether records are to be rewritten so that segments come free; all of them, once the
         log is not written any more."""
-        ring = self.shard.log
+        ring = self.shard.commit_log
         return ring.checkpoint_due() if self.settings is not None else not ring.clean
 
-    def leftover(self, most: int) -> dict[str, int]:
+    def leftover(self, limit: int) -> dict[str, int]:
         """Keys of a log that is not written any more and that all records are past, by version."""
-        ring = self.shard.log
+        ring = self.shard.commit_log
         if self.settings is not None or ring.empty or not ring.clean:
             return {}
-        slots = list(ring.slots.items())[:most]
+        slots = list(ring.slots.items())[:limit]
         return {segment_key(self.shard.shard, n): slot.version for n, slot in slots}
 
     async def delete(self, keys: dict[str, int]) -> None:
         conditions = {records.shard_key(self.shard.shard): self.shard.token, **keys}
         try:
-            await self.state.txn(conditions, [api.Change(delete=key) for key in keys])
-        except Conflict as fault:
-            log.info("shard %d: segments not deleted: %s", self.shard.shard, fault)
+            await self.state.transact(conditions, [api.Change(delete=key) for key in keys])
+        except TransactionConflictError as error:
+            log.info("shard %d: segments not deleted: %s", self.shard.shard, error)
             return
-        self.shard.log.dropped(keys)
-        if self.shard.log.empty:
+        self.shard.commit_log.dropped(keys)
+        if self.shard.commit_log.empty:
             log.info("shard %d: the commit log is empty", self.shard.shard)
 
 
 def _urgent(job: Job) -> bool:
-    return bool(job.starts) and job.spec.rank >= URGENT
+    return bool(job.pending_starts) and job.spec.rank >= MIN_URGENT_RANK
