--- a/starlingdeck/jobs/job_shard.py
+++ b/starlingdeck/jobs/job_shard.py
@@ -9,454 +9,515 @@
 
 import msgspec
 
-from starlingdeck.context import World
+from starlingdeck.context import ControllerContext
 from starlingdeck.interning import split_key, task_key
 from starlingdeck.jobs.commit_log import CommitLog
 from starlingdeck.jobs.job import (
     DONE,
     PENDING,
     PLACED,
-    Draft,
     Job,
-    Out,
-    Place,
-    densest,
+    JobUpdate,
+    Outbox,
+    TaskPlacement,
+    densest_chunks,
     encode_chunk,
-    placement,
+    encode_placement,
 )
-from starlingdeck.machines.shard_snapshot import Sight
-from starlingdeck.metrics import counters as tally
+from starlingdeck.machines.shard_snapshot import ShardSnapshot
+from starlingdeck.metrics import counters
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.commit_log import JobChange
-from starlingdeck.storage.records import CHUNK, JobRecord
-from starlingdeck.storage.state import drop, put
+from starlingdeck.storage.records import TASKS_PER_CHUNK, JobRecord
+from starlingdeck.storage.state import delete_change, put_change
 
 log = logging.getLogger(__name__)
 
-FINALS_KEPT = 5000  # jobs that are over and answered without a question; the record knows all
-PARTS_KEPT_S = 10.0  # (start) of ended arrays: a look that began before the end reads them still
-SPARE_BYTES = 200  # of a value, left free by starts
+MAX_TERMINAL_JOBS = 5000  # jobs that are over and answered without a question; the record knows all
+OBSOLETE_KEY_RETENTION_S = (
+    10.0  # (start) of ended arrays: a look that began before the end reads them still
+)
+RESERVED_VALUE_BYTES = 200  # of a value, left free by starts
 PLACEMENT_BYTES = 45  # of one in a record, beside its names
-LARGEST_REST = 3000  # bytes of a chunk beside placements and the job's description
-LISTED_S = 0.3  # (start) from a record's writing until its machine's owner has the list
+MAX_CHUNK_OVERHEAD_BYTES = 3000  # bytes of a chunk beside placements and the job's description
+PUBLISH_DELAY_S = 0.3  # (start) from a record's writing until its machine's owner has the list
 
 
 class JobShard:
     """The jobs of one shard, while this node holds it."""
 
-    def __init__(self, world: World, shard: int, token: int, gen: int) -> None:
-        self.world = world
+    def __init__(self, context: ControllerContext, shard: int, token: int, epoch: int) -> None:
+        self.context = context
         self.shard = shard
         self.token = token
-        self.base = token
-        self.gen = gen
+        self.base_token = token
+        self.epoch = epoch
         self.jobs: dict[int, Job] = {}
-        self.dirty: set[int] = set()
-        self.finals: dict[str, str] = {}
-        self.final_done: dict[str, int] = {}  # how many of its tasks completed
+        self.dirty_jobs: set[int] = set()
+        self.terminal_states: dict[str, str] = {}
+        self.terminal_completed: dict[str, int] = {}  # how many of its tasks completed
         self.loaded = False
-        self.outs = [Out() for _ in range(world.shards)]
-        self.here: dict[int, set[int]] = {}  # machine -> keys of the tasks recorded there
-        self.shed: set[int] = set()  # keys of the tasks that their machine gives up
-        self.use: dict[int, int] = {}  # count -> units that the recorded attempts hold
-        self.released = False  # since the last plan: units of counts came free
-        self.cancelling: dict[int, float] = {}  # jobs: when a cancellation of unknown fate was sent
-        self.replicas = False  # since the last plan: replicas came, or lost their place
-        value_bytes = world.settings.settings.state.value_kb * 1000
-        self.log = CommitLog(shard, token, value_bytes)
-        self.old_parts: dict[str, float] = {}  # keys of ended arrays -> from when to delete them
+        self.outboxes = [Outbox() for _ in range(context.shard_count)]
+        self.tasks_by_machine: dict[
+            int, set[int]
+        ] = {}  # machine -> keys of the tasks recorded there
+        self.descheduled: set[int] = set()  # keys of the tasks that their machine gives up
+        self.resource_use: dict[int, int] = {}  # count -> units that the recorded attempts hold
+        self.units_released = False  # since the last plan: units of counts came free
+        self.pending_cancellations: dict[
+            int, float
+        ] = {}  # jobs: when a cancellation of unknown fate was sent
+        self.replicas_waiting = False  # since the last plan: replicas came, or lost their place
+        value_bytes = context.settings.settings.state.value_kb * 1000
+        self.commit_log = CommitLog(shard, token, value_bytes)
+        self.obsolete_keys: dict[
+            str, float
+        ] = {}  # keys of ended arrays -> from when to delete them
 
     # --- the jobs, and where their tasks are
 
     def adopt(self, job: Job) -> None:
         """Take a job as read from its record, in place of what was known of it."""
-        self.forget(job.index)
+        self.remove(job.index)
         self.jobs[job.index] = job
-        self.dirty.add(job.index)
-        for task, place in job.places.items():
-            self._settle(job, task, place)
+        self.dirty_jobs.add(job.index)
+        for task, placement in job.placements.items():
+            self._add_placement(job, task, placement)
 
-    def forget(self, index: int) -> None:
+    def remove(self, index: int) -> None:
         job = self.jobs.pop(index, None)
         if job is not None:
-            for task in list(job.places):
-                self._leave(job, task)
+            for task in list(job.placements):
+                self._remove_placement(job, task)
 
-    def leave_parts(self, keys: Iterable[str]) -> None:
+    def schedule_key_deletion(self, keys: Iterable[str]) -> None:
         """Parts of the records of ended arrays: read by every takeover until they are deleted."""
-        due = self.world.now() + PARTS_KEPT_S
+        due = self.context.now() + OBSOLETE_KEY_RETENTION_S
         for key in keys:
-            self.old_parts.setdefault(key, due)
+            self.obsolete_keys.setdefault(key, due)
 
-    def keep_final(self, name: str, state: str, done: int) -> None:
+    def record_terminal_state(self, name: str, state: str, done: int) -> None:
         """A job is over. The oldest are forgotten here, whoever asks: of one-task jobs, four a
         second, a day's were kept, since only a question about an unknown job dropped any."""
-        self.finals[name], self.final_done[name] = state, done
-        while len(self.finals) > FINALS_KEPT:
-            oldest = next(iter(self.finals))
-            del self.finals[oldest], self.final_done[oldest]
+        self.terminal_states[name], self.terminal_completed[name] = state, done
+        while len(self.terminal_states) > MAX_TERMINAL_JOBS:
+            oldest = next(iter(self.terminal_states))
+            del self.terminal_states[oldest], self.terminal_completed[oldest]
 
-    def _settle(self, job: Job, task: int, place: Place) -> None:
+    def _add_placement(self, job: Job, task: int, placement: TaskPlacement) -> None:
         key = task_key(job.index, task)
-        self.here.setdefault(place.machine, set()).add(key)
-        self.outs[place.shard].changed.add(key)
-        for count, units in job.needs:
-            self.use[count] = self.use.get(count, 0) + units
+        self.tasks_by_machine.setdefault(placement.machine, set()).add(key)
+        self.outboxes[placement.shard].changed.add(key)
+        for count, units in job.resource_needs:
+            self.resource_use[count] = self.resource_use.get(count, 0) + units
 
-    def _leave(self, job: Job, task: int) -> None:
-        place = job.places.pop(task)
+    def _remove_placement(self, job: Job, task: int) -> None:
+        placement = job.placements.pop(task)
         key = task_key(job.index, task)
-        found = self.here.get(place.machine)
+        found = self.tasks_by_machine.get(placement.machine)
         if found is not None:
             found.discard(key)
             if not found:
-                del self.here[place.machine]
-        self.shed.discard(key)
-        out = self.outs[place.shard]
-        out.changed.discard(key)
-        out.gone.add((key, place.machine))
-        for count, units in job.needs:
-            self.use[count] -= units
-
-    def relist(self, job: Job, task: int) -> None:
+                del self.tasks_by_machine[placement.machine]
+        self.descheduled.discard(key)
+        outbox = self.outboxes[placement.shard]
+        outbox.changed.discard(key)
+        outbox.removed.add((key, placement.machine))
+        for count, units in job.resource_needs:
+            self.resource_use[count] -= units
+
+    def republish_task(self, job: Job, task: int) -> None:
         """What is wanted of a recorded task has changed: it is to stop."""
-        self.outs[job.places[task].shard].changed.add(task_key(job.index, task))
+        self.outboxes[job.placements[task].shard].changed.add(task_key(job.index, task))
 
     def set_guaranteed(self, job: Job, guaranteed: bool) -> None:
         if job.guaranteed != guaranteed:
             job.guaranteed = guaranteed
-            self.tell_of(job)
+            self.republish_job(job)
 
-    def tell_of(self, job: Job) -> None:
+    def republish_job(self, job: Job) -> None:
         """Machines' owners where it runs are to know what it is like now."""
-        for shard in {p.shard for p in job.places.values()}:
-            self.outs[shard].jobs.add(job.index)
+        for shard in {placement.shard for placement in job.placements.values()}:
+            self.outboxes[shard].changed_jobs.add(job.index)
 
     # --- what is seen
 
-    def apply_view(self, sight: Sight, touched: set[int] | None) -> bool:
+    def apply_snapshot(self, snapshot: ShardSnapshot, touched: set[int] | None) -> bool:
         """Judge the recorded attempts on the machines touched (None: on all), on those proven
         gone, and those whose list has just been applied; True if anything changed."""
-        out = self.outs[sight.shard]
-        token, seq = sight.acks.get(self.shard, (0, 0))
+        outbox = self.outboxes[snapshot.shard]
+        token, seq = snapshot.applied_seqs.get(self.shard, (0, 0))
         # Only the holder our list was made for may say that something is absent.
-        current = out.gen == sight.gen
-        if current and token == self.base:
-            out.acked = max(out.acked, seq)
-        machines = set(self.here) if touched is None else touched & self.here.keys()
-        machines |= sight.dead & self.here.keys()
-        keys = {key for machine in machines for key in self.here[machine]}
-        if current and out.unacked and out.unacked[0][0] <= out.acked:
-            keys.update(key for listed, key in out.unacked if listed <= out.acked)
-            out.unacked = [item for item in out.unacked if item[0] > out.acked]
+        current = outbox.epoch == snapshot.epoch
+        if current and token == self.base_token:
+            outbox.acked_seq = max(outbox.acked_seq, seq)
+        machines = (
+            set(self.tasks_by_machine)
+            if touched is None
+            else touched & self.tasks_by_machine.keys()
+        )
+        machines |= snapshot.lost_machines & self.tasks_by_machine.keys()
+        keys = {key for machine in machines for key in self.tasks_by_machine[machine]}
+        if current and outbox.unacked and outbox.unacked[0][0] <= outbox.acked_seq:
+            keys.update(key for listed, key in outbox.unacked if listed <= outbox.acked_seq)
+            outbox.unacked = [item for item in outbox.unacked if item[0] > outbox.acked_seq]
         changed = False
         for key in keys:
             index, task = split_key(key)
             job = self.jobs.get(index)
-            place = job.places.get(task) if job is not None else None
-            if job is None or place is None or place.shard != sight.shard:
+            placement = job.placements.get(task) if job is not None else None
+            if job is None or placement is None or placement.shard != snapshot.shard:
                 continue
             try:
-                changed |= self._judge(sight, out, current, job, task, place)
-            except Exception as why:
-                self.world.set_aside("job", job.id, why)
+                changed |= self._evaluate_attempt(snapshot, outbox, current, job, task, placement)
+            except Exception as error:
+                self.context.quarantine_failed("job", job.id, error)
         return changed
 
-    def _judge(
-        self, sight: Sight, out: Out, current: bool, job: Job, task: int, place: Place
+    def _evaluate_attempt(
+        self,
+        snapshot: ShardSnapshot,
+        outbox: Outbox,
+        current: bool,
+        job: Job,
+        task: int,
+        placement: TaskPlacement,
     ) -> bool:
-        if task in job.ends:
+        if task in job.pending_ends:
             return False
-        now, changed = self.world.now(), False
-        machine = sight.machines.get(place.machine)
-        proof, why = "", api.W_NONE
-        if place.machine in sight.dead and current and sight.valid:
+        now, changed = self.context.now(), False
+        machine = snapshot.machines.get(placement.machine)
+        proof, error = "", api.W_NONE
+        if placement.machine in snapshot.lost_machines and current and snapshot.owner_valid:
             proof = "its machine is gone"
         elif machine is None:
             return False
-        elif machine.session > place.session:
+        elif machine.session > placement.session:
             proof = "a newer session"
-        elif machine.dead and place.session == machine.session and current and sight.valid:
+        elif (
+            machine.lost
+            and placement.session == machine.session
+            and current
+            and snapshot.owner_valid
+        ):
             proof = "its machine's lease is over"
-        elif (item := sight.task(place.machine, job.id, task, place.attempt)) is not None:
-            place.shed = item.shed
+        elif (
+            observed := snapshot.task(placement.machine, job.id, task, placement.attempt)
+        ) is not None:
+            placement.descheduled = observed.descheduled
             key = task_key(job.index, task)
-            (self.shed.add if item.shed else self.shed.discard)(key)
-            if item.state != place.seen:
+            (self.descheduled.add if observed.descheduled else self.descheduled.discard)(key)
+            if observed.state != placement.observed_state:
                 # `since` is not known of places read from a record: those began long ago.
-                if item.state == api.ON and place.attempt == 1 and place.since > 0:
-                    waited_s = (self.world.wall_ms() - job.at_ms) / 1000
-                    self.world.meters.note(f"wait {job.spec.priority}", waited_s)
-                place.seen, place.since = item.state, now
+                if (
+                    observed.state == api.ON
+                    and placement.attempt == 1
+                    and placement.state_since > 0
+                ):
+                    waited_s = (self.context.wall_clock_ms() - job.submitted_ms) / 1000
+                    self.context.latencies.record(f"wait {job.spec.priority}", waited_s)
+                placement.observed_state, placement.state_since = observed.state, now
                 changed = True
-            if item.state == api.EXITED:
-                why = item.why
-                proof = f"exit {api.WHY_NAMES.get(why, 'unnamed')}"
+            if observed.state == api.EXITED:
+                error = observed.cause
+                proof = f"exit {api.CAUSE_NAMES.get(error, 'unnamed')}"
         elif (
             current
-            and sight.valid
+            and snapshot.owner_valid
             and machine.fenced
-            and machine.session == place.session
-            and place.listed_gen == sight.gen
-            and 0 < place.listed <= out.acked
+            and machine.session == placement.session
+            and placement.published_epoch == snapshot.epoch
+            and 0 < placement.published_seq <= outbox.acked_seq
         ):
             proof = "not started"
         if proof:
-            self._end(job, task, place, why, proof)
+            self._end_attempt(job, task, placement, error, proof)
         return changed or bool(proof)
 
-    def _end(self, job: Job, task: int, place: Place, why: int, proof: str) -> None:
+    def _end_attempt(
+        self, job: Job, task: int, placement: TaskPlacement, error: int, proof: str
+    ) -> None:
         if job.spec.service:
-            self.replicas = True
-            why = api.W_ERROR if why == api.W_DONE else why
-        job.ends[task] = why
-        if job.needs:
-            job.proofs = (job.proofs or {}) | {task: (proof, self.world.now())}
-            self.released = True
-        self.dirty.add(job.index)
-        target = place.target
-        moves = target is not None and why != api.W_DONE and not job.cancelled
-        if moves and target is not None and self.world.now() < target.until:
+            self.replicas_waiting = True
+            error = api.W_ERROR if error == api.W_DONE else error
+        job.pending_ends[task] = error
+        if job.resource_needs:
+            job.end_proofs = (job.end_proofs or {}) | {task: (proof, self.context.now())}
+            self.units_released = True
+        self.dirty_jobs.add(job.index)
+        target = placement.target
+        moves = target is not None and error != api.W_DONE and not job.cancelled
+        if moves and target is not None and self.context.now() < target.reserved_until:
             # The source has confirmed the stop: the reserved target takes the task.
-            job.starts[task] = target
+            job.pending_starts[task] = target
         log.info(
             "task %s attempt %d: freed from %s (%s)",
             api.task_name(job.id, task),
-            place.attempt,
-            self.world.machines[place.machine],
+            placement.attempt,
+            self.context.machine_names[placement.machine],
             proof,
         )
-        if why == api.W_STOPPED and not (job.cancelled or target or place.yields or place.shed):
-            self.world.tally.note(job.spec.team, job.spec.cls, tally.STOPPED)
-        now = self.world.now()
-        if why == api.W_ERROR:
-            known = job.known
-            job.failed_on.add(place.machine)
-            job.avoid.setdefault(task, set()).add(place.machine)
-            suspect = len(job.failed_on) >= self.world.tuning.suspect_machines
-            if suspect and now >= job.hold_until:
+        if error == api.W_STOPPED and not (
+            job.cancelled or target or placement.releasing or placement.descheduled
+        ):
+            self.context.counters.increment(job.spec.team, job.spec.cls, counters.STOPPED)
+        now = self.context.now()
+        if error == api.W_ERROR:
+            known = job.failure_evidence
+            job.failed_on.add(placement.machine)
+            job.avoided_machines.setdefault(task, set()).add(placement.machine)
+            suspect = len(job.failed_on) >= self.context.tuning.suspect_machines
+            if suspect and now >= job.backoff_until:
                 # It fails wherever it runs: probe seldom, so that it doesn't burn the fleet. Errors
                 # that come together are one: by each of them it waited a minute at once.
                 job.errors += 1
-                job.hold_until = now + min(60.0, 2.0 * 2 ** min(job.errors, 6))
-            if known != job.known:
-                self.tell_of(job)
-        elif why == api.W_DONE:
+                job.backoff_until = now + min(60.0, 2.0 * 2 ** min(job.errors, 6))
+            if known != job.failure_evidence:
+                self.republish_job(job)
+        elif error == api.W_DONE:
             job.errors = 0
             job.failed_on.clear()
-        elif why in (api.W_BUSY, api.W_NO_ROOM, api.W_UNKNOWN):
-            job.retry_at[task] = now + (1.0 if why != api.W_NO_ROOM else 0.2)
+        elif error in (api.W_BUSY, api.W_NO_ROOM, api.W_UNKNOWN):
+            job.retry_at[task] = now + (1.0 if error != api.W_NO_ROOM else 0.2)
 
     # --- what is wanted
 
-    def unknown_cancels(self) -> dict[int, float]:
+    def unresolved_cancellations(self) -> dict[int, float]:
         """Jobs that may be recorded, and so called, cancelled without this holder knowing, and
         since when."""
-        self.cancelling = {
+        self.pending_cancellations = {
             i: at
-            for i, at in self.cancelling.items()
-            if (job := self.jobs.get(i)) is not None and job.unsure and not job.cancelled
+            for i, at in self.pending_cancellations.items()
+            if (job := self.jobs.get(i)) is not None and job.outcome_unknown and not job.cancelled
         }
-        return self.cancelling
+        return self.pending_cancellations
 
-    def wants(self, to_shard: int, to_gen: int, whole: bool = False, echo_ms: int = 0) -> pb.Wants:
+    def desired_state_message(
+        self, to_shard: int, to_gen: int, whole: bool = False, echo_ms: int = 0
+    ) -> pb.DesiredState:
         """What this shard wants of a machine shard: the difference to the last list, or all.
 
         To be made only while the shard surely is ours: its receiver takes it for the word that
         nothing else was cancelled up to the time that it echoes.
         """
-        world, out = self.world, self.outs[to_shard]
-        whole = whole or out.whole or out.gen != to_gen
-        if out.gen != to_gen:
-            out.gen, out.acked, out.unacked = to_gen, 0, []
-        out.seq += 1
-        msg = pb.Wants(
+        context, outbox = self.context, self.outboxes[to_shard]
+        whole = whole or outbox.full or outbox.epoch != to_gen
+        if outbox.epoch != to_gen:
+            outbox.epoch, outbox.acked_seq, outbox.unacked = to_gen, 0, []
+        outbox.seq += 1
+        message = pb.DesiredState(
             from_shard=self.shard,
-            from_token=self.base,
+            from_token=self.base_token,
             to_shard=to_shard,
-            to_gen=to_gen,
-            seq=out.seq,
-            whole=whole,
-            echo_ms=echo_ms,
+            to_epoch=to_gen,
+            seq=outbox.seq,
+            full=whole,
+            watermark_ms=echo_ms,
         )
         numbers: dict[int, int] = {}
         if whole:
             keys = {
                 task_key(job.index, task)
                 for job in self.jobs.values()
-                for task, place in job.places.items()
+                for task, place in job.placements.items()
                 if place.shard == to_shard
             }
         else:
-            keys = out.changed
-            for key, machine in out.gone:
+            keys = outbox.changed
+            for key, machine in outbox.removed:
                 index, task = split_key(key)
-                msg.gone.add(job=world.jobs[index], task=task, machine=world.machines[machine])
-            for index in out.jobs & self.jobs.keys():
-                numbers[index] = len(msg.jobs)
-                msg.jobs.append(job_message(self.jobs[index]))
+                message.removed.add(
+                    job=context.job_names[index], task=task, machine=context.machine_names[machine]
+                )
+            for index in outbox.changed_jobs & self.jobs.keys():
+                numbers[index] = len(message.jobs)
+                message.jobs.append(job_message(self.jobs[index]))
         for key in keys:
             index, task = split_key(key)
             job = self.jobs[index]
-            place = job.places[task]
+            placement = job.placements[task]
             number = numbers.get(index)
             if number is None:
-                number = numbers[index] = len(msg.jobs)
-                msg.jobs.append(job_message(job))
-            if place.listed_gen != to_gen:
-                place.listed, place.listed_gen = out.seq, to_gen
-                out.unacked.append((out.seq, key))
-            msg.items.add(
+                number = numbers[index] = len(message.jobs)
+                message.jobs.append(job_message(job))
+            if placement.published_epoch != to_gen:
+                placement.published_seq, placement.published_epoch = outbox.seq, to_gen
+                outbox.unacked.append((outbox.seq, key))
+            message.tasks.add(
                 job=number,
                 task=task,
-                attempt=place.attempt,
-                machine=world.machines[place.machine],
-                session=place.session,
+                attempt=placement.attempt,
+                machine=context.machine_names[placement.machine],
+                session=placement.session,
                 # One that is over and not yet recorded so stays listed, for nobody reaps it before;
                 # a new holder knows nothing of its refusal, and would start it.
-                stop=job.cancelled or place.target is not None or place.yields or task in job.ends,
-                grace_s=0.0 if job.cancelled else place.grace_s,
-                kept=place.kept,
+                stop=job.cancelled
+                or placement.target is not None
+                or placement.releasing
+                or task in job.pending_ends,
+                grace_s=0.0 if job.cancelled else placement.grace_s,
+                protected=placement.protected,
             )
-        out.whole = False
-        out.changed, out.gone, out.jobs = set(), set(), set()
-        out.sent_at = world.now()
-        return msg
+        outbox.full = False
+        outbox.changed, outbox.removed, outbox.changed_jobs = set(), set(), set()
+        outbox.sent_at = context.now()
+        return message
 
     # --- making it durable
 
-    def final_of(self, job: Job) -> str:
+    def terminal_state_of(self, job: Job) -> str:
         """The state in which a job is over once its ends are written, or nothing."""
-        ends = [t for t in job.ends if t in job.places]
+        ends = [t for t in job.pending_ends if t in job.placements]
         if job.cancelled:
             # Its user was told so: it stays cancelled even when every task completed.
-            return "" if len(job.places) > len(ends) else api.CANCELLED
-        return api.DONE if self._finished(job) == job.spec.tasks else ""
+            return "" if len(job.placements) > len(ends) else api.CANCELLED
+        return api.DONE if self._completed_tasks(job) == job.spec.tasks else ""
 
-    def _finished(self, job: Job) -> int:
+    def _completed_tasks(self, job: Job) -> int:
         """How many tasks have completed, those that are yet to be written among them."""
-        ended = (why for task, why in job.ends.items() if task in job.places)
-        return job.finished + sum(why == api.W_DONE for why in ended)
+        ended = (error for task, error in job.pending_ends.items() if task in job.placements)
+        return job.completed + sum(error == api.W_DONE for error in ended)
 
-    def draft(self, job: Job, most_chunks: int = 3, starting: bool = True) -> Draft | None:
+    def draft_update(
+        self, job: Job, most_chunks: int = 3, starting: bool = True
+    ) -> JobUpdate | None:
         """The next write of a job's record, or None when nothing is to be written.
 
         `starting`: whether starts may be in it.
         """
-        if job.final or job.stale:
+        if job.terminal_state or job.stale:
             return None
-        ends = {t: w for t, w in job.ends.items() if t in job.places}
+        ends = {t: w for t, w in job.pending_ends.items() if t in job.placements}
         starts = self._startable(job) if starting else {}
         main = records.job_key(self.shard, job.id)
         holder = records.shard_key(self.shard)
-        conditions = {holder: self.token, main: job.versions[0]}
-        if final := self.final_of(job):
+        conditions = {holder: self.token, main: job.key_versions[0]}
+        if final := self.terminal_state_of(job):
             key = records.final_key(self.shard, job.id)
-            done = 0 if final == api.DONE else self._finished(job)
+            done = 0 if final == api.DONE else self._completed_tasks(job)
             value = records.FinalRecord(final, job.spec.tasks, done)
-            return Draft(job, conditions, [put(key, value), drop(main)], ends, {}, final, False, [])
+            return JobUpdate(
+                job,
+                conditions,
+                [put_change(key, value), delete_change(main)],
+                ends,
+                {},
+                final,
+                False,
+                [],
+            )
         if not ends and not starts:
             return None
-        most = min(most_chunks, self.world.settings.settings.state.txn_ops)
-        chunks = densest((*ends, *starts), most)
-        ends = {t: w for t, w in ends.items() if t // CHUNK in chunks}
-        starts = {t: p for t, p in starts.items() if t // CHUNK in chunks}
+        limit = min(most_chunks, self.context.settings.settings.state.txn_ops)
+        chunks = densest_chunks((*ends, *starts), limit)
+        ends = {t: w for t, w in ends.items() if t // TASKS_PER_CHUNK in chunks}
+        starts = {t: placement for t, placement in starts.items() if t // TASKS_PER_CHUNK in chunks}
         return self._rewrite(job, chunks, ends, starts)
 
-    def _startable(self, job: Job) -> dict[int, Place]:
+    def _startable(self, job: Job) -> dict[int, TaskPlacement]:
         self._drop_late(job)
         if job.cancelled:
             return {}
-        return {t: place for t, place in job.starts.items() if t not in job.withheld}
+        return {
+            t: placement for t, placement in job.pending_starts.items() if t not in job.withheld
+        }
 
     def _rewrite(
-        self, job: Job, chunks: list[int], ends: dict[int, int], starts: dict[int, Place]
-    ) -> Draft:
+        self, job: Job, chunks: list[int], ends: dict[int, int], starts: dict[int, TaskPlacement]
+    ) -> JobUpdate:
         """These chunks of a job's record as they will be once `ends` and `starts` are true."""
         main = records.job_key(self.shard, job.id)
-        conditions = {records.shard_key(self.shard): self.token, main: job.versions[0]}
+        conditions = {records.shard_key(self.shard): self.token, main: job.key_versions[0]}
         changes = []
         for number in chunks:
-            chunk = encode_chunk(self.world, job, number, ends, starts, self.log.durable)
+            chunk = encode_chunk(self.context, job, number, ends, starts, self.commit_log.durable)
             if number == 0:
-                record = JobRecord(job.spec, job.at_ms, job.cancelled, chunk)
-                changes.append(put(main, record))
+                record = JobRecord(job.spec, job.submitted_ms, job.cancelled, chunk)
+                changes.append(put_change(main, record))
             else:
                 key = records.chunk_key(self.shard, job.id, number)
-                conditions[key] = job.versions.get(number, 0)
-                changes.append(put(key, chunk))
-        return Draft(job, conditions, changes, ends, starts, "", False, chunks)
+                conditions[key] = job.key_versions.get(number, 0)
+                changes.append(put_change(key, chunk))
+        return JobUpdate(job, conditions, changes, ends, starts, "", False, chunks)
 
-    def draft_checkpoints(self, most: int) -> list[Draft]:
+    def draft_checkpoints(self, limit: int) -> list[JobUpdate]:
         """Up to `most` chunks of records rewritten, so that segments of the log come free."""
         chunks: dict[int, list[int]] = {}
-        for index, number in self.log.oldest_dirty(most):
+        for index, number in self.commit_log.oldest_dirty(limit):
             chunks.setdefault(index, []).append(number)
         jobs = [self.jobs[index] for index in chunks if index in self.jobs]
-        good = [job for job in jobs if not (job.stale or self.world.rests("job", job.id))]
+        good = [
+            job for job in jobs if not (job.stale or self.context.is_quarantined("job", job.id))
+        ]
         return [self._rewrite(job, chunks[job.index], {}, {}) for job in good]
 
-    def draft_change(
+    def draft_log_change(
         self, job: Job, starting: bool, chunks: int, tasks: int
-    ) -> tuple[Draft, JobChange] | None:
+    ) -> tuple[JobUpdate, JobChange] | None:
         """A job's part of the next commit of the log, of at most so many chunks and tasks."""
-        if job.final or job.stale:
+        if job.terminal_state or job.stale:
             return None
         starts = self._startable(job) if starting else {}
-        ends = {t: w for t, w in job.ends.items() if t in job.places}
+        ends = {t: w for t, w in job.pending_ends.items() if t in job.placements}
         if not ends and not starts:
             return None
-        chosen = set(densest((*ends, *starts), chunks))
-        ends = {t: w for t, w in ends.items() if t // CHUNK in chosen}
-        starts = {t: p for t, p in starts.items() if t // CHUNK in chosen}
+        chosen = set(densest_chunks((*ends, *starts), chunks))
+        ends = {t: w for t, w in ends.items() if t // TASKS_PER_CHUNK in chosen}
+        starts = {t: placement for t, placement in starts.items() if t // TASKS_PER_CHUNK in chosen}
         ends = dict(list(ends.items())[:tasks])
-        starts = {t: p for t, p in starts.items() if t in ends or t not in job.places}
+        starts = {
+            t: placement for t, placement in starts.items() if t in ends or t not in job.placements
+        }
         starts = dict(list(starts.items())[: tasks - len(ends)])
         self._keep_to_value(job, ends, starts)
         if not ends and not starts:
             return None
-        done = [t for t, why in ends.items() if why == api.W_DONE]
-        freed = [t for t, why in ends.items() if why != api.W_DONE]
-        placed = [placement(self.world, t, place) for t, place in starts.items()]
+        done = [t for t, error in ends.items() if error == api.W_DONE]
+        freed = [t for t, error in ends.items() if error != api.W_DONE]
+        placed = [encode_placement(self.context, t, placement) for t, placement in starts.items()]
         change = JobChange(job.id, placed, done, freed)
-        conditions = {records.job_key(self.shard, job.id): job.versions[0]}
+        conditions = {records.job_key(self.shard, job.id): job.key_versions[0]}
         for number in change.chunks() - {0}:
             key = records.chunk_key(self.shard, job.id, number)
-            conditions[key] = job.versions.get(number, 0)
-        return Draft(job, conditions, [], ends, starts, "", False, []), change
+            conditions[key] = job.key_versions.get(number, 0)
+        return JobUpdate(job, conditions, [], ends, starts, "", False, []), change
 
-    def _keep_to_value(self, job: Job, ends: dict[int, int], starts: dict[int, Place]) -> None:
+    def _keep_to_value(
+        self, job: Job, ends: dict[int, int], starts: dict[int, TaskPlacement]
+    ) -> None:
         """Leaves starts for later until the chunks' records fit a value each: a checkpoint and a
         cancellation have to rewrite them, whatever the log has room for."""
-        most = self.world.settings.settings.state.value_kb * 1000 - SPARE_BYTES
-        for number in self._large_chunks(job, starts, most):
-            while mine := [task for task in starts if task // CHUNK == number]:
+        limit = self.context.settings.settings.state.value_kb * 1000 - RESERVED_VALUE_BYTES
+        for number in self._large_chunks(job, starts, limit):
+            while mine := [task for task in starts if task // TASKS_PER_CHUNK == number]:
                 (written,) = self._rewrite(job, [number], ends, starts).changes
                 size = len(msgspec.json.encode(written))
-                if size <= most:
+                if size <= limit:
                     break
-                if len(mine) == 1 and not job.places:
-                    raise ValueError(f"a record of {size} bytes, of {most} allowed")
+                if len(mine) == 1 and not job.placements:
+                    raise ValueError(f"a record of {size} bytes, of {limit} allowed")
                 for task in mine[len(mine) // 2 :]:
                     del starts[task]
-                    del job.starts[task]
-                    job.retry_at[task] = self.world.now() + 1.0
+                    del job.pending_starts[task]
+                    job.retry_at[task] = self.context.now() + 1.0
 
-    def _large_chunks(self, job: Job, starts: dict[int, Place], most: float) -> list[int]:
+    def _large_chunks(self, job: Job, starts: dict[int, TaskPlacement], limit: float) -> list[int]:
         """Chunks with starts that may not fit: by a quick bound, for encoding them costs more."""
-        sizes = {task // CHUNK: LARGEST_REST for task in starts}
+        sizes = {task // TASKS_PER_CHUNK: MAX_CHUNK_OVERHEAD_BYTES for task in starts}
         if not sizes:
             return []
         if 0 in sizes:
             sizes[0] += len(msgspec.json.encode(job.spec))
-        for task, place in (*starts.items(), *job.places.items()):
-            number = task // CHUNK
+        for task, placement in (*starts.items(), *job.placements.items()):
+            number = task // TASKS_PER_CHUNK
             if number in sizes:
-                names = len(self.world.machines[place.machine]) + len(self.world.zones[place.zone])
+                names = len(self.context.machine_names[placement.machine]) + len(
+                    self.context.zone_names[placement.zone]
+                )
                 sizes[number] += names + PLACEMENT_BYTES
-        return [number for number, size in sizes.items() if size > most]
+        return [number for number, size in sizes.items() if size > limit]
 
     def _drop_late(self, job: Job) -> None:
         """Starts whose room is given to others before their list comes wait again, unwritten.
@@ -464,84 +525,90 @@
         While changes are few they were recorded all the same and refused by the machine's owner:
         a quarter of the starts of an array of 25,000 tasks, each of them two changes.
         """
-        last = self.world.now() + LISTED_S
-        for task in [t for t, place in job.starts.items() if place.until < last]:
-            del job.starts[task]
+        last = self.context.now() + PUBLISH_DELAY_S
+        for task in [
+            t for t, placement in job.pending_starts.items() if placement.reserved_until < last
+        ]:
+            del job.pending_starts[task]
 
-    def draft_cancel(self, job: Job) -> Draft:
+    def draft_cancellation(self, job: Job) -> JobUpdate:
         """A cancellation, written before it is answered."""
         main = records.job_key(self.shard, job.id)
-        conditions = {records.shard_key(self.shard): self.token, main: job.versions[0]}
-        chunk = encode_chunk(self.world, job, 0, {}, {}, self.log.durable)
-        record = JobRecord(job.spec, job.at_ms, True, chunk)
-        return Draft(job, conditions, [put(main, record)], {}, {}, "", True, [0])
+        conditions = {records.shard_key(self.shard): self.token, main: job.key_versions[0]}
+        chunk = encode_chunk(self.context, job, 0, {}, {}, self.commit_log.durable)
+        record = JobRecord(job.spec, job.submitted_ms, True, chunk)
+        return JobUpdate(job, conditions, [put_change(main, record)], {}, {}, "", True, [0])
 
-    def commit(self, draft: Draft, revision: int) -> None:
+    def apply_update(self, update: JobUpdate, revision: int) -> None:
         """The draft is durable: make it true here."""
-        job = draft.job
-        if draft.final:
-            self.forget(job.index)
-            job.final = draft.final
-            event = tally.DONE if draft.final == api.DONE else tally.CANCELLED
-            self.world.tally.note(job.spec.team, job.spec.cls, event)
-            job.finished += sum(1 for why in draft.ends.values() if why == api.W_DONE)
-            self.keep_final(job.id, draft.final, job.finished)
-            self.dirty.discard(job.index)
-            self.log.forget(job.index, job.id, records.chunks_of(job.spec.tasks))
-            parts = (n for n in job.versions if n)
-            self.leave_parts(records.chunk_key(self.shard, job.id, n) for n in parts)
-            log.info("job %s: %s", job.id, draft.final)
+        job = update.job
+        if update.terminal_state:
+            self.remove(job.index)
+            job.terminal_state = update.terminal_state
+            event = counters.DONE if update.terminal_state == api.DONE else counters.CANCELLED
+            self.context.counters.increment(job.spec.team, job.spec.cls, event)
+            job.completed += sum(1 for why in update.pending_ends.values() if why == api.W_DONE)
+            self.record_terminal_state(job.id, update.terminal_state, job.completed)
+            self.dirty_jobs.discard(job.index)
+            self.commit_log.forget(job.index, job.id, records.chunks_of(job.spec.tasks))
+            parts = (n for n in job.key_versions if n)
+            self.schedule_key_deletion(records.chunk_key(self.shard, job.id, n) for n in parts)
+            log.info("job %s: %s", job.id, update.terminal_state)
             return
-        for number in draft.chunks:
-            job.versions[number] = revision
-            self.log.covered((job.index, number), self.log.durable)
-        if draft.chunks:
-            self.log.trim(job.index, job.id)
-        if 0 in draft.chunks:
-            job.unsure = False  # what was sent before can't be executed any more
-            job.in_doubt.clear()
-        job.in_doubt.difference_update(draft.chunks)
-        if draft.cancel:
+        for number in update.chunks:
+            job.key_versions[number] = revision
+            self.commit_log.covered((job.index, number), self.commit_log.durable)
+        if update.chunks:
+            self.commit_log.trim(job.index, job.id)
+        if 0 in update.chunks:
+            job.outcome_unknown = False  # what was sent before can't be executed any more
+            job.uncertain_chunks.clear()
+        job.uncertain_chunks.difference_update(update.chunks)
+        if update.cancel:
             job.cancelled = True
-            job.starts.clear()
-            self.dirty.add(job.index)
-            for task in job.places:
-                self.relist(job, task)
-            log.info("job %s: cancelled, %d tasks to stop", job.id, len(job.places))
-        for task, why in draft.ends.items():
-            if task in job.places:
-                self._leave(job, task)
-            if job.ends.get(task) == why:
-                del job.ends[task]
-            if why == api.W_DONE:
-                job.state[task] = DONE
-                job.finished += 1
-                if job.finished == 1:
-                    self.tell_of(job)
+            job.pending_starts.clear()
+            self.dirty_jobs.add(job.index)
+            for task in job.placements:
+                self.republish_task(job, task)
+            log.info("job %s: cancelled, %d tasks to stop", job.id, len(job.placements))
+        for task, error in update.pending_ends.items():
+            if task in job.placements:
+                self._remove_placement(job, task)
+            if job.pending_ends.get(task) == error:
+                del job.pending_ends[task]
+            if error == api.W_DONE:
+                job.task_states[task] = DONE
+                job.completed += 1
+                if job.completed == 1:
+                    self.republish_job(job)
             else:
-                job.state[task] = PENDING
+                job.task_states[task] = PENDING
                 job.first_pending = min(job.first_pending, task)
-        if draft.starts:
-            many = len(draft.starts)
-            self.world.tally.note(job.spec.team, job.spec.cls, tally.STARTED, many)
-        for task, place in draft.starts.items():
-            if job.starts.get(task) is place:
-                del job.starts[task]
-            job.places[task] = place
-            job.state[task] = PLACED
-            job.tries[task] = place.attempt
-            self._settle(job, task, place)
+        if update.pending_starts:
+            many = len(update.pending_starts)
+            self.context.counters.increment(job.spec.team, job.spec.cls, counters.STARTED, many)
+        for task, placement in update.pending_starts.items():
+            if job.pending_starts.get(task) is placement:
+                del job.pending_starts[task]
+            job.placements[task] = placement
+            job.task_states[task] = PLACED
+            job.attempts[task] = placement.attempt
+            self._add_placement(job, task, placement)
             log.info(
                 "task %s attempt %d: placed on %s",
                 api.task_name(job.id, task),
-                place.attempt,
-                self.world.machines[place.machine],
+                placement.attempt,
+                self.context.machine_names[placement.machine],
             )
 
     def status(self, job: Job) -> api.JobStatus:
-        running = sum(1 for p in job.places.values() if p.seen in (api.ON, api.SAVING))
+        running = sum(
+            1
+            for placement in job.placements.values()
+            if placement.observed_state in (api.ON, api.SAVING)
+        )
         state = api.CANCELLED if job.cancelled else api.RUNNING if running else api.QUEUED
-        return api.JobStatus(job.id, state, job.finished, running)
+        return api.JobStatus(job.id, state, job.completed, running)
 
 
 def job_message(job: Job) -> pb.Job:
@@ -561,5 +628,5 @@
         estimate_s=spec.estimate_s,
         spot=spec.spot,
         guaranteed=job.guaranteed,
-        known=job.known,
+        failure_evidence=job.failure_evidence,
     )
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from starlingdeck.context import World
+from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.job import Job, load_job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
@@ -25,12 +25,12 @@
 
     def __init__(
         self,
-        world: World,
+        context: ControllerContext,
         state: StateClient,
         shard: JobShard,
         settle: Callable[[], Awaitable[None]],
     ) -> None:
-        self.world = world
+        self.context = context
         self.state = state
         self.shard = shard
         self.settle = settle
@@ -44,22 +44,24 @@
         segments, _ = await self.state.read(log_prefix(shard))
         view = read_segments(segments)
         for segment in view.unreadable:
-            self.world.set_aside("segment", str(segment.slot), ValueError(segment.fault))
-        self.shard.log.adopt(view)
-        self.shard.log.pin(view.broken_slots)
+            self.context.quarantine_failed("segment", str(segment.slot), ValueError(segment.fault))
+        self.shard.commit_log.adopt(view)
+        self.shard.commit_log.pin(view.broken_slots)
         chunks, broken = self._chunks(parts)
         unfinished = {entry.key.rsplit("/", 1)[1] for entry in mains}
-        self.shard.leave_parts(e.key for e in parts if e.key.split("/")[2] not in unfinished)
+        self.shard.schedule_key_deletion(
+            e.key for e in parts if e.key.split("/")[2] not in unfinished
+        )
         for entry in mains:
             name = entry.key.rsplit("/", 1)[1]
             if name in broken:
-                self.shard.log.pin(logged.slot for logged in view.of(name))
+                self.shard.commit_log.pin(logged.slot for logged in view.of(name))
                 continue
             try:
                 self._take(entry, chunks.get(name, {}), view)
-            except Exception as why:
-                self.world.set_aside("record", entry.key, why)
-                self.shard.log.pin(logged.slot for logged in view.of(name))
+            except Exception as error:
+                self.context.quarantine_failed("record", entry.key, error)
+                self.shard.commit_log.pin(logged.slot for logged in view.of(name))
         self.shard.loaded = True
         log.info("shard %d: %d unfinished jobs read", shard, len(mains))
 
@@ -73,8 +75,8 @@
             try:
                 value = msgspec.json.decode(entry.value, type=Chunk)
                 chunks.setdefault(job, {})[int(number)] = (entry.version, value)
-            except Exception as why:
-                self.world.set_aside("record", entry.key, why)
+            except Exception as error:
+                self.context.quarantine_failed("record", entry.key, error)
                 broken.add(job)
         return chunks, broken
 
@@ -85,20 +87,20 @@
         if hidden := view.hides(name, entry.version, main.cancelled, many):
             self.hidden[name] = hidden
             raise ValueError(hidden)
-        index = self.world.jobs.put(name)
+        index = self.context.job_names.intern(name)
         stored = {0: main.chunk, **{n: chunk for n, (_, chunk) in parts.items()}}
-        self.shard.log.adopt_job(index, name, stored, view.of(name))
+        self.shard.commit_log.adopt_job(index, name, stored, view.of(name))
         self._adopt(entry, main, parts)
 
     def _adopt(self, entry: api.Entry, main: JobRecord, parts: Parts) -> Job:
         """Take a job as its record and the log have it, in place of what was known of it."""
         stored = {0: main.chunk, **{n: chunk for n, (_, chunk) in parts.items()}}
-        chunks = replay(stored, self.shard.log.tail.get(main.spec.id, ()))
+        chunks = replay(stored, self.shard.commit_log.tail.get(main.spec.id, ()))
         main.chunk = chunks.pop(0)
-        job = load_job(self.world, self.shard.shard, main, chunks)
-        job.versions = {0: entry.version, **{n: v for n, (v, _) in parts.items()}}
+        job = load_job(self.context, self.shard.shard, main, chunks)
+        job.key_versions = {0: entry.version, **{n: v for n, (v, _) in parts.items()}}
         for number, chunk in stored.items():
-            self.shard.log.covered((job.index, number), chunk.upto)
+            self.shard.commit_log.covered((job.index, number), chunk.upto)
         old = self.shard.jobs.get(job.index)
         if old is not None:
             _keep_seen(job, old, entry.version)
@@ -111,7 +113,7 @@
         if name in self.hidden:
             raise StateError(self.hidden[name])
         shard = self.shard.shard
-        index = self.world.jobs.get(name)
+        index = self.context.job_names.find(name)
         before = self.shard.jobs.get(index) if index is not None else None
         entry = await self.state.get(records.job_key(shard, name), True)
         if entry is None:
@@ -120,27 +122,27 @@
         try:
             main = msgspec.json.decode(entry.value, type=JobRecord)
             found: list[api.Entry] = []
-            if main.spec.tasks > records.CHUNK:
+            if main.spec.tasks > records.TASKS_PER_CHUNK:
                 found, _ = await self.state.read(records.chunk_key(shard, name, None))
             parts = {
                 int(e.key.rsplit("/", 1)[1]): (e.version, msgspec.json.decode(e.value, type=Chunk))
                 for e in found
             }
             return self._adopt(entry, main, parts)
-        except (ValueError, LookupError, msgspec.DecodeError) as why:
-            self.world.set_aside("record", entry.key, why)
-            raise StateError("the job's record can't be read") from why
+        except (ValueError, LookupError, msgspec.DecodeError) as error:
+            self.context.quarantine_failed("record", entry.key, error)
+            raise StateError("the job's record can't be read") from error
 
     async def _reload_final(self, name: str, before: Job | None) -> None:
         final = await self.state.get(records.final_key(self.shard.shard, name), True)
         # Not one that was created while we looked.
         if before is not None and self.shard.jobs.get(before.index) is before:
-            self.shard.forget(before.index)
+            self.shard.remove(before.index)
             chunks = records.chunks_of(before.spec.tasks)
-            self.shard.log.forget(before.index, name, chunks)
+            self.shard.commit_log.forget(before.index, name, chunks)
         if final is not None:
             value = msgspec.json.decode(final.value, type=FinalRecord)
-            self.shard.keep_final(name, value.state, value.completed)
+            self.shard.record_terminal_state(name, value.state, value.completed)
 
     async def reload_stale(self) -> None:
         for job in [j for j in self.shard.jobs.values() if j.stale]:
@@ -149,17 +151,19 @@
 
 def _keep_seen(job: Job, old: Job, version: int) -> None:
     """Keep what was seen of attempts that are still recorded, and what is still in doubt."""
-    for task, place in job.places.items():
-        before = old.places.get(task)
-        if before is not None and before.attempt == place.attempt:
-            job.places[task] = before
-            if task in old.ends:
-                job.ends[task] = old.ends[task]
+    for task, placement in job.placements.items():
+        before = old.placements.get(task)
+        if before is not None and before.attempt == placement.attempt:
+            job.placements[task] = before
+            if task in old.pending_ends:
+                job.pending_ends[task] = old.pending_ends[task]
     job.failed_on, job.errors = old.failed_on, old.errors
-    job.hold_until, job.avoid = old.hold_until, old.avoid
+    job.backoff_until, job.avoided_machines = old.backoff_until, old.avoided_machines
     job.guaranteed = old.guaranteed
-    same = old.versions.get(0) == version
-    job.unsure = old.unsure and same
+    same = old.key_versions.get(0) == version
+    job.outcome_unknown = old.outcome_unknown and same
     if same:
-        parts = [n for n in old.in_doubt if old.versions.get(n) == job.versions.get(n)]
-        job.in_doubt = set(parts)
+        parts = [
+            n for n in old.uncertain_chunks if old.key_versions.get(n) == job.key_versions.get(n)
+        ]
+        job.uncertain_chunks = set(parts)
--- a/starlingdeck/jobs/log_reader.py
+++ b/starlingdeck/jobs/log_reader.py
@@ -44,7 +44,7 @@
             try:
                 entries, _ = await state.read(log_prefix(shard))
                 reading.view = read_segments(entries)
-            except (StateError, msgspec.DecodeError) as fault:
-                reading.fault = str(fault)
+            except (StateError, msgspec.DecodeError) as error:
+                reading.fault = str(error)
             finally:
                 await reading.ended.set()
--- a/starlingdeck/machines/descheduling.py
+++ b/starlingdeck/machines/descheduling.py
@@ -8,7 +8,7 @@
 from starlingdeck.machines.scoring import start_score
 
 
-class Load(Struct, frozen=True):
+class RunningTask(Struct, frozen=True):
     """A task on the machine: its index, its size, and what moving it would cost."""
 
     key: int
@@ -23,9 +23,9 @@
     return 1.0 + lost + fetch_s
 
 
-def pick(
+def choose_tasks(
     total: Sequence[float],
-    loads: Sequence[Load],
+    loads: Sequence[RunningTask],
     restarts: int,
     steps: int,
     patience: int,
--- a/starlingdeck/machines/failure_attribution.py
+++ b/starlingdeck/machines/failure_attribution.py
@@ -7,8 +7,12 @@
 from collections.abc import Iterable
 
 UNKNOWN, FINE, BROKEN = range(3)
-BROKEN_ON = 2  # machines that a job has failed on without a success: its errors blame none
-FEW_SICK = 0.1  # (start) of the machines: more aren't called sick by jobs of which nothing is known
+BROKEN_JOB_MACHINES = (
+    2  # machines that a job has failed on without a success: its errors blame none
+)
+MAX_UNCERTAIN_FAULTY_SHARE = (
+    0.1  # (start) of the machines: more aren't called sick by jobs of which nothing is known
+)
 
 
 class FailureAttribution:
@@ -42,17 +46,17 @@
 
     def of(self, job: int) -> int:
         known = self.known.get(job, UNKNOWN)
-        if known == UNKNOWN and len(self.failed.get(job, ())) >= BROKEN_ON:
+        if known == UNKNOWN and len(self.failed.get(job, ())) >= BROKEN_JOB_MACHINES:
             return BROKEN
         return known
 
-    def sick(self, machine: int) -> bool:
+    def is_faulty(self, machine: int) -> bool:
         """By errors of jobs that go well elsewhere; of others, each job counts once."""
         found = self.errors.get(machine, ())
         doubtful = {job for job, _ in found if self.of(job) == UNKNOWN}
         return self._sure(machine) + len(doubtful) >= self.enough
 
-    def surely(self, machine: int) -> bool:
+    def is_certain(self, machine: int) -> bool:
         """Sick by the errors of jobs alone that go well elsewhere."""
         return self._sure(machine) >= self.enough
 
--- a/starlingdeck/machines/machine.py
+++ b/starlingdeck/machines/machine.py
@@ -4,12 +4,12 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.context import Size
-from starlingdeck.machines.reachability import Hearing
+from starlingdeck.context import Resources
+from starlingdeck.machines.reachability import Reachability
 from starlingdeck.protocol import api
 
 
-class Standing(Protocol):
+class PreemptionAttributes(Protocol):
     """What preemption asks of a job."""
 
     @property
@@ -25,7 +25,7 @@
 
     team: int
     rank: int
-    size: Size
+    size: Resources
     image: str
     image_gb: float
     checkpoint_s: float
@@ -36,68 +36,68 @@
     estimate_s: float
 
 
-class Seen(Struct):
+class ObservedTask(Struct):
     """A task as the newest report has it."""
 
     attempt: int
     state: int
-    why: int
+    cause: int
     saved: bool
-    since: float
+    state_since: float
 
 
-class Launch(Struct):
+class PendingLaunch(Struct):
     """A start that no report has shown yet. `sent` counts tries to deliver it."""
 
     attempt: int
-    asked: float
-    sent: int = 0
+    requested_at: float
+    deliveries: int = 0
 
 
-class Want(Struct):
+class DesiredTask(Struct):
     attempt: int
     session: int
     stop: bool
     grace_s: float
 
 
-class Hold(Struct):
+class Reservation(Struct):
     """Room kept for a task whose record is being written."""
 
     attempt: int
-    until: float
+    expires_at: float
 
 
-class Machine(Hearing, kw_only=True):
+class Machine(Reachability, kw_only=True):
     index: int
     name: str
     address: str
     type: int
     zone: int
     spot: bool
-    notice_until: float | None = None
-    tasks: dict[int, Seen] = field(default_factory=dict)
-    launches: dict[int, Launch] = field(default_factory=dict)
-    strays: list[api.Command] = field(default_factory=list)  # stops, for a life not yet begun
-    holds: dict[int, Hold] = field(default_factory=dict)
-    refused: set[tuple[int, int]] = field(default_factory=set)
-    evict: dict[int, float] = field(default_factory=dict)
-    shed: set[int] = field(default_factory=set)
+    termination_at: float | None = None
+    tasks: dict[int, ObservedTask] = field(default_factory=dict)
+    pending_launches: dict[int, PendingLaunch] = field(default_factory=dict)
+    orphan_stops: list[api.Command] = field(default_factory=list)  # stops, for a life not yet begun
+    reservations: dict[int, Reservation] = field(default_factory=dict)
+    refused_attempts: set[tuple[int, int]] = field(default_factory=set)
+    evictions: dict[int, float] = field(default_factory=dict)
+    descheduled: set[int] = field(default_factory=set)
     images: dict[str, float] = field(default_factory=dict)
-    doubt: int = 0
-    rode: float = -1e9  # when starts last went out in a report's answer
-    dead: bool = False
+    unconfirmed_token: int = 0
+    piggybacked_at: float = -1e9  # when starts last went out in a report's answer
+    lost: bool = False
     draining: bool = False
-    sick: float | None = None  # since when; its work may still show that it isn't
-    busy: bool = False
+    faulty_since: float | None = None  # since when; its work may still show that it isn't
+    command_in_flight: bool = False
     retry_at: float = 0.0
     empty_since: float = 0.0
-    drawn: bool = False  # whether it was drawable when last shown
-    shown: list[api.ReportTask] | None = None  # what `tasks` was made of
-    quiet: bool = False  # nothing to be stopped or reaped until a list or a report changes
+    published_schedulable: bool = False  # whether it was drawable when last shown
+    last_reported_tasks: list[api.ReportTask] | None = None  # what `tasks` was made of
+    reconciled: bool = False  # nothing to be stopped or reaped until a list or a report changes
 
 
-def may_preempt(new: Standing, old: Standing, pressing: bool) -> bool:
+def may_preempt(new: PreemptionAttributes, old: PreemptionAttributes, pressing: bool) -> bool:
     """PROTOCOL, "Preemption": higher rank, or a guarantee against another team's surplus.
 
     Work of higher rank gives way to a guarantee only when that presses: at first there may
--- a/starlingdeck/machines/reachability.py
+++ b/starlingdeck/machines/reachability.py
@@ -9,83 +9,94 @@
 
 from msgspec import Struct
 
-MANY_DEAF = 0.05  # (start) of the machines heard: when more hear nothing, the network is to blame
-FEW_DEAF = 2  # (start) may be returned however few machines there are
+MASS_UNREACHABLE_SHARE = (
+    0.05  # (start) of the machines heard: when more hear nothing, the network is to blame
+)
+MIN_RELEASABLE = 2  # (start) may be returned however few machines there are
 
 
-class Word(Enum):
+class HeartbeatOrder(Enum):
     """What a message is to us."""
 
-    NEWS = 1  # newer than all before
+    NEWER = 1  # newer than all before
     OVERTAKEN = 2  # a report that another message has overtaken: its answer renews, no more
-    FOREIGN = 3  # a copy, or of another life of the machine: it proves nothing
+    STALE = 3  # a copy, or of another life of the machine: it proves nothing
 
 
-class Hearing(Struct, kw_only=True):
+class Reachability(Struct, kw_only=True):
     """`session` counts over a machine's lives: `ended` is what its earlier ones took of it."""
 
-    heard: float  # when the newest message first came
-    answered: float  # no lease of its began later: a lease counts from the sending of a report,
+    last_message_at: float  # when the newest message first came
+    lease_granted_at: (
+        float  # no lease of its began later: a lease counts from the sending of a report,
+    )
     # and that of a new session from its beginning
-    spoke: float  # when its newest report came: an answer to a call renews no lease
-    back: float | None = None  # since when nothing proves that it hears us; None: proven
+    last_heartbeat_at: float  # when its newest report came: an answer to a call renews no lease
+    unconfirmed_since: float | None = (
+        None  # since when nothing proves that it hears us; None: proven
+    )
     session: int = 0
     seq: int = 0
     token: int = 0
-    ended: int = 0
-    reported: tuple[int, int] = (0, 0)  # its own session and number, of the newest report
-    unheard_do: int = 0  # calls in a row without an answer
-    ask: bool = False  # something foreign came: only an answer to a call tells what it is
-    ask_at: float = 0.0
+    prior_sessions: int = 0
+    last_heartbeat: tuple[int, int] = (0, 0)  # its own session and number, of the newest report
+    unanswered_commands: int = 0  # calls in a row without an answer
+    probe_needed: bool = False  # something foreign came: only an answer to a call tells what it is
+    probed_at: float = 0.0
     # The session of a life that an answer has shown, until its former life's commands are fenced.
-    reborn: int = 0
+    new_incarnation_session: int = 0
 
     @property
-    def doubted(self) -> bool:
+    def needs_probe(self) -> bool:
         """Whether it is to be called only to see whether it answers."""
-        return self.back is not None or self.ask
+        return self.unconfirmed_since is not None or self.probe_needed
 
-    def mark(self) -> tuple[int, int]:
+    def position(self) -> tuple[int, int]:
         """The newest message's session and number, by the machine's own count."""
-        return (self.session - self.ended, self.seq)
+        return (self.session - self.prior_sessions, self.seq)
 
-    def word(self, session: int, seq: int, token: int, report: bool) -> Word:
+    def classify(self, session: int, seq: int, token: int, report: bool) -> HeartbeatOrder:
         """A life's tokens only rise, so that what counts on from a former life shows itself."""
-        if (session, seq) > self.mark():
-            return Word.NEWS if token >= self.token else Word.FOREIGN
+        if (session, seq) > self.position():
+            return HeartbeatOrder.NEWER if token >= self.token else HeartbeatOrder.STALE
         # Renewed by every report, a lease of a dead machine was put off by copies of its own.
-        fresh = report and (session, seq) > self.reported
-        return Word.OVERTAKEN if fresh else Word.FOREIGN
+        fresh = report and (session, seq) > self.last_heartbeat
+        return HeartbeatOrder.OVERTAKEN if fresh else HeartbeatOrder.STALE
 
-    def counts_anew(self, asked: tuple[int, int] | None, session: int, seq: int) -> bool:
+    def is_new_incarnation(self, asked: tuple[int, int] | None, session: int, seq: int) -> bool:
         """Whether an answer to a call shows a new life: it was made after `asked` was known, and
         in one life numbers only rise. A report that does so may as well be a late copy."""
         return asked is not None and (session, seq) < asked
 
-    def begin_life(self, session: int) -> int:
+    def begin_incarnation(self, session: int) -> int:
         """The number of the first session of a life that has just shown itself."""
-        self.ended, self.reborn, self.ask, self.reported = self.session, 0, False, (0, 0)
-        return session + self.ended
+        (
+            self.prior_sessions,
+            self.new_incarnation_session,
+            self.probe_needed,
+            self.last_heartbeat,
+        ) = self.session, 0, False, (0, 0)
+        return session + self.prior_sessions
 
     def catch_up(self, listed: int) -> bool:
         """Lists name a later session than its newest word, of which it is known that it is its
         present one: it began anew under a former holder, who alone knew its earlier lives."""
         if listed <= self.session:
             return False
-        self.ended += listed - self.session
+        self.prior_sessions += listed - self.session
         self.session = listed
         return True
 
-    def deaf_s(self, now: float, within_s: float) -> float:
+    def unconfirmed_s(self, now: float, within_s: float) -> float:
         """How long a machine that reports has shown nothing that proves that it hears us, 0 for
         others; in a view it is as of then, and goes on."""
-        if self.back is None or now - self.heard > within_s:
+        if self.unconfirmed_since is None or now - self.last_message_at > within_s:
             return 0.0
-        return max(0.001, now - self.back)
+        return max(0.001, now - self.unconfirmed_since)
 
 
-def may_return(deaf: int, heard: int) -> int:
+def releasable_count(deaf: int, heard: int) -> int:
     """How many machines that hear nothing may be returned now: when many are so at once (a zone,
     half the fleet), the network is to blame, and others would hear as little."""
-    few = max(FEW_DEAF, int(heard * MANY_DEAF))
+    few = max(MIN_RELEASABLE, int(heard * MASS_UNREACHABLE_SHARE))
     return deaf if deaf <= few else 0
--- a/starlingdeck/machines/scoring.py
+++ b/starlingdeck/machines/scoring.py
@@ -8,12 +8,12 @@
 
 from starlingdeck.context import fits
 
-FULL = 0.9
+HIGH_UTILIZATION = 0.9
 NO_RANK = 99
-FAR = 1e6
+NO_PREEMPTIBLE_WORK_S = 1e6
 
 
-class Room(Struct):
+class Candidate(Struct):
     """A machine as the scorers see it. Amounts are cpus, gpus, memory.
 
     `silent_s` and `idle_s` are as of `at`; `open` is what its owner says, and `drawable`
@@ -25,66 +25,68 @@
     zone: int
     spot: bool
     shard: int
-    total: tuple[float, float, float]
-    free: list[float]
-    drawable: bool = True
-    dead: bool = False
+    capacity: tuple[float, float, float]
+    available: list[float]
+    schedulable: bool = True
+    lost: bool = False
     draining: bool = False
-    notice: bool = False
+    termination_notice: bool = False
     busy: bool = False
     silent_s: float = 0.0
     idle_s: float = 0.0
-    at: float = 0.0
-    open: bool = True
-    pull: float = 1.0
+    observed_at: float = 0.0
+    owner_schedulable: bool = True
+    fetch_gb_per_s: float = 1.0
     images: set[str] = field(default_factory=set)
     fetching: set[str] = field(default_factory=set)
     youngest_s: list[float] = field(default_factory=list)  # by rank, as of `at`; -1: none
-    present: set[tuple[int, int]] = field(default_factory=set)
-    deaf_s: float = 0.0  # for how long it has reported without hearing its owner, as of `at`
-    lowest: int = NO_RANK  # of the work that may be stopped
+    tasks: set[tuple[int, int]] = field(default_factory=set)
+    unconfirmed_s: float = 0.0  # for how long it has reported without hearing its owner, as of `at`
+    lowest_rank: int = NO_RANK  # of the work that may be stopped
 
     def __post_init__(self) -> None:
         """Asked of every machine in every plan."""
         ranks = (rank for rank, age in enumerate(self.youngest_s) if age >= 0)
-        self.lowest = next(ranks, NO_RANK)
+        self.lowest_rank = next(ranks, NO_RANK)
 
-    def shares_with(self, size: Sequence[float]) -> list[float]:
+    def utilization_with(self, size: Sequence[float]) -> list[float]:
         return [
-            (t - f + s) / t for t, f, s in zip(self.total, self.free, size, strict=True) if t > 0
+            (t - f + s) / t
+            for t, f, s in zip(self.capacity, self.available, size, strict=True)
+            if t > 0
         ]
 
     def fetch_s(self, image: str, image_gb: float) -> float:
         """How long a task would wait for its image. Fetches under way share the rate."""
-        if image in self.images or self.pull <= 0:
+        if image in self.images or self.fetch_gb_per_s <= 0:
             return 0.0
         if image in self.fetching:
-            return image_gb / self.pull * len(self.fetching) / 2
-        return image_gb / self.pull * (1 + len(self.fetching))
+            return image_gb / self.fetch_gb_per_s * len(self.fetching) / 2
+        return image_gb / self.fetch_gb_per_s * (1 + len(self.fetching))
 
     def lost_s(self, rank: int, now: float) -> float:
         """How much run time is lost by stopping lower work here; FAR where there is none."""
         ran = [age for age in self.youngest_s[:rank] if age >= 0]
-        return min(ran) + now - self.at if ran else FAR
+        return min(ran) + now - self.observed_at if ran else NO_PREEMPTIBLE_WORK_S
 
     def fits(self, size: Sequence[float]) -> bool:
-        return fits(size, self.free)
+        return fits(size, self.available)
 
 
 def start_score(shares: Sequence[float]) -> float:
     """DESIGN 2: 1 minus the highest share minus half the spread; over-full fits rank last."""
     high, low = max(shares), min(shares)
     score = 1 - high - (high - low) / 2
-    return score - 2 if high > FULL else score
+    return score - 2 if high > HIGH_UTILIZATION else score
 
 
 def refit_score(shares: Sequence[float]) -> float:
     """DESIGN 4: tight fits first; nothing above 90% use. (Ours: mean share minus spread.)"""
     high, low = max(shares), min(shares)
-    return 0.0 if high > FULL else max(0.0, sum(shares) / len(shares) - (high - low))
+    return 0.0 if high > HIGH_UTILIZATION else max(0.0, sum(shares) / len(shares) - (high - low))
 
 
-class Draw:
+class CandidateSample:
     """Up to `most` machines that fit a task of one size, best first (DESIGN 2).
 
     Exception to DESIGN 2, recorded in docs/design.md: among machines that fit, the one that
@@ -94,30 +96,30 @@
 
     def __init__(
         self,
-        rooms: Sequence[Room],  # all of which fit
+        candidates: Sequence[Candidate],  # all of which fit
         size: Sequence[float],
-        fetch_s: Callable[[Room], float],
-        most: int,
+        fetch_s: Callable[[Candidate], float],
+        limit: int,
         rng: random.Random,
     ) -> None:
         self.size = size
         self.fetch_s = fetch_s
-        pool = list(rooms)
-        if len(pool) > most:
-            pool = rng.sample(pool, most)
+        pool = list(candidates)
+        if len(pool) > limit:
+            pool = rng.sample(pool, limit)
         self.pool = pool
-        self.heap = [(*self._rank(room), i) for i, room in enumerate(pool)]
+        self.heap = [(*self._rank(candidate), i) for i, candidate in enumerate(pool)]
         heapq.heapify(self.heap)
         self.chosen: int | None = None
 
-    def _rank(self, room: Room) -> tuple[float, bool, float]:
+    def _rank(self, candidate: Candidate) -> tuple[float, bool, float]:
         return (
-            round(self.fetch_s(room)),
-            room.spot,
-            -start_score(room.shares_with(self.size)),
+            round(self.fetch_s(candidate)),
+            candidate.spot,
+            -start_score(candidate.utilization_with(self.size)),
         )
 
-    def best(self, able: Callable[[Room], bool]) -> Room | None:
+    def best(self, able: Callable[[Candidate], bool]) -> Candidate | None:
         """The best that is able; its free room may be changed only until the next call."""
         passed, found = [], None
         if self.chosen is not None:
@@ -126,16 +128,16 @@
             self.chosen = None
         while self.heap:
             entry = heapq.heappop(self.heap)
-            room = self.pool[entry[-1]]
-            rank = (*self._rank(room), entry[-1]) if room.fits(self.size) else None
+            candidate = self.pool[entry[-1]]
+            rank = (*self._rank(candidate), entry[-1]) if candidate.fits(self.size) else None
             if rank is None:
                 continue
             if rank != entry:
                 heapq.heappush(self.heap, rank)
                 continue
             passed.append(entry)
-            if able(room):
-                found, self.chosen = room, entry[-1]
+            if able(candidate):
+                found, self.chosen = candidate, entry[-1]
                 break
         for entry in passed:
             heapq.heappush(self.heap, entry)
@@ -143,22 +145,22 @@
 
 
 def choose_refit(
-    rooms: Sequence[Room],
+    rooms: Sequence[Candidate],
     size: Sequence[float],
-    most: int,
+    limit: int,
     candidates: int,
     rng: random.Random,
-) -> list[Room]:
+) -> list[Candidate]:
     """Candidates drawn by score, best first; those fitting only by total room come last."""
-    pool = rng.sample(list(rooms), most) if len(rooms) > most else list(rooms)
+    pool = rng.sample(list(rooms), limit) if len(rooms) > limit else list(rooms)
     open_, forced = [], []
-    for room in pool:
-        score = refit_score(room.shares_with(size))
-        if room.fits(size):
-            open_.append((score + 1e-6, room))
-        elif fits(size, room.total):
-            forced.append(room)
-    drawn: list[Room] = []
+    for candidate in pool:
+        score = refit_score(candidate.utilization_with(size))
+        if candidate.fits(size):
+            open_.append((score + 1e-6, candidate))
+        elif fits(size, candidate.capacity):
+            forced.append(candidate)
+    drawn: list[Candidate] = []
     while open_ and len(drawn) < candidates:
         total = sum(score for score, _ in open_)
         mark = rng.random() * total
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -4,23 +4,23 @@
 
 from starlingdeck.interning import split_key
 from starlingdeck.machines.machine import Machine
-from starlingdeck.machines.reservations import RoomKeeper
+from starlingdeck.machines.reservations import ReservationManager
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
-SICK_SURE_S = 10.0  # (start) a sick machine is not returned sooner
+FAULTY_DRAIN_DELAY_S = 10.0  # (start) a sick machine is not returned sooner
 
 
-class Views(RoomKeeper):
+class SnapshotPublisher(ReservationManager):
     """Messages to who follows this shard."""
 
-    def unheard(self) -> Iterable[int]:
+    def never_reported(self) -> Iterable[int]:
         """Machines that jobs name and that are proven gone without ever reporting here."""
-        late = self.world.now() > self.quiet_until
-        named = {m for table in self.wants.values() for m in table}
-        return [m for m in named if m in self.gone or (late and m not in self.machines)]
+        late = self.context.now() > self.former_leases_end_at
+        named = {m for table in self.desired_tasks.values() for m in table}
+        return [m for m in named if m in self.deleted_machines or (late and m not in self.machines)]
 
-    def view(self, valid: bool) -> pb.View:
+    def snapshot_update(self, valid: bool) -> pb.Snapshot:
         """What has changed since the last view.
 
         A machine that is due again since its lists were reconciled is shown as not fenced, and
@@ -28,32 +28,32 @@
         are applied, and a start under way would pass for refused.
         """
         self.seq += 1
-        shown, self.news = self.news, self.news & self.due
-        removed, self.removed = self.removed, set()
-        self.changed = bool(self.news)
-        out = self._frame(valid)
-        out.removed.extend(self.world.machines[m] for m in removed)
+        shown, self.to_publish = self.to_publish, self.to_publish & self.to_reconcile
+        removed, self.removed_machines = self.removed_machines, set()
+        self.changed = bool(self.to_publish)
+        out = self._header(valid)
+        out.removed_machines.extend(self.context.machine_names[m] for m in removed)
         self._entries(out, shown)
         return out
 
-    def whole_view(self, valid: bool) -> pb.View:
+    def full_snapshot(self, valid: bool) -> pb.Snapshot:
         """Everything, for who has not followed; numbered like the last difference."""
-        out = self._frame(valid)
-        out.whole = True
+        out = self._header(valid)
+        out.full = True
         self._entries(out, self.machines)
-        self.news |= self.due
-        self.changed |= bool(self.due)
+        self.to_publish |= self.to_reconcile
+        self.changed |= bool(self.to_reconcile)
         return out
 
-    def _frame(self, valid: bool) -> pb.View:
-        out = pb.View(shard=self.shard, gen=self.gen, seq=self.seq, valid=valid)
-        out.stamp_ms = int(self.world.now() * 1000)
-        for shard, (token, seq) in self.settled.items():
+    def _header(self, valid: bool) -> pb.Snapshot:
+        out = pb.Snapshot(shard=self.shard, epoch=self.epoch, seq=self.seq, valid=valid)
+        out.timestamp_ms = int(self.context.now() * 1000)
+        for shard, (token, seq) in self.applied_seqs.items():
             out.acks.add(shard=shard, token=token, seq=seq)
-        out.dead.extend(self.world.machines[m] for m in self.unheard())
+        out.lost_machines.extend(self.context.machine_names[m] for m in self.never_reported())
         return out
 
-    def _entries(self, out: pb.View, shown: Iterable[int]) -> None:
+    def _entries(self, out: pb.Snapshot, shown: Iterable[int]) -> None:
         for index in shown:
             machine = self.machines.get(index)
             if machine is None:
@@ -61,54 +61,58 @@
             before = len(out.machines)
             try:
                 self._entry(out, machine)
-            except Exception as why:
+            except Exception as error:
                 # Nothing may be concluded from what was shown of it before.
-                self.world.set_aside("machine", machine.name, why)
+                self.context.quarantine_failed("machine", machine.name, error)
                 del out.machines[before:]
                 out.machines.add(id=machine.name, session=machine.session)
 
-    def _entry(self, out: pb.View, m: Machine) -> None:
-        world = self.world
-        free = self.free(m)
-        m.drawn = self.drawable(m)
+    def _entry(self, out: pb.Snapshot, machine: Machine) -> None:
+        context = self.context
+        free = self.available(machine)
+        machine.published_schedulable = self.is_schedulable(machine)
         entry = out.machines.add(
-            id=m.name,
-            address=m.address,
-            type=world.type_names[m.type],
-            zone=world.zones[m.zone],
-            spot=m.spot,
-            session=m.session,
+            id=machine.name,
+            address=machine.address,
+            type=context.type_names[machine.type],
+            zone=context.zone_names[machine.zone],
+            spot=machine.spot,
+            session=machine.session,
             # Of a machine that is due nothing may be called absent yet.
-            fenced=self.fenced(m) and m.index not in self.due,
-            dead=m.dead,
-            drawable=free is not None and m.drawn,
-            images=list(m.images),
+            fenced=self.is_fenced(machine) and machine.index not in self.to_reconcile,
+            lost=machine.lost,
+            schedulable=free is not None and machine.published_schedulable,
+            images=list(machine.images),
             # Returned when it is empty: not before others had the time to speak for it.
-            draining=m.draining or (m.sick is not None and world.now() - m.sick > SICK_SURE_S),
-            notice=m.notice_until is not None,
-            silent_s=world.now() - m.heard,
-            idle_s=world.now() - m.empty_since,
-            deaf_s=m.deaf_s(world.now(), self.lease_s),
+            draining=machine.draining
+            or (
+                machine.faulty_since is not None
+                and context.now() - machine.faulty_since > FAULTY_DRAIN_DELAY_S
+            ),
+            termination_notice=machine.termination_at is not None,
+            silent_s=context.now() - machine.last_message_at,
+            idle_s=context.now() - machine.empty_since,
+            unconfirmed_s=machine.unconfirmed_s(context.now(), self.lease_s),
         )
-        entry.fetching.extend(self._fetching(m))
-        entry.youngest_s.extend(self._youngest(m))
+        entry.fetching.extend(self._fetching(machine))
+        entry.youngest_s.extend(self._youngest(machine))
         if free is None:
-            self.blind.add(m.index)
+            self.awaiting_job_info.add(machine.index)
         else:
-            entry.free_cpus, entry.free_gpus, entry.free_memory_gb = free
-        for key, seen in m.tasks.items():
+            entry.available_cpus, entry.available_gpus, entry.available_memory_gb = free
+        for key, observed in machine.tasks.items():
             job, number = split_key(key)
             entry.tasks.add(
-                job=world.jobs[job],
+                job=context.job_names[job],
                 task=number,
-                attempt=seen.attempt,
-                state=seen.state,
-                why=seen.why,
-                saved=seen.saved,
-                shed=key in m.shed,
+                attempt=observed.attempt,
+                state=observed.state,
+                cause=observed.cause,
+                saved=observed.saved,
+                descheduled=key in machine.descheduled,
             )
-        for key, launch in m.launches.items():
+        for key, launch in machine.pending_launches.items():
             job, number = split_key(key)
             entry.tasks.add(
-                job=world.jobs[job], task=number, attempt=launch.attempt, state=api.PENDING
+                job=context.job_names[job], task=number, attempt=launch.attempt, state=api.PENDING
             )
--- a/starlingdeck/metrics/counters.py
+++ b/starlingdeck/metrics/counters.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-MOST_PAIRS = 100
+MAX_TEAM_CLASSES = 100
 
 OFFERED, ACCEPTED, STARTED, DONE, CANCELLED, STOPPED = range(6)
 EVENTS = (
@@ -27,17 +27,17 @@
     oldest_s: float = 0.0
 
 
-class Tally:
+class Counters:
     """Counts from one set of lines to the next."""
 
     def __init__(self) -> None:
         self.counts: dict[tuple[str, str], list[int]] = {}
         self.totals = [0] * len(EVENTS)  # of every pair, never forgotten
 
-    def note(self, team: str, cls: str, event: int, many: int = 1) -> None:
+    def increment(self, team: str, cls: str, event: int, many: int = 1) -> None:
         row = self.counts.get((team, cls))
         if row is None:
-            key = (team, cls) if len(self.counts) < MOST_PAIRS else ("others", "")
+            key = (team, cls) if len(self.counts) < MAX_TEAM_CLASSES else ("others", "")
             row = self.counts.setdefault(key, [0] * len(EVENTS))
         row[event] += many
         self.totals[event] += many
@@ -48,7 +48,7 @@
         found: dict[tuple[str, str], Waiting] = {}
         for team, cls, tasks, age_s in waiting:
             key = (team, cls)
-            if key not in self.counts and len(found) >= MOST_PAIRS:
+            if key not in self.counts and len(found) >= MAX_TEAM_CLASSES:
                 key = ("others", "")
             row = found.setdefault(key, Waiting())
             row.tasks += tasks
--- a/starlingdeck/metrics/latency.py
+++ b/starlingdeck/metrics/latency.py
@@ -7,22 +7,22 @@
 from hdrh.histogram import HdrHistogram
 from msgspec import Struct
 
-MOST_MS = 600_000
+MAX_MS = 600_000
 DIGITS = 2
 SHARES = (50.0, 90.0, 99.0)
 
 
-class Meters:
+class LatencyHistograms:
     """One histogram of milliseconds a name, from one log line to the next."""
 
     def __init__(self) -> None:
         self.histograms: dict[str, HdrHistogram] = {}
 
-    def note(self, name: str, seconds: float) -> None:
+    def record(self, name: str, seconds: float) -> None:
         found = self.histograms.get(name)
         if found is None:
-            found = self.histograms[name] = HdrHistogram(1, MOST_MS, DIGITS)
-        found.record_value(min(MOST_MS, max(1, int(seconds * 1000))))
+            found = self.histograms[name] = HdrHistogram(1, MAX_MS, DIGITS)
+        found.record_value(min(MAX_MS, max(1, int(seconds * 1000))))
 
     def lines(self) -> list[str]:
         """What was noted since the last call, and forget it."""
@@ -36,13 +36,13 @@
         return out
 
 
-class Slice(Struct):
+class TaskRuntime(Struct):
     runs: int = 0
     total_s: float = 0.0
     longest_s: float = 0.0
 
 
-class Slices(Activation):  # type: ignore[misc]
+class TaskProfiler(Activation):  # type: ignore[misc]
     """For each kind of task: how often it ran, how long in all, and the longest run.
 
     A run is from one wait to the next; meanwhile everything else waits, so the longest
@@ -51,23 +51,23 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self.began = 0.0
-        self.slices: dict[str, Slice] = {}
+        self.started_at = 0.0
+        self.runtimes: dict[str, TaskRuntime] = {}
 
     def running(self, task: Any) -> None:
-        self.began = self.now()
+        self.started_at = self.now()
 
     def suspended(self, task: Any, trap: Any) -> None:
-        spent = self.now() - self.began
-        row = self.slices.setdefault(task.name, Slice())
+        spent = self.now() - self.started_at
+        row = self.runtimes.setdefault(task.name, TaskRuntime())
         row.runs += 1
         row.total_s += spent
         row.longest_s = max(row.longest_s, spent)
 
     def lines(self) -> list[str]:
         """What was noted since the last call, costliest first, and forget it."""
-        rows = sorted(self.slices.items(), key=lambda item: -item[1].total_s)
-        self.slices = {}
+        rows = sorted(self.runtimes.items(), key=lambda item: -item[1].total_s)
+        self.runtimes = {}
         return [
             f"ran {name}: {row.runs} times, {row.total_s:.3f} s, longest {row.longest_s:.3f} s"
             for name, row in rows
--- a/starlingdeck/protocol/api.py
+++ b/starlingdeck/protocol/api.py
@@ -29,7 +29,7 @@
 
 ARRAY, SERVICE = "sweep", "daemon"
 RANKS = {"prod": 3, "urgent": 2, "normal": 1, "idle": 0}
-START, STOP, FORGET = "launch", "stop", "reap"
+START, STOP, REAP = "launch", "stop", "reap"
 QUEUED, RUNNING, DONE, CANCELLED = "queued", "running", "done", "cancelled"
 BOOTING, FAILED = "starting", "failed"
 
@@ -37,7 +37,7 @@
 PENDING, FETCHING, ON, SAVING, EXITED = range(5)
 STATE_CODES = {"fetching": FETCHING, "running": ON, "flushing": SAVING, "exited": EXITED}
 W_NONE, W_DONE, W_STOPPED, W_ERROR, W_NO_ROOM, W_BUSY, W_UNKNOWN = range(7)
-WHY_CODES = {
+CAUSE_CODES = {
     "done": W_DONE,
     "halted": W_STOPPED,
     "error": W_ERROR,
@@ -45,24 +45,24 @@
     "in_use": W_BUSY,
     "no_such": W_UNKNOWN,
 }
-WHY_NAMES = {code: name for name, code in WHY_CODES.items()}
+CAUSE_NAMES = {code: name for name, code in CAUSE_CODES.items()}
 
 # What the doors let in; `docs/operations.md` lists these bounds.
-MOST_AMOUNT = 1e9
-LEAST_SIZE = 1e-6  # of a task that takes any of it: a smaller one divides into infinitely many
-MOST_NAME = 120
-MOST_TYPES = 64
-MOST_TASKS = 100_000
-MOST_COUNTS = 16  # that a job may name
-MOST_UNITS = 1_000_000
+MAX_AMOUNT = 1e9
+MIN_SIZE = 1e-6  # of a task that takes any of it: a smaller one divides into infinitely many
+MAX_NAME_LENGTH = 120
+MAX_MACHINE_TYPES = 64
+MAX_TASKS = 100_000
+MAX_COUNTED_RESOURCES = 16  # that a job may name
+MAX_UNITS = 1_000_000
 JOB_ID = re.compile(r"j-[0-9]{1,18}")
 COUNT = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,59}")
-NAME = re.compile(rf"[^\x00-\x1f\x7f]{{0,{MOST_NAME}}}")
+NAME = re.compile(rf"[^\x00-\x1f\x7f]{{0,{MAX_NAME_LENGTH}}}")
 
 Attempt = Annotated[int, Meta(ge=0, lt=1 << 32)]
 Counter = Annotated[int, Meta(ge=0)]
 # The state service's keys and the log hold it as it is.
-HostName = Annotated[str, Meta(pattern=rf"\A[^\x00-\x20\x7f/]{{1,{MOST_NAME}}}\Z")]
+HostName = Annotated[str, Meta(pattern=rf"\A[^\x00-\x20\x7f/]{{1,{MAX_NAME_LENGTH}}}\Z")]
 OtherName = Annotated[str, Meta(pattern=rf"\A{NAME.pattern}\Z")]
 
 JobId = Annotated[str, Meta(pattern=rf"^{JOB_ID.pattern}$")]
@@ -77,7 +77,7 @@
     team: str = field(name="crew")
     kind: Literal["sweep", "daemon"] = field(name="shape")
     priority: Literal["prod", "urgent", "normal", "idle"] = field(name="rank")
-    tasks: Annotated[int, Meta(ge=1, le=MOST_TASKS)] = field(name="chores")
+    tasks: Annotated[int, Meta(ge=1, le=MAX_TASKS)] = field(name="chores")
     cpus: Amount = field(name="cores")
     gpus: Amount = field(name="accelerators")
     memory_gb: Amount = field(name="ram_gb")
@@ -231,20 +231,20 @@
     delete: str | None = None
 
 
-class Txn(msgspec.Struct):
+class Transaction(msgspec.Struct):
     conditions: list[Condition] = field(name="when")
     changes: list[Change] = field(name="apply")
 
 
-class TxnDone(msgspec.Struct):
+class TransactionResult(msgspec.Struct):
     revision: int = field(name="epoch")
 
 
-class TxnFailed(msgspec.Struct):
+class TransactionConflict(msgspec.Struct):
     failed: list[str]
 
 
-class LeaseAsk(msgspec.Struct):
+class LeaseRequest(msgspec.Struct):
     ttl_ms: int = field(name="life_ms")
 
 
@@ -264,7 +264,7 @@
     revision: int = field(name="epoch")
 
 
-class FieldFault(ValueError):
+class ValidationError(ValueError):
     """A body that is not what it should be; the text names the field."""
 
 
@@ -272,14 +272,14 @@
     """A submission's body; raises FieldFault for what may not come in."""
     try:
         spec = msgspec.json.decode(body, type=JobSpec)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise FieldFault(str(fault)) from fault
-    if fault_text := bounded(spec):
-        raise FieldFault(fault_text)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ValidationError(str(error)) from error
+    if fault_text := validate_job(spec):
+        raise ValidationError(fault_text)
     return spec
 
 
-def bounded(spec: JobSpec) -> str:
+def validate_job(spec: JobSpec) -> str:
     """Which field is out of its bounds, or nothing."""
     if not JOB_ID.fullmatch(spec.id):
         return f"uid: must match {JOB_ID.pattern}"
@@ -287,16 +287,16 @@
     names |= {"builds": spec.types or [], "roost": [spec.zone or ""]}
     for name, values in names.items():
         if not all(NAME.fullmatch(value) for value in values):
-            return f"{name}: at most {MOST_NAME} characters, none of them a control character"
-    if len(spec.counts or ()) > MOST_COUNTS:
-        return f"counts: at most {MOST_COUNTS}"
+            return f"{name}: at most {MAX_NAME_LENGTH} characters, none of them a control character"
+    if len(spec.counts or ()) > MAX_COUNTED_RESOURCES:
+        return f"counts: at most {MAX_COUNTED_RESOURCES}"
     for name, units in (spec.counts or {}).items():
         if not COUNT.fullmatch(name):
             return f"counts: no name of a count: must match {COUNT.pattern}"
-        if not 0 <= units <= MOST_UNITS:
-            return f"counts.{name}: from 0 to {MOST_UNITS}"
-    if len(spec.types or ()) > MOST_TYPES:
-        return f"builds: at most {MOST_TYPES} names"
+        if not 0 <= units <= MAX_UNITS:
+            return f"counts.{name}: from 0 to {MAX_UNITS}"
+    if len(spec.types or ()) > MAX_MACHINE_TYPES:
+        return f"builds: at most {MAX_MACHINE_TYPES} names"
     sizes = {"cores": spec.cpus, "accelerators": spec.gpus, "ram_gb": spec.memory_gb}
     amounts = sizes | {
         "image_gb": spec.image_gb,
@@ -306,11 +306,11 @@
         "due_s": spec.deadline_s or 0.0,
     }
     for name, value in amounts.items():
-        if value > MOST_AMOUNT:
-            return f"{name}: at most {MOST_AMOUNT:.0f}"
+        if value > MAX_AMOUNT:
+            return f"{name}: at most {MAX_AMOUNT:.0f}"
     for name, value in sizes.items():
-        if 0 < value < LEAST_SIZE:
-            return f"{name}: 0, or at least {LEAST_SIZE:.6f}"
+        if 0 < value < MIN_SIZE:
+            return f"{name}: 0, or at least {MIN_SIZE:.6f}"
     if not any(sizes.values()):
         return "cores, accelerators, ram_gb: one of them must be over 0"
     return ""
@@ -320,26 +320,26 @@
     """A worker's report, from itself or in answer to a command; raises FieldFault."""
     try:
         report = msgspec.json.decode(body, type=Report)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise FieldFault(str(fault)) from fault
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ValidationError(str(error)) from error
     if max(report.session, report.seq, report.token) >> 64:
-        raise FieldFault("tenure, tally, baton: under 2^64")
+        raise ValidationError("tenure, tally, baton: under 2^64")
     return report
 
 
-def sound_type(kind: MachineType) -> bool:
+def is_valid_machine_type(kind: MachineType) -> bool:
     """Whether a machine type can be reckoned with: sizes within bounds, no negative amounts."""
     sizes = (kind.cpus, kind.memory_gb, kind.gpus)
     others = (kind.fetch_gb_per_s, kind.price, kind.spot_price, kind.boot_s)
-    good = all(v == 0 or LEAST_SIZE <= v <= MOST_AMOUNT for v in sizes) and any(sizes)
-    return good and all(0 <= v <= MOST_AMOUNT for v in others)
+    good = all(v == 0 or MIN_SIZE <= v <= MAX_AMOUNT for v in sizes) and any(sizes)
+    return good and all(0 <= v <= MAX_AMOUNT for v in others)
 
 
 class _Named(msgspec.Struct):
     id: str = field(name="uid")
 
 
-def job_named(body: bytes) -> str:
+def job_id_of(body: bytes) -> str:
     """The job that a refused body names, or nothing."""
     try:
         name = msgspec.json.decode(body, type=_Named).id
@@ -365,4 +365,4 @@
     """Job and number; -1 for what can be no task: a number over the most would be another's."""
     job, _, number = name.rpartition("/")
     good = JOB_ID.fullmatch(job) and number.isascii() and number.isdigit() and len(number) <= 6
-    return job, int(number) if good and int(number) < MOST_TASKS else -1
+    return job, int(number) if good and int(number) < MAX_TASKS else -1
--- a/starlingdeck/protocol/config.py
+++ b/starlingdeck/protocol/config.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from starlingdeck.protocol.api import COUNT, MOST_UNITS
+from starlingdeck.protocol.api import COUNT, MAX_UNITS
 
 Amount = Annotated[float, Meta(ge=0)]
 Positive = Annotated[float, Meta(gt=0)]
@@ -95,7 +95,7 @@
 class DeclaredCount(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A count as it is to be made; once made, what was changed while running holds."""
 
-    ceiling: Annotated[int, Meta(ge=0, le=MOST_UNITS)]
+    ceiling: Annotated[int, Meta(ge=0, le=MAX_UNITS)]
     preempt: bool = False  # higher work that waits for a unit may stop lower work that holds it
 
 
@@ -154,7 +154,7 @@
     group_commit: GroupCommitSettings | None = None
 
 
-class Fault(Exception):
+class ConfigError(Exception):
     """Bad settings: one line per fault."""
 
     def __init__(self, lines: list[str]) -> None:
@@ -162,7 +162,7 @@
         self.lines = lines
 
 
-def faults_of(raw: object, kind: type[msgspec.Struct], where: str) -> list[str]:
+def validation_errors(raw: object, kind: type[msgspec.Struct], where: str) -> list[str]:
     """Every fault of a table, a line each; decoding alone would stop at the first."""
     if not isinstance(raw, dict):
         return [f"{where or 'file'}: expected a table"]
@@ -174,16 +174,16 @@
             if field.required:
                 lines.append(f"{at}: missing")
         elif (inner := _table(field.type)) is not None:
-            lines += faults_of(raw[name], inner, at)
+            lines += validation_errors(raw[name], inner, at)
         elif (inner := _table_of_tables(field.type)) is not None and isinstance(raw[name], dict):
             for key, value in raw[name].items():
-                lines += faults_of(value, inner, f"{at}.{key}")
+                lines += validation_errors(value, inner, f"{at}.{key}")
             lines += _faulty_names(raw[name], field.type, at)
         else:
             try:
                 msgspec.convert(raw[name], field.type)
-            except msgspec.ValidationError as fault:
-                lines.append(f"{at}: {fault}")
+            except msgspec.ValidationError as error:
+                lines.append(f"{at}: {error}")
     if kind.__struct_config__.forbid_unknown_fields:
         lines += [f"{where or 'file'}: unknown key {name!r}" for name in raw if name not in fields]
     return lines
@@ -205,19 +205,19 @@
     for key in raw:
         try:
             msgspec.convert(key, get_args(kind)[0])
-        except msgspec.ValidationError as fault:
-            lines.append(f"{at}.{key}: {fault}")
+        except msgspec.ValidationError as error:
+            lines.append(f"{at}.{key}: {error}")
     return lines
 
 
 def load_settings(path: Path) -> Settings:
     try:
         raw = msgspec.json.decode(path.read_bytes())
-    except (OSError, msgspec.DecodeError) as fault:
-        raise Fault([f"{path}: {fault}"]) from fault
-    lines = [f"{path}: {line}" for line in faults_of(raw, Settings, "")]
+    except (OSError, msgspec.DecodeError) as error:
+        raise ConfigError([f"{path}: {error}"]) from error
+    lines = [f"{path}: {line}" for line in validation_errors(raw, Settings, "")]
     if lines:
-        raise Fault(lines)
+        raise ConfigError(lines)
     settings = msgspec.convert(raw, Settings)
     for what, address in [
         ("public_addr", settings.public_addr),
@@ -233,7 +233,7 @@
     if len(set(names)) != len(names):
         lines.append(f"{path}: peers: a host_name appears twice")
     if lines:
-        raise Fault(lines)
+        raise ConfigError(lines)
     return settings
 
 
@@ -242,11 +242,11 @@
         return Tuning()
     try:
         raw = msgspec.toml.decode(path.read_bytes())
-    except (OSError, msgspec.DecodeError) as fault:
-        raise Fault([f"{path}: {fault}"]) from fault
-    lines = [f"{path}: {line}" for line in faults_of(raw, Tuning, "")]
+    except (OSError, msgspec.DecodeError) as error:
+        raise ConfigError([f"{path}: {error}"]) from error
+    lines = [f"{path}: {line}" for line in validation_errors(raw, Tuning, "")]
     if lines:
-        raise Fault(lines)
+        raise ConfigError(lines)
     return msgspec.convert(raw, Tuning)
 
 
--- a/starlingdeck/quarantine.py
+++ b/starlingdeck/quarantine.py
@@ -4,8 +4,8 @@
 
 log = logging.getLogger(__name__)
 
-KEPT = 20_000  # each machine of a large fleet, and jobs; some 500 bytes each
-AGAIN_S = 30.0  # (start) until it is tried once more
+MAX_ENTRIES = 20_000  # each machine of a large fleet, and jobs; some 500 bytes each
+RETRY_AFTER_S = 30.0  # (start) until it is tried once more
 
 
 class Quarantine:
@@ -16,21 +16,21 @@
     """
 
     def __init__(self) -> None:
-        self.found: dict[tuple[str, str], tuple[float, str]] = {}
+        self.entries: dict[tuple[str, str], tuple[float, str]] = {}
 
-    def put(self, kind: str, name: str, fault: BaseException, now: float) -> None:
+    def add(self, kind: str, name: str, error: BaseException, now: float) -> None:
         """Called where the fault is handled: its traceback is logged when it is new."""
-        known = self.found.pop((kind, name), None)
-        self.found[(kind, name)] = (now + AGAIN_S, repr(fault)[:200])
+        known = self.entries.pop((kind, name), None)
+        self.entries[(kind, name)] = (now + RETRY_AFTER_S, repr(error)[:200])
         if known is None:
-            log.error("%s %s: set aside, the rest goes on", kind, name, exc_info=fault)
-        while len(self.found) > KEPT:
-            del self.found[next(iter(self.found))]
+            log.error("%s %s: set aside, the rest goes on", kind, name, exc_info=error)
+        while len(self.entries) > MAX_ENTRIES:
+            del self.entries[next(iter(self.entries))]
 
-    def rests(self, kind: str, name: str, now: float) -> bool:
+    def is_quarantined(self, kind: str, name: str, now: float) -> bool:
         """Whether it is not to be tried yet."""
-        return bool(self.found) and self.found.get((kind, name), (0.0, ""))[0] > now
+        return bool(self.entries) and self.entries.get((kind, name), (0.0, ""))[0] > now
 
-    def why(self, kind: str, name: str) -> str:
+    def reason(self, kind: str, name: str) -> str:
         """What to tell who asks; nothing when it was never set aside."""
-        return self.found.get((kind, name), (0.0, ""))[1]
+        return self.entries.get((kind, name), (0.0, ""))[1]
--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -9,27 +9,36 @@
 
 from msgspec import Struct
 
-from starlingdeck.context import World, total_of
-from starlingdeck.fairness import minimum_share as floors
-from starlingdeck.fairness.demand_snapshot import Load, Pair, Part, Picture, bounded, total
-from starlingdeck.fairness.fair_share import Shares, dominant, reckon
-from starlingdeck.fairness.minimum_share import Work
+from starlingdeck.context import ControllerContext, machine_capacity
+from starlingdeck.fairness import minimum_share
+from starlingdeck.fairness.demand_snapshot import (
+    ClassDemand,
+    DemandSnapshot,
+    ShardDemand,
+    TeamClass,
+    bounded,
+    total,
+)
+from starlingdeck.fairness.fair_share import FairShares, compute_fair_shares, dominant_share
+from starlingdeck.fairness.minimum_share import WorkItem
 from starlingdeck.jobs.job import Job
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
-from starlingdeck.metrics import counters as tally
+from starlingdeck.metrics import counters
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings
-from starlingdeck.scheduling.scheduler import urgency
+from starlingdeck.scheduling.scheduler import priority_key
 
 log = logging.getLogger(__name__)
 
-KEEP_S = 0.5  # (start) how often it is looked which tasks are kept
-FADES_S = 10.0  # (start) how soon half of what was stopped is no longer lately
-FEW = 20.0  # starts lately: of fewer, so many count
-TELL_S = 0.25  # (start) how often our parts are summed up anew
-HOLD_S = 10.0  # (start) an overload lasts this long after the last task that found no machine
-MOST_CLASS = 200  # characters of a name that a peer may send
+PROTECT_INTERVAL_S = 0.5  # (start) how often it is looked which tasks are kept
+EVENT_HALF_LIFE_S = 10.0  # (start) how soon half of what was stopped is no longer lately
+MIN_RECENT_STARTS = 20.0  # starts lately: of fewer, so many count
+REFRESH_INTERVAL_S = 0.25  # (start) how often our parts are summed up anew
+OVERLOAD_HOLD_S = (
+    10.0  # (start) an overload lasts this long after the last task that found no machine
+)
+MAX_CLASS_NAME = 200  # characters of a name that a peer may send
 
 
 class Waits(Struct):
@@ -42,104 +51,116 @@
     at: float = 0.0
 
 
-class Overload:
+class OverloadController:
     """Off until something waits for a machine for longer than `patience_s`, at any controller."""
 
     def __init__(
         self,
-        world: World,
-        writers: Mapping[int, Writer],
+        context: ControllerContext,
+        writers: Mapping[int, RecordWriter],
         machines: Mapping[int, MachineShard],
         settings: OverloadSettings,
     ) -> None:
-        self.world = world
+        self.context = context
         self.writers = writers
         self.machines = machines
         self.settings = settings
-        self.picture = Picture()
-        self.shares = Shares()
-        self.waits: dict[int, Waits] = {}
-        self.pressed_at = -1e9
-        self.told_at = -1e9
+        self.demand = DemandSnapshot()
+        self.shares = FairShares()
+        self.waiting_jobs: dict[int, Waits] = {}
+        self.overloaded_at = -1e9
+        self.refreshed_at = -1e9
         self.seq = 0
         self.seen_events = [0, 0]  # tasks started and stopped here, when last looked at
-        self.lately = [0.0, 0.0]  # and of those lately
-        self.keep_at = 0.0
-        self.keeping = False  # whether any running task may be marked as kept
+        self.recent_events = [0.0, 0.0]  # and of those lately
+        self.protect_at = 0.0
+        self.protecting = False  # whether any running task may be marked as kept
 
     @staticmethod
-    def pair(job: Job) -> Pair:
+    def team_class(job: Job) -> TeamClass:
         return job.team, job.spec.cls
 
     # --- one picture
 
-    def greet(self, hello: pb.Hello) -> None:
-        self.tell()
+    def add_to_gossip(self, gossip: pb.Gossip) -> None:
+        self.refresh()
         for shard in self.writers:
-            part = self.picture.parts.get(shard)
+            part = self.demand.shards.get(shard)
             if part is None:
                 continue
-            item = hello.parts.add(
-                shard=part.shard, token=part.token, seq=part.seq, pressed=part.pressed,
+            item = gossip.shard_demands.add(
+                shard=part.shard, token=part.token, seq=part.seq, overloaded=part.overloaded,
                 capacity=part.capacity,
             )  # fmt: skip
             for (team, name), load in part.loads.items():
                 item.loads.add(team=team, cls=name, running=load.running, waiting=load.waiting)
 
-    def greeted(self, hello: pb.Hello) -> None:
-        now = self.world.now()
-        for item in hello.parts[: self.world.shards]:
-            if item.shard >= self.world.shards or item.shard in self.writers:
+    def receive_gossip(self, gossip: pb.Gossip) -> None:
+        now = self.context.now()
+        for item in gossip.shard_demands[: self.context.shard_count]:
+            if item.shard >= self.context.shard_count or item.shard in self.writers:
                 continue
             loads = {
-                (load.team, load.cls[:MOST_CLASS]): Load(_size(load.running), _size(load.waiting))
+                (load.team, load.cls[:MAX_CLASS_NAME]): ClassDemand(
+                    _size(load.running), _size(load.waiting)
+                )
                 for load in item.loads[:1000]
             }
             capacity = _size(item.capacity)
-            part = Part(item.shard, item.token, item.seq, capacity, bounded(loads), item.pressed)
-            self.picture.take(part, now)
+            part = ShardDemand(
+                item.shard, item.token, item.seq, capacity, bounded(loads), item.overloaded
+            )
+            self.demand.update(part, now)
 
-    def tell(self) -> None:
+    def refresh(self) -> None:
         """Sum up our shards' parts, and reckon the shares from all that are known."""
-        now = self.world.now()
-        if now - self.told_at < TELL_S:
+        now = self.context.now()
+        if now - self.refreshed_at < REFRESH_INTERVAL_S:
             return
-        faded = 0.5 ** (min(now - self.told_at, 60.0) / FADES_S)
-        self.told_at = now
-        totals = self.world.tally.totals
-        events = [totals[tally.STARTED], totals[tally.STOPPED]]
+        faded = 0.5 ** (min(now - self.refreshed_at, 60.0) / EVENT_HALF_LIFE_S)
+        self.refreshed_at = now
+        totals = self.context.counters.totals
+        events = [totals[counters.STARTED], totals[counters.STOPPED]]
         fresh = (a - b for a, b in zip(events, self.seen_events, strict=True))
-        self.lately = [old * faded + new for old, new in zip(self.lately, fresh, strict=True)]
+        self.recent_events = [
+            old * faded + new for old, new in zip(self.recent_events, fresh, strict=True)
+        ]
         self.seen_events = events
-        pressed = now - self.pressed_at < HOLD_S
+        pressed = now - self.overloaded_at < OVERLOAD_HOLD_S
         self.seq += 1
         for shard, writer in self.writers.items():
             if writer.shard.loaded:
                 loads = bounded(self._loads(writer))
-                part = Part(
+                part = ShardDemand(
                     shard, writer.shard.token, self.seq, self._capacity(shard), loads, pressed
                 )
-                self.picture.take(part, now)
-        parts = self.picture.known(now, self.world.tuning.expiry_s)
-        shares = reckon(parts, self.world.shards, self.settings.floor)
+                self.demand.update(part, now)
+        parts = self.demand.known(now, self.context.tuning.expiry_s)
+        shares = compute_fair_shares(parts, self.context.shard_count, self.settings.floor)
         if shares.overload != self.shares.overload:
-            log.info("overload %s, by %s", "begins" if shares.overload else "is over", shares.marks)
+            log.info(
+                "overload %s, by %s", "begins" if shares.overload else "is over", shares.signals
+            )
         self.shares = shares
 
     def _capacity(self, shard: int) -> tuple[float, float, float]:
         machines = self.machines.get(shard)
         found = machines.machines.values() if machines is not None else ()
-        well = [m for m in found if not (m.dead or m.draining or m.sick is not None)]
-        kinds = [self.world.types.get(m.type) for m in well]
-        return total(total_of(kind) for kind in kinds if kind is not None)
+        well = [
+            machine
+            for machine in found
+            if not (machine.lost or machine.draining or machine.faulty_since is not None)
+        ]
+        kinds = [self.context.machine_types.get(machine.type) for machine in well]
+        return total(machine_capacity(kind) for kind in kinds if kind is not None)
 
-    def _loads(self, writer: Writer) -> dict[Pair, Load]:
-        running: dict[Pair, list[tuple[float, float, float]]] = {}
-        waiting: dict[Pair, list[tuple[float, float, float]]] = {}
+    def _loads(self, writer: RecordWriter) -> dict[TeamClass, ClassDemand]:
+        running: dict[TeamClass, list[tuple[float, float, float]]] = {}
+        waiting: dict[TeamClass, list[tuple[float, float, float]]] = {}
         for job in writer.shard.jobs.values():
-            pair, wait = self.pair(job), self.waits.get(job.index)
+            pair, wait = self.team_class(job), self.waiting_jobs.get(job.index)
             for tasks, sizes in (
-                (job.used(), running),
+                (job.active_attempts(), running),
                 (wait.tasks if wait is not None else 0, waiting),
             ):
                 if tasks:
@@ -147,133 +168,148 @@
                     size = (tasks * cpus, tasks * gpus, tasks * memory_gb)
                     sizes.setdefault(pair, []).append(size)
         return {
-            pair: Load(total(running.get(pair, ())), total(waiting.get(pair, ())))
+            pair: ClassDemand(total(running.get(pair, ())), total(waiting.get(pair, ())))
             for pair in running.keys() | waiting.keys()
         }
 
     # --- our part of it
 
-    def part(self, pair: Pair) -> float:
-        return sum(self.shares.part(shard, pair) for shard in self.writers)
+    def own_share(self, pair: TeamClass) -> float:
+        return sum(self.shares.shard_share(shard, pair) for shard in self.writers)
 
-    def churns(self) -> bool:
+    def is_churning(self) -> bool:
         """Whether more than `churn` of what was started here lately was stopped for others."""
-        started, stopped = self.lately
-        return self.shares.overload and stopped > self.settings.churn * max(started, FEW)
+        started, stopped = self.recent_events
+        return self.shares.overload and stopped > self.settings.churn * max(
+            started, MIN_RECENT_STARTS
+        )
 
-    def works(self, jobs: Iterable[Job], kept: bool = False) -> list[Work]:
+    def works(self, jobs: Iterable[Job], kept: bool = False) -> list[WorkItem]:
         """`kept`: with how many tasks of each are kept now."""
-        wall_ms = self.world.wall_ms()
+        now_ms = self.context.wall_clock_ms()
         found = []
         for job in jobs:
-            wait = self.waits.get(job.index)
+            wait = self.waiting_jobs.get(job.index)
             tasks = wait.tasks if wait is not None else 0
-            share = dominant(job.size, self.shares.capacity)
-            late = bool(tasks) and urgency(self.world, job, wall_ms)[0]
+            share = dominant_share(job.size, self.shares.capacity)
+            late = bool(tasks) and priority_key(self.context, job, now_ms)[0]
             # A task that a machine is kept for has its part already: else more and more were.
-            running = job.used() + len(job.gathering & job.promised.keys())
-            many = sum(place.kept for place in job.places.values()) if kept else 0
+            running = job.active_attempts() + len(job.accumulating & job.nominated.keys())
+            many = sum(placement.protected for placement in job.placements.values()) if kept else 0
             found.append(
-                Work(job.index, self.pair(job), job.at_ms, share, running, tasks, many, late)
+                WorkItem(
+                    job.index,
+                    self.team_class(job),
+                    job.submitted_ms,
+                    share,
+                    running,
+                    tasks,
+                    many,
+                    late,
+                )
             )
         return found
 
-    def keep(self) -> None:
+    def protect_tasks(self) -> None:
         """Mark the running tasks that nothing may stop for others."""
-        self.tell()
-        now = self.world.now()
-        if now < self.keep_at or not (self.shares.overload or self.keeping):
+        self.refresh()
+        now = self.context.now()
+        if now < self.protect_at or not (self.shares.overload or self.protecting):
             return
-        self.keep_at = now + KEEP_S
-        self.keeping = self.shares.overload
-        shards = [w.shard for w in self.writers.values() if w.shard.loaded]
+        self.protect_at = now + PROTECT_INTERVAL_S
+        self.protecting = self.shares.overload
+        shards = [writer.shard for writer in self.writers.values() if writer.shard.loaded]
         kept: dict[int, int] = {}
         if self.shares.overload:
-            jobs = [j for shard in shards for j in shard.jobs.values() if j.places]
-            kept = floors.kept(self.works(jobs, True), self.part)
+            jobs = [j for shard in shards for j in shard.jobs.values() if j.placements]
+            kept = minimum_share.protected_work(self.works(jobs, True), self.own_share)
         for shard in shards:
             for job in shard.jobs.values():
-                if not job.places:
+                if not job.placements:
                     continue
                 tasks = kept.get(job.index, 0)
-                for n, task in enumerate(sorted(job.places)):
-                    place = job.places[task]
-                    if place.kept != (n < tasks):
-                        place.kept = n < tasks
-                        shard.relist(job, task)
+                for n, task in enumerate(sorted(job.placements)):
+                    placement = job.placements[task]
+                    if placement.protected != (n < tasks):
+                        placement.protected = n < tasks
+                        shard.republish_task(job, task)
 
-    def first(self, jobs: Sequence[Job]) -> list[tuple[Job, int]]:
+    def below_minimum_share(self, jobs: Sequence[Job]) -> list[tuple[Job, int]]:
         """Of the jobs of a plan, in its order: those that go before all others, and with how
         many tasks."""
         below = self._below() if self.shares.overload else set()
-        planned = {job.index: job for job in jobs if self._named(self.pair(job)) in below}
+        planned = {job.index: job for job in jobs if self._named(self.team_class(job)) in below}
         if not planned:
             return []
         others = [
             job
             for writer in self.writers.values()
             for job in writer.shard.jobs.values()
-            if job.places and job.index not in planned and self._named(self.pair(job)) in below
+            if job.placements
+            and job.index not in planned
+            and self._named(self.team_class(job)) in below
         ]
-        found = floors.first(self.works([*planned.values(), *others]), self.part)
+        found = minimum_share.below_share(self.works([*planned.values(), *others]), self.own_share)
         # A job that waited when the last plan ended may have nothing left that waits.
         return [(planned[index], tasks) for index, tasks in found if index in planned]
 
-    def _below(self) -> set[Pair]:
+    def _below(self) -> set[TeamClass]:
         """Pairs that ran less than our part of their floors when our parts were last told: only
         their jobs are looked at one by one."""
-        running: dict[Pair, float] = {}
+        running: dict[TeamClass, float] = {}
         for shard in self.writers:
-            part = self.picture.parts.get(shard)
+            part = self.demand.shards.get(shard)
             for pair, load in part.loads.items() if part is not None else ():
-                share = dominant(load.running, self.shares.capacity)
+                share = dominant_share(load.running, self.shares.capacity)
                 running[pair] = running.get(pair, 0.0) + share
-        return {pair for pair, share in running.items() if share < self.part(pair)}
+        return {pair for pair, share in running.items() if share < self.own_share(pair)}
 
-    def _named(self, pair: Pair) -> Pair:
-        return pair if pair in self.shares.floors else (pair[0], "")
+    def _named(self, pair: TeamClass) -> TeamClass:
+        return pair if pair in self.shares.minimum_shares else (pair[0], "")
 
-    def waited(self, waiting: Iterable[tuple[Job, int]]) -> None:
+    def on_cycle_end(self, waiting: Iterable[tuple[Job, int]]) -> None:
         """A plan is over: these jobs' tasks found no machine."""
-        now, any_ = self.world.now(), False
-        for wait in self.waits.values():
+        now, any_ = self.context.now(), False
+        for wait in self.waiting_jobs.values():
             wait.tasks = 0
         for job, tasks in waiting:
-            had, wait_of = job.used() + job.finished, self.waits.get(job.index)
+            had, wait_of = job.active_attempts() + job.completed, self.waiting_jobs.get(job.index)
             if wait_of is None or had > wait_of.most:
                 # Work that is started and stopped again and again gets no further.
-                wait_of = self.waits[job.index] = Waits(now, had)
+                wait_of = self.waiting_jobs[job.index] = Waits(now, had)
             wait_of.tasks, wait_of.at, any_ = tasks, now, True
             if now - wait_of.since >= self.settings.patience_s:
-                self.pressed_at = now
+                self.overloaded_at = now
         self._forget(now)
-        if any_ and self.shares.overload and now - self.pressed_at < HOLD_S:
+        if any_ and self.shares.overload and now - self.overloaded_at < OVERLOAD_HOLD_S:
             # What is kept for those below their floor ends their long waits, not the overload.
-            self.pressed_at = now
+            self.overloaded_at = now
 
-    def idle(self) -> None:
-        for wait in self.waits.values():
+    def on_idle(self) -> None:
+        for wait in self.waiting_jobs.values():
             wait.tasks = 0
-        self._forget(self.world.now())
+        self._forget(self.context.now())
 
     def _forget(self, now: float) -> None:
         """A job that ran on for long enough waits anew when it is stopped."""
         patience_s = self.settings.patience_s
-        self.waits = {job: w for job, w in self.waits.items() if now - w.at < patience_s}
+        self.waiting_jobs = {
+            job: w for job, w in self.waiting_jobs.items() if now - w.at < patience_s
+        }
 
     def lines(self) -> list[str]:
         shares = self.shares
         if not shares.overload:
             return []
-        own = {pair: self.part(pair) for pair in shares.floors}
+        own = {pair: self.own_share(pair) for pair in shares.minimum_shares}
         told = ", ".join(
             f"{self._team(pair[0])}/{pair[1] or 'others'} {floor:.3f} of all, {own[pair]:.3f} here"
-            for pair, floor in sorted(shares.floors.items())
+            for pair, floor in sorted(shares.minimum_shares.items())
         )
-        return [f"overload: floors {told}; by {shares.marks}"]
+        return [f"overload: floors {told}; by {shares.signals}"]
 
     def _team(self, team: int) -> str:
-        teams = self.world.settings.settings.teams
+        teams = self.context.settings.settings.teams
         return teams[team].name if team < len(teams) else str(team)
 
 
--- a/starlingdeck/storage/commit_log.py
+++ b/starlingdeck/storage/commit_log.py
@@ -14,7 +14,13 @@
 from msgspec import Struct, field
 
 from starlingdeck.protocol.api import Entry
-from starlingdeck.storage.records import CHUNK, LOG_START, Chunk, Placement, Position
+from starlingdeck.storage.records import (
+    LOG_START,
+    TASKS_PER_CHUNK,
+    Chunk,
+    PlacementRecord,
+    Position,
+)
 
 LOG = "w/"
 FORM = 1  # of a segment; one of another form can't be read
@@ -24,14 +30,14 @@
     """What became of one job's tasks in a commit: ends first, then starts."""
 
     job: str
-    starts: list[Placement] = []
+    starts: list[PlacementRecord] = []
     done: list[int] = []
     freed: list[int] = []  # their attempt is over, and they are to be tried again
 
     def chunks(self) -> set[int]:
         """The chunks of the job's record that it concerns."""
         tasks = (*self.done, *self.freed, *(start[0] for start in self.starts))
-        return {task // CHUNK for task in tasks}
+        return {task // TASKS_PER_CHUNK for task in tasks}
 
 
 class Commit(Struct, array_like=True):
@@ -48,7 +54,7 @@
     commits: list[msgspec.Raw]
 
 
-class Logged(Struct, frozen=True):
+class LoggedChange(Struct, frozen=True):
     """A job's change as it stands in the log."""
 
     position: Position
@@ -70,12 +76,12 @@
 
     versions: dict[int, int] = field(default_factory=dict)  # slot -> version of its key
     last: dict[int, Position] = field(default_factory=dict)  # slot -> its newest commit
-    changes: dict[str, list[Logged]] = field(default_factory=lambda: defaultdict(list))
+    changes: dict[str, list[LoggedChange]] = field(default_factory=lambda: defaultdict(list))
     broken: dict[str, str] = field(default_factory=dict)  # job -> why a change of it is not read
     broken_slots: set[int] = field(default_factory=set)  # where those changes stand
     unreadable: list[Unreadable] = field(default_factory=list)
 
-    def of(self, job: str) -> list[Logged]:
+    def of(self, job: str) -> list[LoggedChange]:
         """A job's changes, oldest first."""
         return self.changes.get(job, [])
 
@@ -120,8 +126,8 @@
         view.versions[slot] = entry.version
         try:
             _read_segment(view, slot, entry.value)
-        except (ValueError, msgspec.DecodeError) as fault:
-            view.unreadable.append(Unreadable(slot, entry.version, str(fault)))
+        except (ValueError, msgspec.DecodeError) as error:
+            view.unreadable.append(Unreadable(slot, entry.version, str(error)))
     for changes in view.changes.values():
         changes.sort(key=lambda logged: logged.position)
     return view
@@ -141,18 +147,18 @@
 def _read_change(view: LogView, slot: int, position: Position, raw: msgspec.Raw) -> None:
     try:
         change = msgspec.json.decode(raw, type=JobChange)
-    except msgspec.DecodeError as fault:
+    except msgspec.DecodeError as error:
         # Its job alone is in question, if at least that can be told.
         named: Any = msgspec.json.decode(raw)
         if not isinstance(named, list) or not named or not isinstance(named[0], str):
             raise
         view.broken_slots.add(slot)
-        view.broken[named[0]] = f"an entry of the commit log can't be read: {fault}"
+        view.broken[named[0]] = f"an entry of the commit log can't be read: {error}"
         return
-    view.changes[change.job].append(Logged(position, slot, change))
+    view.changes[change.job].append(LoggedChange(position, slot, change))
 
 
-def replay(chunks: Mapping[int, Chunk], changes: Iterable[Logged]) -> dict[int, Chunk]:
+def replay(chunks: Mapping[int, Chunk], changes: Iterable[LoggedChange]) -> dict[int, Chunk]:
     """The chunks of a job's record as they are once its later changes are applied.
 
     `changes` come in the order of their positions. Those that a chunk already holds are passed
@@ -168,25 +174,25 @@
 
 
 def _apply(chunk: Chunk, number: int, change: JobChange) -> Chunk:
-    first, end = number * CHUNK, (number + 1) * CHUNK
-    places = {place[0]: place for place in chunk.on}
+    first, end = number * TASKS_PER_CHUNK, (number + 1) * TASKS_PER_CHUNK
+    placements = {place[0]: place for place in chunk.on}
     tries = list(chunk.tries)
     done = int(chunk.done or "0", 16)
     for task in (*change.done, *change.freed):
         if first <= task < end:
-            places.pop(task, None)
+            placements.pop(task, None)
     for task in change.done:
         if first <= task < end:
             done |= 1 << (task - first)
     for place in change.starts:
         if first <= place[0] < end:
-            places[place[0]] = place
+            placements[place[0]] = place
             tries += [0] * (place[0] - first + 1 - len(tries))
             tries[place[0] - first] = place[1]
-    return Chunk(tries, f"{done:x}" if done else "", list(places.values()), chunk.upto)
+    return Chunk(tries, f"{done:x}" if done else "", list(placements.values()), chunk.upto)
 
 
-def done_bits(chunks: Mapping[int, str], changes: Iterable[Logged]) -> dict[int, int]:
+def done_bits(chunks: Mapping[int, str], changes: Iterable[LoggedChange]) -> dict[int, int]:
     """Which tasks of each chunk are done, as bits; `chunks` has what records say, by number.
 
     A task that is done stays so: positions don't matter here.
@@ -194,6 +200,6 @@
     found = {number: int(text or "0", 16) for number, text in chunks.items()}
     for logged in changes:
         for task in logged.change.done:
-            number, bit = divmod(task, CHUNK)
+            number, bit = divmod(task, TASKS_PER_CHUNK)
             found[number] = found.get(number, 0) | 1 << bit
     return found
--- a/starlingdeck/storage/limiter.py
+++ b/starlingdeck/storage/limiter.py
@@ -5,7 +5,7 @@
 import curio
 
 
-class Limiter:
+class TokenBucket:
     """`rate` a second with a burst worth `burst_s`. Ordinary callers leave a third of the burst."""
 
     def __init__(self, rate: float, burst_s: float, now: Callable[[], float]) -> None:
--- a/starlingdeck/storage/records.py
+++ b/starlingdeck/storage/records.py
@@ -21,12 +21,12 @@
 
 from starlingdeck.protocol.api import DONE, JobSpec
 
-CHUNK = 256
+TASKS_PER_CHUNK = 256
 CLUSTER = "c/"
 NODES = "c/n/"
 SHARDS = "c/s/"
-HOLDS = "c/h/"
-INBOX = "c/i/"
+TAKEOVERS = "c/h/"
+MAILBOX = "c/i/"
 RELAY = "c/r/"
 QUOTA = "c/q/"
 COUNTS = "c/u/"
@@ -36,7 +36,7 @@
 # Of a commit: the token under which its writer took the shard, and a number from then on.
 Position = tuple[int, int]
 LOG_START: Position = (0, 0)  # before every commit; what no log was written over
-Placement = tuple[int, int, str, int, str]  # task, attempt, machine, session, zone
+PlacementRecord = tuple[int, int, str, int, str]  # task, attempt, machine, session, zone
 
 
 class NodeValue(msgspec.Struct):
@@ -68,7 +68,7 @@
 
     tries: list[int] = []
     done: str = ""
-    on: list[Placement] = []
+    on: list[PlacementRecord] = []
     upto: Position = LOG_START
 
 
@@ -105,8 +105,8 @@
     return f"{SHARDS}{shard}"
 
 
-def hold_key(shard: int) -> str:
-    return f"{HOLDS}{shard}"
+def takeover_key(shard: int) -> str:
+    return f"{TAKEOVERS}{shard}"
 
 
 def job_key(shard: int, job: str) -> str:
@@ -123,7 +123,7 @@
 
 def chunks_of(tasks: int) -> int:
     """How many chunks the record of a job of so many tasks has at the most."""
-    return -(-tasks // CHUNK)
+    return -(-tasks // TASKS_PER_CHUNK)
 
 
 def chunk_key(shard: int, job: str, chunk: int | None) -> str:
@@ -135,8 +135,8 @@
     return f"f/{shard}/{job}"
 
 
-def inbox_key(shard: int, job: str) -> str:
-    return f"{INBOX}{shard}/{job}"
+def mailbox_key(shard: int, job: str) -> str:
+    return f"{MAILBOX}{shard}/{job}"
 
 
 def relay_key(sender: int, to: int, part: int) -> str:
@@ -164,7 +164,7 @@
 
 def pack_done(state: "array[int]", first: int, done: int) -> str:
     bits = 0
-    for i, value in enumerate(state[first : first + CHUNK]):
+    for i, value in enumerate(state[first : first + TASKS_PER_CHUNK]):
         if value == done:
             bits |= 1 << i
     return f"{bits:x}" if bits else ""
@@ -181,7 +181,7 @@
 
 
 def pack_tries(tries: "array[int]", first: int) -> list[int]:
-    part = list(tries[first : first + CHUNK])
+    part = list(tries[first : first + TASKS_PER_CHUNK])
     while part and not part[-1]:
         part.pop()
     return part
--- a/starlingdeck/storage/state.py
+++ b/starlingdeck/storage/state.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from starlingdeck.protocol import api
-from starlingdeck.storage.limiter import Limiter
-from starlingdeck.transport.client import HttpClient, NoAnswer, NotSent, Reply
+from starlingdeck.storage.limiter import TokenBucket
+from starlingdeck.transport.client import ConnectionFailedError, HttpClient, NoResponseError, Reply
 
 T = TypeVar("T")
 
@@ -16,11 +16,11 @@
     """The call was not executed: refused, out of budget, or nobody there."""
 
 
-class StateUnknown(StateError):
+class OutcomeUnknownError(StateError):
     """No usable answer: the call may have been executed, or may be executed later."""
 
 
-class Conflict(Exception):
+class TransactionConflictError(Exception):
     """A condition did not hold; nothing was changed."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -28,7 +28,7 @@
         self.failed = failed
 
 
-class LeaseLost(Exception):
+class LeaseLostError(Exception):
     """The lease is over."""
 
 
@@ -36,17 +36,17 @@
     """The watch's revision is forgotten; read the keys again."""
 
 
-def put(key: str, value: Any, lease: int | None = None) -> api.Change:
+def put_change(key: str, value: Any, lease: int | None = None) -> api.Change:
     return api.Change(put=key, value=value, lease=lease)
 
 
-def drop(key: str) -> api.Change:
+def delete_change(key: str) -> api.Change:
     return api.Change(delete=key)
 
 
 class StateClient:
     def __init__(
-        self, http: HttpClient, address: str, limit: "StateLimit", now: Callable[[], float]
+        self, http: HttpClient, address: str, limit: "RequestBudget", now: Callable[[], float]
     ) -> None:
         self.http = http
         self.address = address
@@ -64,10 +64,10 @@
             reply = await self.http.call(
                 self.address, method, path, data, timeout_s or self.timeout_s
             )
-        except NotSent as fault:
-            raise StateError(str(fault)) from fault
-        except NoAnswer as fault:
-            raise StateUnknown(str(fault)) from fault
+        except ConnectionFailedError as error:
+            raise StateError(str(error)) from error
+        except NoResponseError as error:
+            raise OutcomeUnknownError(str(error)) from error
         if reply.status in (429, 503):
             raise StateError(f"{reply.status}")
         return reply
@@ -98,31 +98,31 @@
         """How many changes the budget has room for now, and how long until it has for one."""
         return self.limit.writes.free(urgent)
 
-    async def txn(
+    async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
         await self.limit.reads.take(1, urgent)
         await self.limit.writes.take(len(changes), urgent)
-        body = api.Txn([api.Condition(k, v) for k, v in conditions.items()], changes)
+        body = api.Transaction([api.Condition(k, v) for k, v in conditions.items()], changes)
         reply = await self._call("POST", api.TXN, body)
         if reply.status == 409:
-            raise Conflict(_decode(reply, api.TxnFailed, 409).failed)
+            raise TransactionConflictError(_decode(reply, api.TransactionConflict, 409).failed)
         if reply.status == 400 and b"lease" in reply.body:
-            raise LeaseLost
-        return _decode(reply, api.TxnDone).revision
+            raise LeaseLostError
+        return _decode(reply, api.TransactionResult).revision
 
     async def lease(self, ttl_s: float) -> int:
         await self.limit.reads.take(1, True)
-        reply = await self._call("POST", api.LEASES, api.LeaseAsk(int(ttl_s * 1000)))
+        reply = await self._call("POST", api.LEASES, api.LeaseRequest(int(ttl_s * 1000)))
         return _decode(reply, api.LeaseGrant).lease
 
     async def renew(self, lease: int) -> None:
         await self.limit.reads.take(1, True)
         reply = await self._call("POST", f"{api.LEASES}/{lease}/{api.RENEW}", None, 1.0)
         if reply.status == 404:
-            raise LeaseLost
+            raise LeaseLostError
         if reply.status != 200:
-            raise StateUnknown(f"renewal answered {reply.status}")
+            raise OutcomeUnknownError(f"renewal answered {reply.status}")
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> api.Events:
         await self.limit.reads.take(1, True)
@@ -134,14 +134,14 @@
         return _decode(reply, api.Events)
 
 
-class StateLimit:
+class RequestBudget:
     """This node's share of the state service's two budgets."""
 
     def __init__(self, rps: float, write_rps: float, nodes: int, now: Callable[[], float]) -> None:
         self.rates = (rps * 0.9, write_rps * 0.9)
         self.nodes = nodes
-        self.reads = Limiter(self.rates[0] / nodes, 1.0, now)
-        self.writes = Limiter(self.rates[1] / nodes, 1.0, now)
+        self.reads = TokenBucket(self.rates[0] / nodes, 1.0, now)
+        self.writes = TokenBucket(self.rates[1] / nodes, 1.0, now)
 
     def share_among(self, nodes: int) -> None:
         """The living share the budgets: whoever stands in for the dead has their work too."""
@@ -154,8 +154,8 @@
 def _decode(reply: Reply, kind: type[T], status: int = 200) -> T:
     # A nonsense answer says nothing of what was executed: the caller must look again.
     if reply.status != status:
-        raise StateUnknown(f"answered {reply.status}")
+        raise OutcomeUnknownError(f"answered {reply.status}")
     try:
         return msgspec.json.decode(reply.body, type=kind)
-    except msgspec.DecodeError as fault:
-        raise StateUnknown(f"nonsense: {fault}") from fault
+    except msgspec.DecodeError as error:
+        raise OutcomeUnknownError(f"nonsense: {error}") from error
--- a/starlingdeck/sync/state_sync.py
+++ b/starlingdeck/sync/state_sync.py
@@ -12,214 +12,229 @@
 import msgspec
 
 from starlingdeck.cluster.membership import Membership
-from starlingdeck.cluster.peers import Peers, pack, unpack
-from starlingdeck.context import World
+from starlingdeck.cluster.peers import Peers, decode_batch, encode_batch
+from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
-from starlingdeck.machines.shard_snapshot import Sight, follow
+from starlingdeck.machines.shard_snapshot import ShardSnapshot, apply_snapshot_message
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.scheduling.candidate_pool import Rooms
+from starlingdeck.scheduling.candidate_pool import CandidatePool
 from starlingdeck.storage import records
-from starlingdeck.storage.state import Conflict, LeaseLost, StateClient, StateError
-from starlingdeck.storage.state import put as put_key
+from starlingdeck.storage.state import (
+    LeaseLostError,
+    StateClient,
+    StateError,
+    TransactionConflictError,
+)
+from starlingdeck.storage.state import put_change as put_key
 from starlingdeck.transport.frames import FrameLink
 
 log = logging.getLogger(__name__)
 
-VIEW_EVERY_S = 0.08
-REPEAT_S = 1.0
-JUDGE_ALL_S = 2.0  # how often every attempt is judged, marked or not
-DETOUR_AFTER_S = 1.5
-DETOUR_EVERY_S = 2.0
-TXN_BYTES = 48_000  # of a transaction's 64 KiB, for the parts of a detour
+SNAPSHOT_INTERVAL_S = 0.08
+RESEND_INTERVAL_S = 1.0
+REEVALUATE_INTERVAL_S = 2.0  # how often every attempt is judged, marked or not
+RELAY_AFTER_S = 1.5
+RELAY_INTERVAL_S = 2.0
+MAX_TRANSACTION_BYTES = 48_000  # of a transaction's 64 KiB, for the parts of a detour
 
 
-class Exchange:
+class StateSync:
     def __init__(
         self,
-        world: World,
+        context: ControllerContext,
         state: StateClient,
         membership: Membership,
         peers: Peers,
-        writers: Mapping[int, Writer],
+        writers: Mapping[int, RecordWriter],
         machines: Mapping[int, MachineShard],
-        rooms: Rooms,
+        candidates: CandidatePool,
     ) -> None:
-        self.world = world
+        self.context = context
         self.state = state
         self.membership = membership
         self.peers = peers
         self.writers = writers
         self.machines = machines
-        self.rooms = rooms
-        self.sights: dict[int, Sight] = {}
-        self.sent_view: dict[int, float] = {}
-        self.view_links: dict[tuple[int, int], FrameLink] = {}  # node, shard: followed on
-        self.want_links: dict[tuple[int, int], FrameLink] = {}  # job shard, machine shard
-        self.detours: dict[int, float] = {}
+        self.candidates = candidates
+        self.snapshots: dict[int, ShardSnapshot] = {}
+        self.snapshot_sent_at: dict[int, float] = {}
+        self.snapshot_links: dict[tuple[int, int], FrameLink] = {}  # node, shard: followed on
+        self.desired_state_links: dict[tuple[int, int], FrameLink] = {}  # job shard, machine shard
+        self.relayed_at: dict[int, float] = {}
         self.detour_numbers: dict[int, int] = {}  # by node: of the text begun last
         self.detouring: set[int] = set()  # nodes to which a text is being written
-        self.parts: dict[int, tuple[int, dict[int, str]]] = {}
+        self.relay_parts: dict[int, tuple[int, dict[int, str]]] = {}
 
     # --- views
 
-    async def share(self, valid: bool, now: float) -> bool:
+    async def publish_snapshots(self, valid: bool, now: float) -> bool:
         """Show what changed of our machine shards; True when an attempt was judged."""
         judged = False
         for shard, machines in list(self.machines.items()):
-            since = now - self.sent_view.get(shard, 0.0)
-            if not ((machines.changed and since >= VIEW_EVERY_S) or since >= REPEAT_S):
+            since = now - self.snapshot_sent_at.get(shard, 0.0)
+            if not (
+                (machines.changed and since >= SNAPSHOT_INTERVAL_S) or since >= RESEND_INTERVAL_S
+            ):
                 continue
-            self.sent_view[shard] = now
-            view = machines.view(valid)
-            envelope, whole = pb.Envelope(view=view), None
+            self.snapshot_sent_at[shard] = now
+            message = machines.snapshot_update(valid)
+            envelope, whole = pb.Envelope(snapshot=message), None
             for node, link in list(self.peers.links.items()):
-                if self.view_links.get((node, shard)) is link:
-                    await self.peers.post(node, envelope)
+                if self.snapshot_links.get((node, shard)) is link:
+                    await self.peers.enqueue(node, envelope)
                     continue
                 if whole is None:
-                    whole = pb.Envelope(view=machines.whole_view(valid))
-                await self.peers.post(node, whole)
-                self.view_links[(node, shard)] = link
-            took = self.take_view(view)
+                    whole = pb.Envelope(snapshot=machines.full_snapshot(valid))
+                await self.peers.enqueue(node, whole)
+                self.snapshot_links[(node, shard)] = link
+            took = self.apply_snapshot(message)
             if took is None:
-                took = self.take_view(machines.whole_view(valid))
+                took = self.apply_snapshot(machines.full_snapshot(valid))
             judged |= took is True
         return judged
 
-    def take_view(self, view: pb.View) -> bool | None:
+    def apply_snapshot(self, message: pb.Snapshot) -> bool | None:
         """True when an attempt was judged by it; None when the whole has to be asked for."""
-        holder = self.membership.holders.get(view.shard)
-        if view.shard >= self.world.shards or (holder is not None and holder.gen != view.gen):
+        owner = self.membership.owners.get(message.shard)
+        if message.shard >= self.context.shard_count or (
+            owner is not None and owner.epoch != message.epoch
+        ):
             return False
-        touched = follow(self.world, self.sights, view)
+        touched = apply_snapshot_message(self.context, self.snapshots, message)
         if touched is None:
             return None
-        sight = self.sights[view.shard]
-        self.rooms.show(sight, touched)
-        now = self.world.now()
-        every = now - sight.judged_at >= JUDGE_ALL_S
+        snapshot = self.snapshots[message.shard]
+        self.candidates.update(snapshot, touched)
+        now = self.context.now()
+        every = now - snapshot.evaluated_at >= REEVALUATE_INTERVAL_S
         if every:
-            sight.judged_at = now
+            snapshot.evaluated_at = now
         judged = False
         for writer in self.writers.values():
             if writer.shard.loaded:
-                judged |= writer.shard.apply_view(sight, None if every else touched)
+                judged |= writer.shard.apply_snapshot(snapshot, None if every else touched)
         return judged
 
-    def again(self, node: int, shard: int) -> None:
+    def on_resync_request(self, node: int, shard: int) -> None:
         """A peer could not follow our views: the next one is whole."""
-        self.view_links.pop((node, shard), None)
-        self.sent_view.pop(shard, None)
+        self.snapshot_links.pop((node, shard), None)
+        self.snapshot_sent_at.pop(shard, None)
 
-    def judge_all(self, jobs: JobShard) -> None:
+    def reevaluate_all(self, jobs: JobShard) -> None:
         """A shard has just been read: what is seen already speaks of its attempts too."""
-        for sight in self.sights.values():
-            jobs.apply_view(sight, None)
+        for snapshot in self.snapshots.values():
+            jobs.apply_snapshot(snapshot, None)
 
-    def drop_old(self, now: float) -> None:
-        for shard in [s for s, v in self.sights.items() if self._old(v, now)]:
-            del self.sights[shard]
-            self.rooms.forget(shard)
+    def drop_expired(self, now: float) -> None:
+        for shard in [s for s, v in self.snapshots.items() if self._old(v, now)]:
+            del self.snapshots[shard]
+            self.candidates.remove_shard(shard)
 
-    def _old(self, sight: Sight, now: float) -> bool:
-        return now - sight.at > self.world.tuning.offline_drop_s
+    def _old(self, snapshot: ShardSnapshot, now: float) -> bool:
+        return now - snapshot.received_at > self.context.tuning.offline_drop_s
 
     # --- wants
 
-    async def send_wants(self, now: float) -> None:
+    async def send_desired_state(self, now: float) -> None:
         for writer in list(self.writers.values()):
             jobs = writer.shard
             if not jobs.loaded:
                 continue
-            for to, holder in list(self.membership.holders.items()):
-                if not self.membership.valid():
+            for to, owner in list(self.membership.owners.items()):
+                if not self.membership.lease_is_valid():
                     return  # what came before has waited: only a sure holder gives its word
-                out = jobs.outs[to]
+                outbox = jobs.outboxes[to]
                 # With nothing to say as well: a list is the word that nothing more is cancelled.
-                again = now - out.sent_at >= REPEAT_S
-                unheard = again and out.acked < out.seq
-                echo = self._echo(jobs, to, holder.gen)
-                if holder.node == self.world.node:
+                again = now - outbox.sent_at >= RESEND_INTERVAL_S
+                unheard = again and outbox.acked_seq < outbox.seq
+                echo = self._watermark_ms(jobs, to, owner.epoch)
+                if owner.node == self.context.node:
                     machines = self.machines.get(to)
-                    if machines is not None and (out.news or again or out.gen != holder.gen):
-                        self.take_wants(jobs.wants(to, holder.gen, unheard, echo))
+                    if machines is not None and (
+                        outbox.has_updates or again or outbox.epoch != owner.epoch
+                    ):
+                        self.apply_desired_state(
+                            jobs.desired_state_message(to, owner.epoch, unheard, echo)
+                        )
                     continue
-                link = self.peers.links.get(holder.node)
+                link = self.peers.links.get(owner.node)
                 if link is None:
                     continue
-                moved = self.want_links.get((jobs.shard, to)) is not link
-                if out.news or out.gen != holder.gen or again or moved:
-                    self.want_links[(jobs.shard, to)] = link
-                    wants = jobs.wants(to, holder.gen, unheard or moved, echo)
-                    await self.peers.post(holder.node, pb.Envelope(wants=wants))
+                moved = self.desired_state_links.get((jobs.shard, to)) is not link
+                if outbox.has_updates or outbox.epoch != owner.epoch or again or moved:
+                    self.desired_state_links[(jobs.shard, to)] = link
+                    message = jobs.desired_state_message(to, owner.epoch, unheard or moved, echo)
+                    await self.peers.enqueue(owner.node, pb.Envelope(desired_state=message))
 
-    def _echo(self, jobs: JobShard, shard: int, gen: int) -> int:
+    def _watermark_ms(self, jobs: JobShard, shard: int, epoch: int) -> int:
         """The latest time, by a machine shard's holder, that has come here from it; no later than
         when a cancellation was sent that may be recorded and isn't in our list."""
-        sight = self.sights.get(shard)
-        if sight is None or sight.gen != gen:
+        snapshot = self.snapshots.get(shard)
+        if snapshot is None or snapshot.epoch != epoch:
             return 0
-        return sight.echo_ms(min(jobs.unknown_cancels().values(), default=math.inf))
+        return snapshot.watermark_ms(
+            min(jobs.unresolved_cancellations().values(), default=math.inf)
+        )
 
-    def take_wants(self, wants: pb.Wants) -> None:
-        machines = self.machines.get(wants.to_shard)
+    def apply_desired_state(self, message: pb.DesiredState) -> None:
+        machines = self.machines.get(message.to_shard)
         if machines is not None:
-            machines.apply_wants(wants)
+            machines.apply_desired_state(message)
 
     # --- the detour
 
-    def detour(self, now: float, hello: Callable[[], pb.Hello]) -> list[tuple[int, str]]:
+    def relay_messages(self, now: float, gossip: Callable[[], pb.Gossip]) -> list[tuple[int, str]]:
         """Messages for peers that can't be reached directly, each packed as one text."""
         found: list[tuple[int, str]] = []
-        if not (valid := self.membership.valid()):
+        if not (valid := self.membership.lease_is_valid()):
             return found
-        for node in range(self.world.shards):
+        for node in range(self.context.shard_count):
             if not self._detour_due(node, now):
                 continue
-            self.detours[node] = now
-            batch = [pb.Envelope(sender=self.world.node, hello=hello())]
+            self.relayed_at[node] = now
+            batch = [pb.Envelope(sender=self.context.node, gossip=gossip())]
             for shard, machines in self.machines.items():
-                batch.append(pb.Envelope(view=machines.whole_view(valid)))
-                self.view_links.pop((node, shard), None)
+                batch.append(pb.Envelope(snapshot=machines.full_snapshot(valid)))
+                self.snapshot_links.pop((node, shard), None)
             for writer in self.writers.values():
                 jobs = writer.shard
-                for to, holder in self.membership.holders.items():
-                    if holder.node == node and jobs.loaded:
-                        echo = self._echo(jobs, to, holder.gen)
-                        wants = jobs.wants(to, holder.gen, True, echo)
-                        batch.append(pb.Envelope(wants=wants))
-                        self.want_links.pop((jobs.shard, to), None)
-            found.append((node, pack(batch)))
+                for to, owner in self.membership.owners.items():
+                    if owner.node == node and jobs.loaded:
+                        echo = self._watermark_ms(jobs, to, owner.epoch)
+                        message = jobs.desired_state_message(to, owner.epoch, True, echo)
+                        batch.append(pb.Envelope(desired_state=message))
+                        self.desired_state_links.pop((jobs.shard, to), None)
+            found.append((node, encode_batch(batch)))
             self.detouring.add(node)
         return found
 
     def _detour_due(self, node: int, now: float) -> bool:
         """Whether a new text to a node is to begin. Begun anew every DETOUR_EVERY_S while the
         former one was being written, a text that took longer than that never arrived."""
-        if node == self.world.node or self.peers.up(node) or node in self.detouring:
+        if node == self.context.node or self.peers.is_reachable(node) or node in self.detouring:
             return False
-        if node not in self.membership.living or self.peers.down_for(node) < DETOUR_AFTER_S:
+        if node not in self.membership.live_nodes or self.peers.unreachable_s(node) < RELAY_AFTER_S:
             return False
-        return now - self.detours.get(node, -1e9) >= DETOUR_EVERY_S
+        return now - self.relayed_at.get(node, -1e9) >= RELAY_INTERVAL_S
 
-    async def put_detour(self, node: int, text: str) -> None:
+    async def write_relay(self, node: int, text: str) -> None:
         """Write a text to a node; from its end on, also a failed one, the next may begin."""
         try:
             await self._write_detour(node, text)
-        except (StateError, Conflict, LeaseLost) as why:
-            log.info("no detour to %d: %r", node, why)
+        except (StateError, TransactionConflictError, LeaseLostError) as error:
+            log.info("no detour to %d: %r", node, error)
         finally:
             self.detouring.discard(node)
 
     async def _write_detour(self, node: int, text: str) -> None:
         """Split over keys, as values and transactions allow; the newest number counts."""
-        limits = self.world.settings.settings.state
-        size = min(int(limits.value_kb * 1000) - 200, TXN_BYTES)
+        limits = self.context.settings.settings.state
+        size = min(int(limits.value_kb * 1000) - 200, MAX_TRANSACTION_BYTES)
         pieces = [text[i : i + size] for i in range(0, len(text), size)]
         text_number = self.detour_numbers[node] = self.detour_numbers.get(node, 0) + 1
-        each = max(1, min(limits.txn_ops, TXN_BYTES // size))
+        each = max(1, min(limits.txn_ops, MAX_TRANSACTION_BYTES // size))
         for first in range(0, len(pieces), each):
             if text_number != self.detour_numbers[node]:
                 # A newer text is being written over it. With the newest number on what was
@@ -227,31 +242,31 @@
                 return
             changes = [
                 put_key(
-                    records.relay_key(self.world.node, node, first + i),
+                    records.relay_key(self.context.node, node, first + i),
                     records.RelayPart(text_number, len(pieces), piece),
-                    self.membership.lease,
+                    self.membership.lease_id,
                 )
                 for i, piece in enumerate(pieces[first : first + each])
             ]
             # It carries the word that workers' leases hang on.
-            await self.state.txn({}, changes, True)
+            await self.state.transact({}, changes, True)
 
-    async def take_detour(
+    async def receive_relay(
         self, key: str, value: msgspec.Raw, on_message: Callable[[pb.Envelope], Awaitable[object]]
     ) -> bool:
         """One part; the last to arrive of a text delivers its messages."""
         sender, to, number = records.parse_relay(key)
-        if to != self.world.node or sender == self.world.node:
+        if to != self.context.node or sender == self.context.node:
             return False
         part = msgspec.json.decode(value, type=records.RelayPart)
-        text_number, pieces = self.parts.get(sender, (0, {}))
+        text_number, pieces = self.relay_parts.get(sender, (0, {}))
         if text_number != part.text:
             pieces = {}
         pieces[number] = part.piece
-        self.parts[sender] = (part.text, pieces)
+        self.relay_parts[sender] = (part.text, pieces)
         if not all(i in pieces for i in range(part.parts)):
             return False
-        del self.parts[sender]
-        for envelope in unpack("".join(pieces[i] for i in range(part.parts))):
+        del self.relay_parts[sender]
+        for envelope in decode_batch("".join(pieces[i] for i in range(part.parts))):
             await on_message(envelope)
         return True
--- a/starlingdeck/transport/client.py
+++ b/starlingdeck/transport/client.py
@@ -8,11 +8,11 @@
 READ_BYTES = 64 * 1024
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """No response came: the request may have been executed, or may be executed later."""
 
 
-class NotSent(NoAnswer):
+class ConnectionFailedError(NoResponseError):
     """The connection was never made, so nothing was executed."""
 
 
@@ -48,14 +48,16 @@
                     sock, conn = pool.pop()
                 else:
                     if self.open >= self.max_open and not self._drop_idle():
-                        raise NotSent("too many open connections")
+                        raise ConnectionFailedError("too many open connections")
                     self.open += 1
                     slot = True
                     sock, conn = await connect(address), h11.Connection(h11.CLIENT)
                 reply = await _exchange(sock, conn, address, method, path, body)
             done = True
-        except (OSError, curio.TaskTimeout, h11.ProtocolError, ValueError) as fault:
-            raise (NotSent if sock is None else NoAnswer)(repr(fault)) from fault
+        except (OSError, curio.TaskTimeout, h11.ProtocolError, ValueError) as error:
+            raise (ConnectionFailedError if sock is None else NoResponseError)(
+                repr(error)
+            ) from error
         finally:
             if slot and not done:
                 self.open -= 1
--- a/starlingdeck/transport/frames.py
+++ b/starlingdeck/transport/frames.py
@@ -22,7 +22,7 @@
 LENGTH = struct.Struct("!I")
 
 
-class LinkBusy(ConnectionError):
+class LinkBusyError(ConnectionError):
     """A frame could not be begun in time because another is being sent; the link goes on."""
 
 
@@ -37,7 +37,7 @@
         self.backlog = bytearray()
         self.waiting = curio.Event()
 
-    async def post(self, payload: bytes) -> None:
+    async def enqueue(self, payload: bytes) -> None:
         """Queue a frame for `drain`. A peer that takes nothing loses its link, not our memory."""
         if len(self.backlog) + LENGTH.size + len(payload) > MAX_BACKLOG:
             self.closed = True
@@ -74,8 +74,8 @@
         try:
             async with curio.timeout_after(timeout_s):
                 await self.lock.acquire()
-        except curio.TaskTimeout as fault:
-            raise LinkBusy("another frame is being sent") from fault
+        except curio.TaskTimeout as error:
+            raise LinkBusyError("another frame is being sent") from error
 
     async def _write(self, data: bytes, timeout_s: float) -> None:
         """Send all of it. The time-out is for each piece: a large frame may take long."""
@@ -121,11 +121,11 @@
     """Accepts links on one listening address, `most` at a time."""
 
     def __init__(
-        self, address: tuple[str, int], serve: Callable[[FrameLink], Awaitable[None]], most: int
+        self, address: tuple[str, int], serve: Callable[[FrameLink], Awaitable[None]], limit: int
     ) -> None:
         self.address = address
         self.serve = serve
-        self.most = most
+        self.most = limit
         self.open = 0
 
     async def run(self) -> None:
--- a/starlingdeck/transport/server.py
+++ b/starlingdeck/transport/server.py
@@ -68,8 +68,8 @@
         try:
             async with client:
                 await self._talk(client)
-        except (OSError, h11.ProtocolError, curio.TaskTimeout) as fault:
-            log.debug("connection ended: %r", fault)
+        except (OSError, h11.ProtocolError, curio.TaskTimeout) as error:
+            log.debug("connection ended: %r", error)
         except Exception:
             log.exception("a request broke its handler")
         finally:
@@ -80,10 +80,10 @@
         while True:
             try:
                 request = await self._read(conn, client)
-            except h11.RemoteProtocolError as fault:
+            except h11.RemoteProtocolError as error:
                 if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                     note = b'{"error":"malformed request"}'
-                    await self._send(conn, client, Response(fault.error_status_hint, note), True)
+                    await self._send(conn, client, Response(error.error_status_hint, note), True)
                 return
             if request is None:
                 return
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from starlingdeck.context import World
+from starlingdeck.context import ControllerContext
 from starlingdeck.protocol.api import JobSpec, MachineType
 from starlingdeck.protocol.config import GroupCommitSettings, Settings, Tuning
 
@@ -57,7 +57,7 @@
 
 def make_world(
     clock: Clock, seed: int = 1, zones: tuple[str, ...] = ("a", "b", "a"), node: int = 0
-) -> World:
+) -> ControllerContext:
     raw = settings_dict(zones)
     settings = msgspec.convert(raw, Settings)
     if node:
@@ -67,11 +67,11 @@
         raw["host_name"], raw["zone"], raw["cluster_listen"] = own
         raw["peers"] = [{"host_name": n, "zone": z, "address": a} for n, z, a in names]
         settings = msgspec.convert(raw, Settings)
-    world = World(settings, tuning, clock.now, clock.wall_ms, random.Random(seed))
-    world.learn_types(
+    context = ControllerContext(settings, tuning, clock.now, clock.wall_ms, random.Random(seed))
+    context.update_machine_types(
         [MachineType("small", 4.0, 16.0, ["a", "b"]), MachineType("big", 16.0, 64.0, ["a", "b"])]
     )
-    return world
+    return context
 
 
 def job_body(uid: str = "j-000001", **other: Any) -> dict[str, Any]:
--- a/tests/support/counted_resources.py
+++ b/tests/support/counted_resources.py
@@ -8,14 +8,14 @@
 import msgspec
 
 from starlingdeck.cluster.membership import Membership
-from starlingdeck.context import World
+from starlingdeck.context import ControllerContext
 from starlingdeck.counts.ledger import Ledger
-from starlingdeck.counts.plugin import Counts
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.counts.plugin import CountedResourcePlugin
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import CountSettings
 from starlingdeck.storage import records
-from starlingdeck.storage.state import StateClient, put
+from starlingdeck.storage.state import StateClient, put_change
 from tests.support.reference_model import Broken, PlainClient, PlainState
 
 
@@ -69,14 +69,17 @@
         old = self.ledger(name) if key in self.keys else Ledger(0, (0,) * shards, rev=0)
         fields = {"removed": False, **fields}
         new = msgspec.structs.replace(old, ceiling=ceiling, rev=old.rev + 1, **fields)
-        assert not self.apply({}, [put(key, new)])
+        assert not self.apply({}, [put_change(key, new)])
 
 
 def gate_of(
-    world: World, client: PlainClient, writers: dict[int, Writer], **settings: Any
-) -> Counts:
-    return Counts(
-        world,
+    context: ControllerContext,
+    client: PlainClient,
+    writers: dict[int, RecordWriter],
+    **settings: Any,
+) -> CountedResourcePlugin:
+    return CountedResourcePlugin(
+        context,
         cast(StateClient, client),
         cast(Membership, None),
         writers,
@@ -84,8 +87,10 @@
     )
 
 
-def watch(gate: Counts, state: PlainState, luck: Callable[[], bool] = lambda: True) -> None:
+def watch(
+    gate: CountedResourcePlugin, state: PlainState, luck: Callable[[], bool] = lambda: True
+) -> None:
     """The ledgers' changes that the gate's controller hears of now."""
     for key, (value, stamp) in state.keys.items():
         if key.startswith(records.COUNTS) and luck():
-            gate.learn(key, value, stamp)
+            gate.on_key_changed(key, value, stamp)
--- a/tests/support/fuzz_targets.py
+++ b/tests/support/fuzz_targets.py
@@ -30,15 +30,15 @@
         body = msgspec.json.encode(job_body(counts=msgspec.Raw(rest or b"null")))
         spec = api.decode_job(body)
         return f"job {sorted((spec.counts or {}).values())}"
-    except (ValueError, msgspec.DecodeError, DecodeError) as fault:
-        return type(fault).__name__
+    except (ValueError, msgspec.DecodeError, DecodeError) as error:
+        return type(error).__name__
 
 
 def ledger_of(data: bytes) -> str:
     gate = gate_of(make_world(Clock()), PlainClient(PlainState.__new__(PlainState), 0.0), {})
-    gate.learn(records.count_key("engine"), data, 7)
+    gate.on_key_changed(records.count_key("engine"), data, 7)
     found = gate.ledgers[0]
-    assert ledger.sound(found, 3)
+    assert ledger.is_valid(found, 3)
     for after in range(1, 5):
         granted = ledger.grant(found, 1, after)
         if granted is not None:
@@ -48,10 +48,10 @@
 
 def hello_of(data: bytes) -> str:
     gate = gate_of(make_world(Clock()), PlainClient(PlainState.__new__(PlainState), 0.0), {})
-    gate.learn(records.count_key("engine"), b'{"ceiling":1,"held":[1,1,0],"stop":true}', 7)
-    gate.greeted(1, pb.Hello.FromString(data))
-    at_once(gate.note([]))
+    gate.on_key_changed(records.count_key("engine"), b'{"ceiling":1,"held":[1,1,0],"stop":true}', 7)
+    gate.receive_gossip(1, pb.Gossip.FromString(data))
+    at_once(gate.begin_cycle([]))
     gate.stop_some()
-    gate.world.now = lambda: 1001.0
+    gate.context.now = lambda: 1001.0
     gate.stop_some()
     return f"hello {len(gate.rivals[1][1])} {len(gate.uses[1][1])}"
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -13,20 +13,20 @@
 import curio
 import msgspec
 
-from starlingdeck.cluster.membership import Holder
-from starlingdeck.cluster.peers import PeerDown
-from starlingdeck.cluster.sharding import job_shard, machine_shard
-from starlingdeck.controller.controller import Node
+from starlingdeck.cluster.membership import ShardOwner
+from starlingdeck.cluster.peers import PeerUnavailableError
+from starlingdeck.cluster.sharding import shard_of_job, shard_of_machine
+from starlingdeck.controller.controller import Controller
 from starlingdeck.jobs.job import new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine import Machine
 from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings, Team, Tuning
 from starlingdeck.storage import records
-from starlingdeck.storage.state import put
+from starlingdeck.storage.state import put_change
 from tests.support.builders import Clock, make_world, spec
 from tests.support.reference_model import PlainClient, PlainState, on_the_wire
 
@@ -93,7 +93,7 @@
                 if order.op == api.STOP and old.state == "running":
                     old.state, old.why = "exited", "halted"
                     self.flood.stopped[self.flood.specs[order.task.split("/")[0]].cls] += 1
-                elif order.op == api.FORGET and old.state == "exited":
+                elif order.op == api.REAP and old.state == "exited":
                     del self.tasks[order.task]
 
 
@@ -133,22 +133,22 @@
         self.workers += [Worker(f"vm-{small + i}", "big", 16.0, self) for i in range(big)]
         self.token = 10
 
-    def fresh(self, number: int) -> Node:
-        world = make_world(self.clock, self.rng.getrandbits(32), self.zones, number)
-        deployment = msgspec.structs.replace(world.settings.settings, teams=self.teams)
-        world.settings = msgspec.structs.replace(world.settings, settings=deployment)
-        world.tuning = self.tuning
-        world.teams = type(world.teams)()
+    def fresh(self, number: int) -> Controller:
+        context = make_world(self.clock, self.rng.getrandbits(32), self.zones, number)
+        deployment = msgspec.structs.replace(context.settings.settings, teams=self.teams)
+        context.settings = msgspec.structs.replace(context.settings, settings=deployment)
+        context.tuning = self.tuning
+        context.team_names = type(context.team_names)()
         for team in self.teams:
-            world.teams.put(team.name)
-        node = Node(world)
+            context.team_names.intern(team.name)
+        node = Controller(context)
         node.state = PlainClient(self.state, 0.0)  # type: ignore[assignment]
-        node.membership.living = dict.fromkeys(range(len(self.zones)), 0.0)
+        node.membership.live_nodes = dict.fromkeys(range(len(self.zones)), 0.0)
         node.peers.started = self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
             if not self.linked(number, to):
-                raise PeerDown("cut")
+                raise PeerUnavailableError("cut")
             envelope.sender = number
             return await self.nodes[to].on_message(envelope) or pb.Envelope()
 
@@ -164,12 +164,12 @@
             worker = next(w for w in self.workers if w.name == machine.name)
             worker.token = max(worker.token, orders.token)
             worker.execute(orders.commands, self.clock.at)
-            machine.busy = False
-            machines.take_report(worker.report(), False)
+            machine.command_in_flight = False
+            machines.apply_report(worker.report(), False)
 
         node.peers.call = call  # type: ignore[method-assign, assignment]
-        node.peers.post = post  # type: ignore[method-assign, assignment]
-        node._do = do  # type: ignore[method-assign, assignment]
+        node.peers.enqueue = post  # type: ignore[method-assign, assignment]
+        node._send_commands = do  # type: ignore[method-assign, assignment]
         return node
 
     def linked(self, one: int, other: int) -> bool:
@@ -190,14 +190,14 @@
     def hold(self, shard: int, number: int) -> None:
         node = self.nodes[number]
         self.token += 1
-        holder = Holder(number, self.token, self.token)
+        owner = ShardOwner(number, self.token, self.token)
         key = records.shard_key(shard)
         self.state.keys[key] = (msgspec.json.encode(records.ShardValue(0, self.token)), self.token)
-        jobs = JobShard(node.world, shard, self.token, self.token)
-        node.writers[shard] = Writer(node.world, node.state, jobs)
-        node.machines[shard] = MachineShard(node.world, shard, self.token, self.token, 0.0)
+        jobs = JobShard(node.context, shard, self.token, self.token)
+        node.writers[shard] = RecordWriter(node.context, node.state, jobs)
+        node.machines[shard] = MachineShard(node.context, shard, self.token, self.token, 0.0)
         for one in self.nodes:
-            one.membership.holders[shard] = holder
+            one.membership.owners[shard] = owner
 
     def crash(self, number: int) -> None:
         """Its memory is gone; the next controller takes its shards over after a while."""
@@ -205,7 +205,7 @@
         self.nodes[number].writers.clear()
         self.nodes[number].machines.clear()
         for node in self.nodes:
-            node.membership.living.pop(number, None)
+            node.membership.live_nodes.pop(number, None)
 
     # --- the run
 
@@ -237,22 +237,22 @@
     async def take_over(self) -> None:
         for number, at in self.down.items():
             heir = next(i for i in range(len(self.nodes)) if i not in self.down)
-            holders = self.nodes[heir].membership.holders
-            if holders[number].node == number and self.clock.at - at > TAKEOVER_S:
+            owners = self.nodes[heir].membership.owners
+            if owners[number].node == number and self.clock.at - at > TAKEOVER_S:
                 self.hold(number, heir)
                 await self.nodes[heir].writers[number].load()
 
     def submit(self, body: api.JobSpec) -> None:
-        shard = job_shard(body.id, len(self.nodes))
+        shard = shard_of_job(body.id, len(self.nodes))
         for node in self.nodes:
             writer = node.writers.get(shard)
             if writer is None:
                 continue
-            wall_ms = self.clock.wall_ms()
-            job = new_job(node.world, body, shard, wall_ms)
-            record = records.JobRecord(body, wall_ms)
-            self.state.apply({}, [put(records.job_key(shard, body.id), record)])
-            job.versions[0] = self.state.epoch
+            now_ms = self.clock.wall_ms()
+            job = new_job(node.context, body, shard, now_ms)
+            record = records.JobRecord(body, now_ms)
+            self.state.apply({}, [put_change(records.job_key(shard, body.id), record)])
+            job.key_versions[0] = self.state.epoch
             writer.shard.jobs[job.index] = job
             self.specs[body.id], self.at[body.id] = body, self.clock.at
 
@@ -261,13 +261,13 @@
             ended = worker.run(self.clock.at)
             if not ended and (tick + n) % int(REPORT_S / TICK_S):
                 continue
-            shard = machine_shard(worker.name, "a", self.zones)
+            shard = shard_of_machine(worker.name, "a", self.zones)
             for node in self.nodes:
                 machines = node.machines.get(shard)
                 if machines is not None:
                     worker.token = max(worker.token, machines.token)
-                    machine = machines.take_report(worker.report(), True)
-                    worker.execute(machines.commands_after(machine, True), self.clock.at)
+                    machine = machines.apply_report(worker.report(), True)
+                    worker.execute(machines.pending_commands(machine, True), self.clock.at)
 
     async def deliver(self, tick: int) -> None:
         if tick % int(GREET_S / TICK_S) == 0:
@@ -275,28 +275,28 @@
                 for to in range(len(self.nodes)):
                     if to != number and self.linked(number, to) and self.rng.random() >= self.lost:
                         late = 5.0 if self.rng.random() < self.lost else 0.0
-                        hello = pb.Envelope(sender=number, hello=node.hello())
-                        self.mail.append((self.clock.at + late, to, hello))
+                        gossip = pb.Envelope(sender=number, gossip=node.build_gossip())
+                        self.mail.append((self.clock.at + late, to, gossip))
         due = [m for m in self.mail if m[0] <= self.clock.at]
         self.mail = [m for m in self.mail if m[0] > self.clock.at]
         for _, to, envelope in due:
             if to not in self.down and self.linked(envelope.sender, to):
                 again = await self.nodes[to].on_message(envelope)
-                if again is not None and again.HasField("again"):
-                    self.nodes[envelope.sender].on_again(to, again.again.shard)
+                if again is not None and again.HasField("resync_request"):
+                    self.nodes[envelope.sender].on_resync_request(to, again.resync_request.shard)
 
-    async def serve(self, number: int, node: Node) -> None:
-        node.membership.lease, node.membership.renewed = 1, self.clock.at
+    async def serve(self, number: int, node: Controller) -> None:
+        node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
         for other in range(len(self.nodes)):
             if other == number:
                 continue
             if self.linked(number, other):
                 node.peers.links.setdefault(other, Any)  # type: ignore[arg-type]
-                node.peers.heard[other] = self.clock.at
+                node.peers.last_heard_at[other] = self.clock.at
             else:
                 node.peers.links.pop(other, None)
-        await node.step()
-        await node.planner.plan()
+        await node.reconcile()
+        await node.planner.run_cycle()
         for _ in range(3):
             await curio.sleep(0)
         for writer in node.writers.values():
--- a/tests/support/reference_model.py
+++ b/tests/support/reference_model.py
@@ -11,17 +11,22 @@
 
 import msgspec
 
-from starlingdeck.cluster.sharding import job_shard, machine_shard
-from starlingdeck.context import World
-from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.cluster.sharding import shard_of_job, shard_of_machine
+from starlingdeck.context import ControllerContext
+from starlingdeck.jobs.job import Job, TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard, job_message
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
-from starlingdeck.machines.shard_snapshot import Sight, follow
+from starlingdeck.machines.shard_snapshot import ShardSnapshot, apply_snapshot_message
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
-from starlingdeck.storage.state import Conflict, StateError, StateUnknown, put
+from starlingdeck.storage.state import (
+    OutcomeUnknownError,
+    StateError,
+    TransactionConflictError,
+    put_change,
+)
 from tests.support.builders import Clock, make_world, spec
 
 LEASE_S = 10.0
@@ -81,7 +86,7 @@
     def writable(self, urgent: bool) -> tuple[int, float]:
         return 1000, 0.0
 
-    async def txn(
+    async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
         if self.cut:
@@ -93,12 +98,12 @@
         luck = self.state.rng.random()
         if luck < self.trouble / 2:
             self.state.late.append((dict(conditions), changes))
-            raise StateUnknown("no answer")
+            raise OutcomeUnknownError("no answer")
         failed = self.state.apply(conditions, changes)
         if luck < self.trouble:
-            raise StateUnknown("no answer")
+            raise OutcomeUnknownError("no answer")
         if failed:
-            raise Conflict(failed)
+            raise TransactionConflictError(failed)
         return self.state.epoch
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
@@ -193,7 +198,7 @@
             return
         elif command.op == api.STOP and task.state != "exited":
             task.state, task.why = "exited", "halted"
-        elif command.op == api.FORGET and task.state == "exited":
+        elif command.op == api.REAP and task.state == "exited":
             del self.tasks[command.task]
 
     def progress(self, rng: random.Random) -> None:
@@ -216,19 +221,19 @@
     """A controller's memory; a crash replaces it."""
 
     number: int
-    world: World
+    world: ControllerContext
     client: PlainClient
     renewed: float = -1e9
-    jobs: dict[int, Writer] = field(default_factory=dict)
+    jobs: dict[int, RecordWriter] = field(default_factory=dict)
     machines: dict[int, MachineShard] = field(default_factory=dict)
-    sights: dict[int, Sight] = field(default_factory=dict)
+    sights: dict[int, ShardSnapshot] = field(default_factory=dict)
     gens: dict[int, int] = field(default_factory=dict)
 
     def valid(self) -> bool:
         return self.world.now() < self.renewed + TTL_S / 1.002 - 0.2
 
     def keeps_workers(self) -> bool:
-        return self.world.now() < self.renewed + max(TTL_S, self.world.outage_s)
+        return self.world.now() < self.renewed + max(TTL_S, self.world.outage_renewal_s)
 
 
 class Model:
@@ -258,8 +263,8 @@
         self.holder: dict[int, tuple[int, float]] = {}
 
     def fresh(self, number: int) -> PlainNode:
-        world = make_world(self.clock, self.rng.random().__hash__(), self.zones, number)
-        return PlainNode(number, world, PlainClient(self.state, self.trouble))
+        context = make_world(self.clock, self.rng.random().__hash__(), self.zones, number)
+        return PlainNode(number, context, PlainClient(self.state, self.trouble))
 
     # --- the rules
 
@@ -287,7 +292,7 @@
     def check_told(self) -> None:
         """What the records and the holders say of each accepted job."""
         for job, tasks in self.accepted.items():
-            shard = job_shard(job, 2)
+            shard = shard_of_job(job, 2)
             main = self.state.keys.get(records.job_key(shard, job))
             final = self.state.keys.get(records.final_key(shard, job))
             if main is None and final is None:
@@ -356,13 +361,15 @@
             if shard in self.holder or (shard != node.number and self.rng.random() < 0.7):
                 continue
             key = records.shard_key(shard)
-            gen = self.rng.getrandbits(40)
-            assert not self.state.apply({key: 0}, [put(key, records.ShardValue(0, gen))])
+            epoch = self.rng.getrandbits(40)
+            assert not self.state.apply({key: 0}, [put_change(key, records.ShardValue(0, epoch))])
             token = self.state.epoch
             self.holder[shard] = (node.number, now)
-            jobs = JobShard(node.world, shard, token, gen)
-            node.jobs[shard] = Writer(node.world, node.client, jobs)  # type: ignore[arg-type]
-            node.machines[shard] = MachineShard(node.world, shard, token, gen, node.world.outage_s)
+            jobs = JobShard(node.world, shard, token, epoch)
+            node.jobs[shard] = RecordWriter(node.world, node.client, jobs)  # type: ignore[arg-type]
+            node.machines[shard] = MachineShard(
+                node.world, shard, token, epoch, node.world.outage_renewal_s
+            )
             at_once(node.jobs[shard].load())
 
     def do_crash(self) -> None:
@@ -389,7 +396,7 @@
         if len(self.accepted) >= 12:
             return
         name = f"j-{len(self.accepted):06d}"
-        shard = job_shard(name, 2)
+        shard = shard_of_job(name, 2)
         body = self.body(name)
         for node in self.nodes:
             writer = node.jobs.get(shard)
@@ -398,8 +405,8 @@
                 main = records.job_key(shard, name)
                 record = records.JobRecord(body, 0)
                 conditions = {main: 0, records.shard_key(shard): writer.shard.token}
-                if not self.state.apply(conditions, [put(main, record)]):
-                    job.versions[0] = self.state.epoch
+                if not self.state.apply(conditions, [put_change(main, record)]):
+                    job.key_versions[0] = self.state.epoch
                     writer.shard.jobs[job.index] = job
                     self.accepted[name] = body.tasks
 
@@ -411,10 +418,10 @@
             return
         name = self.rng.choice(sorted(self.accepted))
         for node in self.nodes:
-            writer = node.jobs.get(job_shard(name, 2))
+            writer = node.jobs.get(shard_of_job(name, 2))
             if writer is None or not node.valid():
                 continue
-            index = node.world.jobs.get(name)
+            index = node.world.job_names.find(name)
             job = writer.shard.jobs.get(index) if index is not None else None
             if job is None:
                 continue
@@ -430,7 +437,7 @@
         self.rng.choice(list(self.workers.values())).progress(self.rng)
 
     def owner(self, worker: PlainWorker) -> int:
-        return machine_shard(worker.name, worker.zone, self.zones)
+        return shard_of_machine(worker.name, worker.zone, self.zones)
 
     def do_report(self) -> None:
         self.send_report(self.rng.choice(list(self.workers.values())))
@@ -450,16 +457,16 @@
         self, node: PlainNode, report: api.Report, worker: PlainWorker | None, sent: float,
         session: int,
     ) -> None:  # fmt: skip
-        machines = node.machines.get(machine_shard(report.machine, report.zone, self.zones))
+        machines = node.machines.get(shard_of_machine(report.machine, report.zone, self.zones))
         if machines is None or report.token > machines.token or not node.keeps_workers():
             return
-        if machines.passed_over(report):
+        if machines.is_stale_report(report):
             return
-        machine = machines.take_report(report, True)
-        if machines.unsaid(machine) > node.world.word_s:
+        machine = machines.apply_report(report, True)
+        if machines.watermark_age_s(machine) > node.world.watermark_lifetime_s:
             return
-        newer = machine.mark() == (report.session, report.seq)
-        commands = machines.commands_after(machine, node.valid()) if newer else []
+        newer = machine.position() == (report.session, report.seq)
+        commands = machines.pending_commands(machine, node.valid()) if newer else []
         if worker is not None and not worker.deaf and self.rng.random() < 0.85:
             worker.answer(api.ReportReply(machines.token, commands), session, sent)
 
@@ -477,16 +484,16 @@
         node = self.rng.choice(self.nodes)
         valid = node.valid()
         for shard, machines in node.machines.items():
-            machines.check_silence()
-            machines.shed()
+            machines.expire_leases()
+            machines.deschedule()
             for machine in machines.reconcile():
-                orders = machines.orders(machine, valid)
-                if orders.commands or machine.doubted or machine.unheard_do:
-                    machine.busy = True
-                    self.orders.append((machine.name, orders, machines, machine.mark()))
+                orders = machines.commands_for(machine, valid)
+                if orders.commands or machine.needs_probe or machine.unanswered_commands:
+                    machine.command_in_flight = True
+                    self.orders.append((machine.name, orders, machines, machine.position()))
             if valid and machines.needs_new_token() and not node.client.cut:
                 key = records.shard_key(shard)
-                change = put(key, records.ShardValue(0, machines.gen))
+                change = put_change(key, records.ShardValue(0, machines.epoch))
                 if not self.state.apply({key: machines.token}, [change]):
                     machines.token = node.jobs[shard].shard.token = self.state.epoch
             # The step waits for the state service here, and reports go on coming in.
@@ -495,9 +502,9 @@
                     worker.progress(self.rng)
                     self.send_report(worker)
             # Differences get lost here, so whole ones must come often enough.
-            view = machines.view(valid)
+            view = machines.snapshot_update(valid)
             whole = self.rng.random() < 0.4
-            message = pb.Envelope(view=machines.whole_view(valid) if whole else view)
+            message = pb.Envelope(snapshot=machines.full_snapshot(valid) if whole else view)
             self.mail += [(n, message) for n in range(2)]
         for writer in node.jobs.values():
             if not (writer.shard.loaded and valid):
@@ -505,12 +512,16 @@
             for other in self.nodes:
                 for to, machines in other.machines.items():
                     # Learning who holds what may lag: sometimes an older hold is named.
-                    gen = machines.gen if self.rng.random() < 0.9 else node.gens.get(to, 0)
-                    node.gens[to] = gen
+                    epoch = machines.epoch if self.rng.random() < 0.9 else node.gens.get(to, 0)
+                    node.gens[to] = epoch
                     seen = node.sights.get(to)
-                    echo = seen.echo_ms(node.world.now()) if seen and seen.gen == gen else 0
-                    wants = writer.shard.wants(to, gen, self.rng.random() < 0.4, echo)
-                    self.mail.append((other.number, pb.Envelope(wants=wants)))
+                    echo = (
+                        seen.watermark_ms(node.world.now()) if seen and seen.epoch == epoch else 0
+                    )
+                    wants = writer.shard.desired_state_message(
+                        to, epoch, self.rng.random() < 0.4, echo
+                    )
+                    self.mail.append((other.number, pb.Envelope(desired_state=wants)))
 
     def do_mail(self) -> None:
         """Deliver messages, mostly in order; some are lost, some stay for much later."""
@@ -520,17 +531,17 @@
             if self.rng.random() < 0.1:
                 continue
             node = self.nodes[to]
-            if envelope.HasField("wants"):
-                machines = node.machines.get(envelope.wants.to_shard)
+            if envelope.HasField("desired_state"):
+                machines = node.machines.get(envelope.desired_state.to_shard)
                 if machines is not None:
-                    machines.apply_wants(envelope.wants)
+                    machines.apply_desired_state(envelope.desired_state)
             else:
-                shard = envelope.view.shard
-                touched = follow(node.world, node.sights, envelope.view)
+                shard = envelope.snapshot.shard
+                touched = apply_snapshot_message(node.world, node.sights, envelope.snapshot)
                 for writer in node.jobs.values():
                     if writer.shard.loaded and touched is not None:
                         every = None if self.rng.random() < 0.2 else touched
-                        writer.shard.apply_view(node.sights[shard], every)
+                        writer.shard.apply_snapshot(node.sights[shard], every)
         if len(self.mail) > 60:
             del self.mail[self.rng.randrange(len(self.mail))]
 
@@ -543,28 +554,28 @@
         luck = self.rng.random()
         machine = None
         if machines is not None:
-            machine = machines.machines.get(machines.world.machines.put(name))
+            machine = machines.machines.get(machines.context.machine_names.intern(name))
         if machine is not None:
-            machine.busy = False
+            machine.command_in_flight = False
         if worker.deaf:
             if machine is not None and machines is not None:
-                machines.unanswered(machine, orders, True)
+                machines.on_command_unanswered(machine, orders, True)
             return
         if luck < 0.15:
             # Held back: the sender has given up, and it arrives later.
             self.orders.append((name, orders, None, None))
             if machine is not None and machines is not None:
-                machines.unanswered(machine, orders, True)
+                machines.on_command_unanswered(machine, orders, True)
             return
         status, report = worker.do(orders)
         if machine is None or machines is None:
             return
         if luck < 0.25:
-            machines.unanswered(machine, orders, True)
+            machines.on_command_unanswered(machine, orders, True)
             return
-        taken = machines.take_report(report, False, asked)
+        taken = machines.apply_report(report, False, asked)
         if status == 409:
-            machines.refused_orders(taken)
+            machines.on_command_rejected(taken)
 
     def do_write(self) -> None:
         for node in self.nodes:
@@ -584,8 +595,8 @@
                 for job in list(writer.shard.jobs.values()):
                     for task in job.pending(self.allowed(node, job)):
                         self.reserve(node, job, task)
-                    if job.starts:
-                        writer.shard.dirty.add(job.index)
+                    if job.pending_starts:
+                        writer.shard.dirty_jobs.add(job.index)
 
     def allowed(self, node: PlainNode, job: Job) -> int:
         """How many of a job's tasks a plan may place."""
@@ -601,16 +612,16 @@
         if not names or not other.valid():
             return
         worker = self.rng.choice(names)
-        ask = pb.Reserve(to_shard=shard, to_gen=machines.gen, job=job_message(job))
-        ask.spots.add(task=task, attempt=job.tries[task] + 1, machine=worker.name)
-        given = list(machines.reserve(ask).given)
+        ask = pb.ReserveRequest(to_shard=shard, to_epoch=machines.epoch, job=job_message(job))
+        ask.tasks.add(task=task, attempt=job.attempts[task] + 1, machine=worker.name)
+        given = list(machines.reserve(ask).granted)
         if given and self.rng.random() < 0.9:
-            job.starts[task] = Place(
-                node.world.machines.put(worker.name),
+            job.pending_starts[task] = TaskPlacement(
+                node.world.machine_names.intern(worker.name),
                 given[0].session,
                 given[0].attempt,
                 shard,
-                node.world.zones.put(worker.zone),
+                node.world.zone_names.intern(worker.zone),
             )
 
     def settle(self) -> None:
