--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -13,15 +13,15 @@
 import curio
 import msgspec
 
-from starlingdeck.cluster.peers import PeerDown
-from starlingdeck.cluster.sharding import machine_shard
-from starlingdeck.controller.controller import Node
+from starlingdeck.cluster.peers import PeerUnavailableError
+from starlingdeck.cluster.sharding import shard_of_machine
+from starlingdeck.controller.controller import Controller
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
-from starlingdeck.storage.limiter import Limiter
-from starlingdeck.storage.state import Conflict, StateError, StateUnknown
-from starlingdeck.transport.client import NoAnswer, NotSent, Reply
+from starlingdeck.storage.limiter import TokenBucket
+from starlingdeck.storage.state import OutcomeUnknownError, StateError, TransactionConflictError
+from starlingdeck.transport.client import ConnectionFailedError, NoResponseError, Reply
 from starlingdeck.transport.server import Request, Response
 from tests.support.builders import Clock, job_body, make_world
 from tests.support.reference_model import Broken, PlainTask, PlainWorker, on_the_wire
@@ -49,7 +49,7 @@
     def __init__(self, state: LeasedState, deck: "Deck") -> None:
         super().__init__(state)
         self.deck = deck
-        self.budget: Limiter | None = None
+        self.budget: TokenBucket | None = None
         self.late = self.lost = self.slow_s = 0.0
         self.blind: set[str] = set()
 
@@ -60,7 +60,7 @@
     def writable(self, urgent: bool) -> tuple[int, float]:
         return self.budget.free(urgent) if self.budget else (1000, 0.0)
 
-    async def txn(
+    async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
         if self.budget:
@@ -68,21 +68,21 @@
         if self.deck.rng.random() < self.late and not (self.cut or self.state.down):
             delay = self.deck.rng.uniform(0.5, 12.0)
             self.deck.late.append((self.deck.clock.at + delay, dict(conditions), changes))
-            raise StateUnknown("no answer")
+            raise OutcomeUnknownError("no answer")
         # What is written is what was sent: its writer may change it while the answer is under way.
         sent = [
             api.Change(c.put, msgspec.Raw(msgspec.json.encode(c.value)), c.lease, c.delete)
             for c in changes
         ]
-        fault: Conflict | None = None
+        fault: TransactionConflictError | None = None
         revision = 0
         try:
-            revision = await super().txn(conditions, sent, urgent)
-        except Conflict as why:
-            fault = why
+            revision = await super().transact(conditions, sent, urgent)
+        except TransactionConflictError as error:
+            fault = error
         if self.deck.rng.random() < self.lost:
             await curio.sleep(LOST_S)
-            raise StateUnknown("the answer is lost")
+            raise OutcomeUnknownError("the answer is lost")
         await self._under_way()
         if fault is not None:
             raise fault
@@ -178,7 +178,7 @@
         self.nodes = [self.start(i) for i in range(nodes)]
         names = [f"vm-{i}" for i in range(10 * workers)]
         chosen = [  # as many of each shard
-            [n for n in names if machine_shard(n, zone, zones) == shard][: workers // nodes]
+            [n for n in names if shard_of_machine(n, zone, zones) == shard][: workers // nodes]
             for shard, zone in enumerate(zones)
         ]
         self.workers = {
@@ -202,14 +202,14 @@
 
     # --- controllers
 
-    def start(self, number: int) -> Node:
-        world = make_world(self.clock, self.rng.getrandbits(32), self.zones, number)
+    def start(self, number: int) -> Controller:
+        context = make_world(self.clock, self.rng.getrandbits(32), self.zones, number)
         if self.limit:
-            teams = world.settings.settings.teams
+            teams = context.settings.settings.teams
             teams[0] = msgspec.structs.replace(teams[0], cpus_max=self.limit)
-        node = Node(world)
+        node = Controller(context)
         client: Any = self.clients[number]
-        for part in (node, node.users, node.membership, node.transfers, node.exchange):
+        for part in (node, node.job_api, node.membership, node.quota_transfer, node.state_sync):
             part.state = client
 
         def up(to: int) -> bool:
@@ -217,7 +217,7 @@
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
             if not self.linked(number, to) or self.nodes[number] is not node:
-                raise PeerDown("apart")
+                raise PeerUnavailableError("apart")
             envelope.sender = number
             return await self.nodes[to].on_message(envelope) or pb.Envelope()
 
@@ -230,24 +230,24 @@
         ) -> Reply:
             worker = self.workers[address.split(":")[1]]
             if (number, worker.name) in self.off or self.nodes[number] is not node:
-                raise NotSent("cut")
+                raise ConnectionFailedError("cut")
             if worker.deaf:
-                raise NoAnswer("deaf")
+                raise NoResponseError("deaf")
             orders = msgspec.json.decode(body or b"", type=api.Commands)
             luck = self.rng.random()
             if luck < self.held / 2 or worker.hung:
                 self.orders.append(
                     (self.clock.at + self.rng.uniform(1.0, 15.0), worker.name, orders)
                 )
-                raise NoAnswer("held up")
+                raise NoResponseError("held up")
             status, report = worker.do(orders)
             if luck < self.held:
-                raise NoAnswer("its answer is held up")
+                raise NoResponseError("its answer is held up")
             return Reply(status, msgspec.json.encode(report), None)
 
         node.peers.call = call  # type: ignore[method-assign, assignment]
-        node.peers.post = post  # type: ignore[method-assign, assignment]
-        node.peers.up = up  # type: ignore[method-assign, assignment]
+        node.peers.enqueue = post  # type: ignore[method-assign, assignment]
+        node.peers.is_reachable = up  # type: ignore[method-assign, assignment]
         node.http.call = http  # type: ignore[method-assign]
         node.peers.started = self.clock.at
         return node
@@ -259,7 +259,7 @@
     def crash(self, number: int, for_s: float) -> None:
         self.down[number] = self.clock.at + for_s
         old = self.nodes[number]
-        old.membership.lease = 0  # what it still does in tasks of its own is nobody's word
+        old.membership.lease_id = 0  # what it still does in tasks of its own is nobody's word
         old.writers.clear()
         old.machines.clear()
 
@@ -293,8 +293,8 @@
         async def run() -> None:
             try:
                 await do(*args)
-            except Exception as why:
-                self.faults.append(why)
+            except Exception as error:
+                self.faults.append(error)
 
         await curio.spawn(run, daemon=True)
 
@@ -313,31 +313,31 @@
 
         await self.beside(round)
 
-    async def serve(self, number: int, node: Node) -> None:
+    async def serve(self, number: int, node: Controller) -> None:
         links = node.peers.links
         for other in range(len(self.nodes)):
             if other != number and self.linked(number, other):
                 links.setdefault(other, object())  # type: ignore[arg-type]
-                node.peers.heard[other] = self.clock.at
+                node.peers.last_heard_at[other] = self.clock.at
                 self.mailing += 1
                 if self.mailing % 5 == 0:
-                    await node.peers.post(other, pb.Envelope(hello=node.hello()))
+                    await node.peers.enqueue(other, pb.Envelope(gossip=node.build_gossip()))
             else:
                 links.pop(other, None)
         for loop in (node.membership.renew, node.membership.watch, node.membership.own):
             await self.loop((id(node), loop.__name__), loop)
-        await self.loop((id(node), "step"), node.step)
-        await self.loop((id(node), "plan"), node.planner.plan)
+        await self.loop((id(node), "step"), node.reconcile)
+        await self.loop((id(node), "plan"), node.planner.run_cycle)
         await self.loop((id(node), "write"), lambda: self.write(node))
 
-    async def write(self, node: Node) -> None:
+    async def write(self, node: Controller) -> None:
         for writer in list(node.writers.values()):
             try:
-                while node.membership.valid() and await writer.flush():
+                while node.membership.lease_is_valid() and await writer.flush():
                     pass
             except (StateError, LookupError):
                 pass
-            if writer.lost:
+            if writer.ownership_lost:
                 node.membership.synced = False
 
     async def deliver(self, link: tuple[int, int]) -> None:
@@ -347,8 +347,8 @@
             envelope = self.mail[link].pop(0)
             if self.linked(sender, to):
                 again = await self.nodes[to].on_message(envelope)
-                if again is not None and again.HasField("again"):
-                    self.nodes[sender].on_again(to, again.again.shard)
+                if again is not None and again.HasField("resync_request"):
+                    self.nodes[sender].on_resync_request(to, again.resync_request.shard)
 
     # --- workers
 
@@ -368,7 +368,7 @@
         """A new machine of a shard, up at once."""
         zone, number = self.zones[shard], 100 + len(self.workers)
         while (
-            machine_shard(f"vm-{number}", zone, self.zones) != shard
+            shard_of_machine(f"vm-{number}", zone, self.zones) != shard
             or f"vm-{number}" in self.workers
         ):
             number += 1
@@ -395,11 +395,11 @@
                 raise Broken(f"ran_cancelled: {name} began {self.clock.at - at:.1f} s after")
         told = self.jobs[job]
         zones = [w.zone for w, n, t in self.tasks(job) if n != name and t.state == "running"]
-        most = (told["chores"] + 1) // 2
+        limit = (told["chores"] + 1) // 2
         if (
             told["roost"] not in (None, worker.zone)
             or (told["same_place"] and {*zones} - {worker.zone})
-            or (told["spread"] and zones.count(worker.zone) >= most)
+            or (told["spread"] and zones.count(worker.zone) >= limit)
         ):
             raise Broken(f"wrong_place: {name} in {worker.zone}, beside {zones}")
 
@@ -427,7 +427,7 @@
             node = self.nodes[number]
             if self.lag_s:
                 await curio.sleep(self.lag_s * self.rng.uniform(0.8, 1.0))
-            reply = await node.reports.take(body)
+            reply = await node.heartbeat_api.handle(body)
             if number in self.down or self.nodes[number] is not node:
                 reply = None
         waited = self.clock.at - sent
@@ -626,14 +626,14 @@
         return found
 
     def hold_of(self, worker: Worker) -> tuple[int, int]:
-        shard = machine_shard(worker.name, worker.zone, self.zones)
+        shard = shard_of_machine(worker.name, worker.zone, self.zones)
         return shard, self.holds.get(shard, 0)
 
     async def send_copy(self, body: bytes) -> None:
         """An old report reaches every controller."""
         for number, node in enumerate(self.nodes):
             if number not in self.down:
-                await self.beside(node.reports.take, body)
+                await self.beside(node.heartbeat_api.handle, body)
 
     async def poll(self, names: list[str]) -> None:
         """Users ask about their jobs, of any controller."""
--- a/tests/test_autoscaling_policy.py
+++ b/tests/test_autoscaling_policy.py
@@ -1,28 +1,30 @@
 """The rented fleet against the wanted one."""
 
-from starlingdeck.autoscaling import policy as fleet
-from starlingdeck.autoscaling.policy import Demand, FleetState, Listed
-from starlingdeck.context import World
-from starlingdeck.machines.scoring import Room
+from starlingdeck.autoscaling import policy
+from starlingdeck.autoscaling.policy import Demand, FleetState, ListedMachine
+from starlingdeck.context import ControllerContext
+from starlingdeck.machines.scoring import Candidate
 from starlingdeck.protocol import api
 from tests.support.builders import Clock, make_world
 
 
-def listed(world: World, name: str, state: str, rented: float) -> Listed:
-    return Listed(name, world.type_names.put("small"), "a", False, state, rented, rented)
+def listed(context: ControllerContext, name: str, state: str, rented: float) -> ListedMachine:
+    return ListedMachine(
+        name, context.type_names.intern("small"), "a", False, state, rented, rented
+    )
 
 
 def test_a_new_controller_does_not_throw_the_fleet_away() -> None:
     """After all controllers crashed, the first list came before the first report, every
     machine looked like a boot that had failed, and all of them were deleted."""
     clock = Clock()
-    world = make_world(clock)
+    context = make_world(clock)
     state = FleetState()
     for i in range(5):
-        state.listed[f"vm-{i}"] = listed(world, f"vm-{i}", "running", clock.at - 500)
+        state.listed[f"vm-{i}"] = listed(context, f"vm-{i}", "running", clock.at - 500)
     started = clock.at
-    assert fleet.stuck(world, state, set(), started, started + 1) == []
-    assert fleet.stuck(world, state, {"vm-0"}, started, started + 100) == [
+    assert policy.stuck(context, state, set(), started, started + 1) == []
+    assert policy.stuck(context, state, {"vm-0"}, started, started + 100) == [
         f"vm-{i}" for i in range(1, 5)
     ]
 
@@ -31,88 +33,88 @@
     """A restarted peer's first view named no machine yet, so those of its zone seemed
     never to have come up and were deleted with their replicas."""
     clock = Clock()
-    world = make_world(clock)
+    context = make_world(clock)
     state = FleetState()
-    state.listed["vm-1"] = listed(world, "vm-1", "running", clock.at - 500)
-    state.listed["vm-2"] = listed(world, "vm-2", api.BOOTING, clock.at - 500)
+    state.listed["vm-1"] = listed(context, "vm-1", "running", clock.at - 500)
+    state.listed["vm-2"] = listed(context, "vm-2", api.BOOTING, clock.at - 500)
     started = clock.at - 400
-    assert fleet.stuck(world, state, {"vm-1", "vm-2"}, started, clock.at) == []
-    assert fleet.stuck(world, state, set(), started, clock.at + 5) == []
-    assert fleet.stuck(world, state, set(), started, clock.at + 100) == ["vm-1", "vm-2"]
+    assert policy.stuck(context, state, {"vm-1", "vm-2"}, started, clock.at) == []
+    assert policy.stuck(context, state, set(), started, clock.at + 5) == []
+    assert policy.stuck(context, state, set(), started, clock.at + 100) == ["vm-1", "vm-2"]
 
 
 def test_a_boot_that_never_comes_up_is_given_back() -> None:
     clock = Clock()
-    world = make_world(clock)
+    context = make_world(clock)
     state = FleetState()
-    state.listed["vm-1"] = listed(world, "vm-1", api.BOOTING, clock.at)
-    boot = world.types[world.type_names.put("small")].boot_s
-    assert fleet.stuck(world, state, set(), clock.at - 99, clock.at + boot * 3) == []
-    assert fleet.stuck(world, state, set(), clock.at - 99, clock.at + boot * 4 + 31) == ["vm-1"]
+    state.listed["vm-1"] = listed(context, "vm-1", api.BOOTING, clock.at)
+    boot = context.machine_types[context.type_names.intern("small")].boot_s
+    assert policy.stuck(context, state, set(), clock.at - 99, clock.at + boot * 3) == []
+    assert policy.stuck(context, state, set(), clock.at - 99, clock.at + boot * 4 + 31) == ["vm-1"]
 
 
 def test_demand_is_rented_once() -> None:
     clock = Clock()
-    world = make_world(clock)
+    context = make_world(clock)
     state = FleetState()
     need = [Demand((4.0, 0.0, 4.0), 3, ("small",), "", False, 1, False)]
-    asks = fleet.wanted_asks(world, state, need, [], [], [], clock.at)
+    asks = policy.plan_rentals(context, state, need, [], [], [], clock.at)
     assert sum(a.count for a in asks) == 3 and not any(a.spot for a in asks)
-    state.asks = asks
-    assert fleet.wanted_asks(world, state, need, [], [], [], clock.at) == []
-    boots = [listed(world, f"vm-{i}", api.BOOTING, clock.at) for i in range(3)]
-    state.asks = []
-    assert fleet.wanted_asks(world, state, need, [], boots, [], clock.at) == []
+    state.requests = asks
+    assert policy.plan_rentals(context, state, need, [], [], [], clock.at) == []
+    boots = [listed(context, f"vm-{i}", api.BOOTING, clock.at) for i in range(3)]
+    state.requests = []
+    assert policy.plan_rentals(context, state, need, [], boots, [], clock.at) == []
 
 
 def test_where_there_is_no_capacity_another_kind_is_asked_for() -> None:
     clock = Clock()
-    world = make_world(clock)
+    context = make_world(clock)
     state = FleetState()
     need = Demand((4.0, 0.0, 4.0), 1, (), "", False, 1, False)
-    first = fleet.cheapest(world, state, need, clock.at)
+    first = policy.cheapest(context, state, need, clock.at)
     assert first is not None
     state.no_capacity[first] = clock.at + 5
-    second = fleet.cheapest(world, state, need, clock.at)
+    second = policy.cheapest(context, state, need, clock.at)
     assert second is not None and second != first
 
 
 def test_lost_room_is_replaced_before_anything_waits() -> None:
     clock = Clock()
-    world = make_world(clock)
+    context = make_world(clock)
     total = (4.0, 0.0, 16.0)
-    full = [Room(i, 0, 0, False, 0, total, [0.0, 0.0, 8.0]) for i in range(10)]
-    idle = [Room(i, 0, 0, False, 0, total, [4.0, 0.0, 16.0]) for i in range(10)]
-    assert fleet.spare_demand(world, idle, []) == []
-    need = fleet.spare_demand(world, full, [])
-    assert need and need[0].count * 4.0 >= 40 * world.tuning.spare_share
+    full = [Candidate(i, 0, 0, False, 0, total, [0.0, 0.0, 8.0]) for i in range(10)]
+    idle = [Candidate(i, 0, 0, False, 0, total, [4.0, 0.0, 16.0]) for i in range(10)]
+    assert policy.spare_demand(context, idle, []) == []
+    need = policy.spare_demand(context, full, [])
+    assert need and need[0].count * 4.0 >= 40 * context.tuning.spare_share
 
 
 def test_a_wave_of_demand_is_asked_for_at_once() -> None:
     """Eight machines a call and few calls a second: half of a large fleet came 10 s late."""
-    world = make_world(Clock())
+    context = make_world(Clock())
     state = FleetState()
     need = [Demand((4.0, 0.0, 4.0), 60, ("small",), "a", False, 0, False)]
-    asks = fleet.wanted_asks(world, state, need, [], [], [], 0.0)
+    asks = policy.plan_rentals(context, state, need, [], [], [], 0.0)
     assert [a.count for a in asks] == [50]
-    coming = [listed(world, f"vm-{i}", api.BOOTING, 0.0) for i in range(50)]
-    asks = fleet.wanted_asks(world, state, need, [], coming, [], 0.0)
+    coming = [listed(context, f"vm-{i}", api.BOOTING, 0.0) for i in range(50)]
+    asks = policy.plan_rentals(context, state, need, [], coming, [], 0.0)
     assert [a.count for a in asks] == [10]
 
 
 def test_spot_machines_taken_in_a_calm_minute_are_made_up_for() -> None:
     """Spare room was counted on ordinary machines alone: the lost spot machines were missed
     in the next busy minute, a boot too late."""
-    world = make_world(Clock())
+    context = make_world(Clock())
     total = (4.0, 0.0, 16.0)
 
-    def room(index: int, spot: bool, free: float) -> Room:
-        return Room(index, 0, 0, spot, 0, total, [free, 0.0, 4 * free])
+    def room(index: int, spot: bool, free: float) -> Candidate:
+        return Candidate(index, 0, 0, spot, 0, total, [free, 0.0, 4 * free])
 
     calm = [room(i, False, 4.0) for i in range(2)] + [room(9, True, 0.0)]
-    assert fleet.spare_demand(world, calm, []) == []
+    assert policy.spare_demand(context, calm, []) == []
     busy = [room(i, False, 2.0) for i in range(2)] + [room(i, True, 0.0) for i in range(5, 9)]
-    found = fleet.spare_demand(world, busy, [])
+    found = policy.spare_demand(context, busy, [])
     assert [(d.count, d.spot) for d in found] == [(1, True)]
 
 
@@ -120,7 +122,7 @@
     """Fifty jobs of a class were packed one by one into every machine on its way."""
     need = Demand((4.0, 0.0, 4.0), 3, ("small",), "", False, 1, False)
     other = Demand((2.0, 0.0, 4.0), 1, ("small",), "", False, 1, False)
-    found = fleet.together([need, other, need])
+    found = policy.together([need, other, need])
     assert [(d.size[0], d.count) for d in found] == [(4.0, 6), (2.0, 1)]
     assert need.count == 3
 
@@ -128,17 +130,17 @@
 def test_late_boots_are_waited_for_as_long_as_those_that_came_took() -> None:
     """Replaced after 1.8 times the nominal time, a wave of late boots was rented twice."""
     clock = Clock()
-    world = make_world(clock)
-    boot = world.types[world.type_names.put("small")].boot_s
+    context = make_world(clock)
+    boot = context.machine_types[context.type_names.intern("small")].boot_s
     for ratio, waits in ((0.05, 1.2), (1.0, 1.3), (2.5, 3.25), (9.0, 4.0), (None, 1.8)):
         state = FleetState()
         for i in range(8 if ratio is not None else 0):
-            item = listed(world, f"vm-{i}", api.BOOTING, clock.at)
+            item = listed(context, f"vm-{i}", api.BOOTING, clock.at)
             item.booting = True
             state.listed[item.name] = item
-            fleet.stuck(world, state, {item.name}, clock.at, clock.at + boot * (ratio or 0.0))
-        late = state.listed["vm-9"] = listed(world, "vm-9", api.BOOTING, clock.at)
+            policy.stuck(context, state, {item.name}, clock.at, clock.at + boot * (ratio or 0.0))
+        late = state.listed["vm-9"] = listed(context, "vm-9", api.BOOTING, clock.at)
         up = state.listed.keys() - {"vm-9"}
         due = clock.at + boot * waits + 10
-        assert fleet.coming(world, state, up, due - 0.1) == [late]
-        assert fleet.coming(world, state, up, due + 0.1) == []
+        assert policy.coming(context, state, up, due - 0.1) == [late]
+        assert policy.coming(context, state, up, due + 0.1) == []
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -13,19 +13,24 @@
 from hypothesis import strategies as st
 
 from starlingdeck.jobs import commit_log as ring_module
-from starlingdeck.jobs import group_commit as group_module
+from starlingdeck.jobs import group_commit
 from starlingdeck.jobs.commit_log import CommitLog
 from starlingdeck.jobs.group_commit import GroupCommit
-from starlingdeck.jobs.job import Job, Place, encode_chunk, new_job
+from starlingdeck.jobs.job import Job, TaskPlacement, encode_chunk, new_job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.loader import Loader
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import Tuning
 from starlingdeck.storage import commit_log as stored
 from starlingdeck.storage import records
-from starlingdeck.storage.records import CHUNK, LOG_START, Chunk, JobRecord
-from starlingdeck.storage.state import Conflict, StateError, StateUnknown, put
+from starlingdeck.storage.records import LOG_START, TASKS_PER_CHUNK, Chunk, JobRecord
+from starlingdeck.storage.state import (
+    OutcomeUnknownError,
+    StateError,
+    TransactionConflictError,
+    put_change,
+)
 from tests.support.builders import LOGGED, Clock, make_world, spec
 from tests.support.reference_model import PlainState
 
@@ -56,7 +61,7 @@
     def writable(self, urgent: bool) -> tuple[int, float]:
         return 1000, 0.0
 
-    async def txn(
+    async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
         changes = [
@@ -69,12 +74,12 @@
             raise StateError("429")
         if fate == "late":
             self.late.append((dict(conditions), changes))
-            raise StateUnknown("no answer, yet")
+            raise OutcomeUnknownError("no answer, yet")
         failed = self.state.apply(conditions, changes)
         if fate == "mute":
-            raise StateUnknown("no answer")
+            raise OutcomeUnknownError("no answer")
         if failed:
-            raise Conflict(failed)
+            raise TransactionConflictError(failed)
         self.changes += len(changes)
         return self.state.epoch
 
@@ -82,7 +87,7 @@
         assert len(changes) <= TXN_OPS and len(conditions) <= 4 * TXN_OPS
         sizes = [len(bytes(c.value)) for c in changes if c.put is not None]
         self.values = max([self.values, *sizes])
-        body = api.Txn([api.Condition(k, v) for k, v in conditions.items()], changes)
+        body = api.Transaction([api.Condition(k, v) for k, v in conditions.items()], changes)
         assert self.values <= VALUE_BYTES and len(msgspec.json.encode(body)) <= TXN_BYTES
 
     def carry_out_late(self) -> list[list[str]]:
@@ -110,40 +115,42 @@
         self.client, self.clock = client, clock
         self.world = make_world(clock)
         self.world.tuning = tuning
-        self.world.machines.put("vm-0")
-        self.world.zones.put("a")
+        self.world.machine_names.intern("vm-0")
+        self.world.zone_names.intern("a")
         key = records.shard_key(SHARD)
         held = client.state.keys.get(key, (b"", 0))[1]
-        assert not client.state.apply({key: held}, [put(key, records.ShardValue(0, 1))])
+        assert not client.state.apply({key: held}, [put_change(key, records.ShardValue(0, 1))])
         self.token = client.state.epoch
         self.shard = JobShard(self.world, SHARD, self.token, 1)
-        self.writer = Writer(self.world, client, self.shard)  # type: ignore[arg-type]
+        self.writer = RecordWriter(self.world, client, self.shard)  # type: ignore[arg-type]
         curio.run(self.writer.load)
 
     def accept(self, name: str = JOB, tasks: int = 3, **other: Any) -> Job:
         body = spec(name, chores=tasks, **other)
         job = new_job(self.world, body, SHARD, 0)
         main = records.job_key(SHARD, name)
-        assert not self.client.state.apply({main: 0}, [put(main, JobRecord(body, 0))])
-        job.versions[0] = self.client.state.epoch
+        assert not self.client.state.apply({main: 0}, [put_change(main, JobRecord(body, 0))])
+        job.key_versions[0] = self.client.state.epoch
         self.shard.jobs[job.index] = job
         return job
 
     def job(self, name: str = JOB) -> Job:
-        return self.shard.jobs[self.world.jobs.get(name) or 0]
+        return self.shard.jobs[self.world.job_names.find(name) or 0]
 
     def start(self, *tasks: int, name: str = JOB, machine: str = "vm-0") -> None:
         job = self.job(name)
         for task in tasks:
-            index = self.world.machines.put(machine)
-            job.starts[task] = Place(index, 1, job.tries[task] + 1, 0, 0, since=self.clock.at)
-        self.shard.dirty.add(job.index)
+            index = self.world.machine_names.intern(machine)
+            job.pending_starts[task] = TaskPlacement(
+                index, 1, job.attempts[task] + 1, 0, 0, state_since=self.clock.at
+            )
+        self.shard.dirty_jobs.add(job.index)
 
-    def end(self, *tasks: int, name: str = JOB, why: int = api.W_DONE) -> None:
+    def end(self, *tasks: int, name: str = JOB, error: int = api.W_DONE) -> None:
         job = self.job(name)
         for task in tasks:
-            job.ends[task] = why
-        self.shard.dirty.add(job.index)
+            job.pending_ends[task] = error
+        self.shard.dirty_jobs.add(job.index)
 
     def flush(self, times: int = 4) -> None:
         """Some rounds, with time for what is due; a refused write is tried again."""
@@ -159,7 +166,9 @@
     def seen(self, name: str = JOB) -> tuple[dict[int, int], int]:
         """Attempts that are recorded, and how many tasks are done."""
         job = self.job(name)
-        return {task: place.attempt for task, place in job.places.items()}, job.finished
+        return {
+            task: placement.attempt for task, placement in job.placements.items()
+        }, job.completed
 
     def log_keys(self) -> list[str]:
         return [k for k in self.client.state.keys if k.startswith(stored.LOG)]
@@ -210,7 +219,7 @@
 
 
 steps = st.tuples(
-    st.sampled_from(["start", "start", "done", "freed"]), st.integers(0, 2 * CHUNK - 1)
+    st.sampled_from(["start", "start", "done", "freed"]), st.integers(0, 2 * TASKS_PER_CHUNK - 1)
 )
 
 
@@ -223,9 +232,10 @@
     history: list[list[Step]], written: list[int]
 ) -> None:
     """Each chunk was last rewritten after any commit, before or after its segments went."""
-    tasks = 2 * CHUNK
+    tasks = 2 * TASKS_PER_CHUNK
     logged = [
-        stored.Logged((5, n + 1), 0, change_of(history, n, tasks)) for n in range(len(history))
+        stored.LoggedChange((5, n + 1), 0, change_of(history, n, tasks))
+        for n in range(len(history))
     ]
     chunks = {}
     for number, upto in enumerate(written):
@@ -237,8 +247,15 @@
         found = stored.replay(chunks, logged[first:])
         on = {p[0]: p[1] for chunk in found.values() for p in chunk.on}
         bits = stored.done_bits({n: c.done for n, c in found.items()}, logged[first:])
-        done = {n * CHUNK + i for n, b in bits.items() for i in range(CHUNK) if b >> i & 1}
-        tries = {n * CHUNK + i: t for n, c in found.items() for i, t in enumerate(c.tries) if t}
+        done = {
+            n * TASKS_PER_CHUNK + i
+            for n, b in bits.items()
+            for i in range(TASKS_PER_CHUNK)
+            if b >> i & 1
+        }
+        tries = {
+            n * TASKS_PER_CHUNK + i: t for n, c in found.items() for i, t in enumerate(c.tries) if t
+        }
         assert (on, done, tries) == plain(history, tasks)
 
 
@@ -306,14 +323,14 @@
     holder.client.fates = ["late"]
     holder.flush(1)
     # Meanwhile its room was given away; it arrives before anything else is written.
-    holder.job().starts.clear()
+    holder.job().pending_starts.clear()
     holder.flush(1)
     holder.client.carry_out_late()
     assert succeed_reading(holder).seen() == holder.seen() == ({}, 0)
     holder.start(0, machine="vm-2")
     holder.flush(2)
     after = succeed(holder)
-    assert after.world.machines[after.job().places[0].machine] == "vm-2"
+    assert after.world.machine_names[after.job().placements[0].machine] == "vm-2"
     assert after.seen() == holder.seen()
 
 
@@ -329,16 +346,16 @@
     after.start(0, machine="vm-9")
     after.flush()
     last = succeed(after)
-    assert last.world.machines[last.job().places[0].machine] == "vm-9"
+    assert last.world.machine_names[last.job().placements[0].machine] == "vm-9"
 
 
 def checkpoint_and_crash() -> None:
     """Slots are used again only when records hold what they said, whoever reads after a crash."""
     holder = Holder(*site())
-    holder.accept(JOB, tasks=3 * CHUNK)
+    holder.accept(JOB, tasks=3 * TASKS_PER_CHUNK)
     expected = {}
     for number in range(40):
-        task = (number * 37) % (3 * CHUNK)
+        task = (number * 37) % (3 * TASKS_PER_CHUNK)
         holder.start(task)
         holder.flush(1)
         expected[task] = 1
@@ -366,7 +383,7 @@
     record = msgspec.json.decode(holder.client.state.keys[main][0], type=JobRecord)
     record.cancelled = True
     version = holder.client.state.keys[main][1]
-    assert not holder.client.state.apply({main: version}, [put(main, record)])
+    assert not holder.client.state.apply({main: version}, [put_change(main, record)])
     holder.start(1)
     holder.flush()
     assert holder.job().cancelled and holder.seen() == ({0: 1}, 0)
@@ -376,23 +393,23 @@
 def part_written_late() -> None:
     """A further part of a record, rewritten and held up, lands after a newer commit."""
     holder = Holder(*site())
-    holder.accept(JOB, tasks=2 * CHUNK)
-    holder.start(CHUNK, machine="vm-1")
+    holder.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
+    holder.start(TASKS_PER_CHUNK, machine="vm-1")
     holder.flush()
     part = holder.shard._rewrite(holder.job(), [1], {}, {})
     holder.client.fates = ["late"]
-    with pytest.raises(StateUnknown):
+    with pytest.raises(OutcomeUnknownError):
         curio.run(holder.writer._write, [part], False)
-    holder.end(CHUNK, why=api.W_ERROR)
+    holder.end(TASKS_PER_CHUNK, error=api.W_ERROR)
     holder.flush()
     holder.client.carry_out_late()
-    holder.start(CHUNK, machine="vm-2")
+    holder.start(TASKS_PER_CHUNK, machine="vm-2")
     holder.flush()  # meets the part as it is now, and reads the job again
     assert succeed_reading(holder).seen() == holder.seen() == ({}, 0)
-    holder.start(CHUNK, machine="vm-2")
+    holder.start(TASKS_PER_CHUNK, machine="vm-2")
     holder.flush()
     after = succeed(holder)
-    assert after.seen() == holder.seen() == ({CHUNK: 2}, 0)
+    assert after.seen() == holder.seen() == ({TASKS_PER_CHUNK: 2}, 0)
 
 
 def older_segment_kept() -> None:
@@ -403,12 +420,12 @@
         holder.accept(name)
         holder.start(0, name=name)
     holder.flush()
-    holder.end(0, name=OTHER, why=api.W_ERROR)
+    holder.end(0, name=OTHER, error=api.W_ERROR)
     holder.flush()
     older, newer = holder.log_keys()
     rewritten = holder.shard._rewrite(holder.job(OTHER), [0], {}, {})
     assert curio.run(holder.writer._write, [rewritten], False)
-    dirty = [bool(slot.dirty) for _, slot in sorted(holder.shard.log.slots.items())]
+    dirty = [bool(slot.dirty) for _, slot in sorted(holder.shard.commit_log.slots.items())]
     assert dirty == [True, False]
     assert not holder.client.state.apply({}, [api.Change(delete=newer)])
     assert succeed(holder).seen(OTHER) == ({}, 0) and older in holder.log_keys()
@@ -432,12 +449,12 @@
     """A long description and long names: the log has room for all starts, the record has not. It
     must still be rewritten for a checkpoint, and for a cancellation."""
     holder = Holder(*site())
-    holder.accept(JOB, tasks=CHUNK, builds=["x" * 100] * 30)
-    for first in range(0, CHUNK, 32):
+    holder.accept(JOB, tasks=TASKS_PER_CHUNK, builds=["x" * 100] * 30)
+    for first in range(0, TASKS_PER_CHUNK, 32):
         holder.start(*range(first, first + 32), machine="m" * 90)
         holder.flush(1)
     running = len(holder.seen()[0])
-    assert 32 < running < CHUNK
+    assert 32 < running < TASKS_PER_CHUNK
     checkpoint = holder.shard._rewrite(holder.job(), [0], {}, {})
     assert curio.run(holder.writer._write, [checkpoint], False)
     curio.run(holder.writer.cancel, holder.job())
@@ -456,15 +473,15 @@
     text = holder.client.state.keys[key][0]
     torn = text.replace(f'["{JOB}",[[0,'.encode(), f'["{JOB}",[["x",'.encode())
     assert torn != text
-    holder.client.state.apply({}, [put(key, msgspec.Raw(torn))])
+    holder.client.state.apply({}, [put_change(key, msgspec.Raw(torn))])
     after = succeed(holder)
     assert JOB not in {job.id for job in after.shard.jobs.values()}
     assert after.seen(OTHER) == ({0: 1}, 0)
     assert records.job_key(SHARD, JOB) in after.client.state.keys
     with pytest.raises(StateError):
         curio.run(after.writer.reload, JOB)
-    for number in range(2 * ring_module.SLOTS):
-        after.end(0, name=OTHER, why=api.W_ERROR)
+    for number in range(2 * ring_module.MAX_SLOTS):
+        after.end(0, name=OTHER, error=api.W_ERROR)
         after.flush(1)
         after.start(0, name=OTHER)
         after.flush(1)
@@ -480,7 +497,7 @@
     holder.flush()
     (key,) = holder.log_keys()
     strange = {"form": 99, "commits": "more than we know"}
-    holder.client.state.apply({}, [put(key, strange)])
+    holder.client.state.apply({}, [put_change(key, strange)])
     holder.accept(OTHER)
     after = succeed(holder)
     assert {job.id for job in after.shard.jobs.values()} == {OTHER}
@@ -500,14 +517,14 @@
         for c in changes
     )
     task = 0
-    while holder.writer.group.may_start():
+    while holder.writer.group_commit.may_start():
         holder.start(task)
         holder.flush(1)
         task += 1
         assert task < 200
     holder.start(task)
     holder.flush()
-    assert task not in holder.job().places
+    assert task not in holder.job().placements
     holder.end(*range(10))
     holder.flush()
     assert holder.seen()[1] == 10
@@ -515,7 +532,7 @@
     assert holder.job(OTHER).cancelled
     holder.client.refuse = lambda changes: False
     holder.flush(10)
-    assert task in holder.job().places
+    assert task in holder.job().placements
     assert succeed(holder).seen() == holder.seen()
 
 
@@ -524,18 +541,18 @@
     deletes it; one that knows nothing of it reads the same."""
     holder = Holder(*site())
     for name in (JOB, OTHER):
-        holder.accept(name, tasks=2 * CHUNK)
-        holder.start(0, CHUNK + 1, name=name)
+        holder.accept(name, tasks=2 * TASKS_PER_CHUNK)
+        holder.start(0, TASKS_PER_CHUNK + 1, name=name)
     holder.flush()
     holder.end(0)
     holder.flush()
     after = succeed(holder, Tuning())
     after.flush()
-    assert not after.log_keys() and after.seen() == ({CHUNK + 1: 1}, 1)
+    assert not after.log_keys() and after.seen() == ({TASKS_PER_CHUNK + 1: 1}, 1)
     keys = after.client.state.keys
     main = msgspec.json.decode(keys[records.job_key(SHARD, JOB)][0], type=JobRecord)
     part = msgspec.json.decode(keys[records.chunk_key(SHARD, JOB, 1)][0], type=Chunk)
-    assert main.chunk.done == "1" and [p[0] for p in part.on] == [CHUNK + 1]
+    assert main.chunk.done == "1" and [p[0] for p in part.on] == [TASKS_PER_CHUNK + 1]
 
 
 CASES = [
@@ -558,7 +575,7 @@
 @pytest.fixture
 def small_ring(monkeypatch: Patch) -> None:
     """So that slots are used again soon."""
-    monkeypatch.setattr(ring_module, "SLOTS", 6)
+    monkeypatch.setattr(ring_module, "MAX_SLOTS", 6)
     monkeypatch.setattr(ring_module, "CHECKPOINT_AT", 2)
     monkeypatch.setattr(ring_module, "RESERVED", 2)
     monkeypatch.setattr(ring_module, "SEGMENT_BYTES", 80)
@@ -582,25 +599,25 @@
 
 def fate_not_asked(monkeypatch: Patch) -> None:
     async def forget(self: GroupCommit) -> None:
-        self.shard.log.unknown = None
+        self.shard.commit_log.unknown = None
 
     monkeypatch.setattr(GroupCommit, "settle", forget)
 
 
 def token_not_asked(monkeypatch: Patch) -> None:
-    plain_txn = Strict.txn
+    plain_txn = Strict.transact
 
-    async def txn(self: Strict, conditions: dict[str, int], *rest: Any) -> int:
+    async def transact(self: Strict, conditions: dict[str, int], *rest: Any) -> int:
         left = {k: v for k, v in conditions.items() if not k.startswith("c/s/")}
         return await plain_txn(self, left, *rest)
 
-    monkeypatch.setattr(Strict, "txn", txn)
+    monkeypatch.setattr(Strict, "transact", transact)
 
 
 def records_not_asked(monkeypatch: Patch) -> None:
     plain_collect = GroupCommit.collect
 
-    def collect(self: GroupCommit) -> group_module.Batch:
+    def collect(self: GroupCommit) -> group_commit.Batch:
         batch = plain_collect(self)
         batch.conditions = {}
         return batch
@@ -610,7 +627,7 @@
 
 def checkpoints_not_waited_for(monkeypatch: Patch) -> None:
     def clean(self: CommitLog) -> Any:
-        return (s for s in range(ring_module.SLOTS) if s not in self.lost and s != self.open)
+        return (s for s in range(ring_module.MAX_SLOTS) if s not in self.lost and s != self.open)
 
     monkeypatch.setattr(CommitLog, "_clean", clean)
 
@@ -635,7 +652,7 @@
 
 
 def tasks_not_bounded(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(group_module, "MOST_TASKS", 100_000)
+    monkeypatch.setattr(group_commit, "MOST_TASKS", 100_000)
     monkeypatch.setattr(ring_module, "VALUE_SPARE", -100_000)
 
 
@@ -678,7 +695,7 @@
     monkeypatch: Patch, broken: Callable[[Patch], None], case: Callable[[], None]
 ) -> None:
     broken(monkeypatch)
-    with pytest.raises((AssertionError, LookupError, KeyError, Conflict)):
+    with pytest.raises((AssertionError, LookupError, KeyError, TransactionConflictError)):
         case()
 
 
@@ -688,14 +705,14 @@
 def test_parts_of_ended_arrays_are_deleted(monkeypatch: Patch) -> None:
     """They stayed for ever, and every takeover read them; also those that were left before."""
     holder = Holder(*site(), tuning=Tuning())
-    holder.accept(JOB, tasks=2 * CHUNK)
-    tasks = list(range(2 * CHUNK))
+    holder.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
+    tasks = list(range(2 * TASKS_PER_CHUNK))
     for first in range(0, len(tasks), 64):
         holder.start(*tasks[first : first + 64])
         holder.flush(1)
     part = records.chunk_key(SHARD, JOB, 1)
     left = records.chunk_key(SHARD, OTHER, 3)
-    assert not holder.client.state.apply({}, [put(left, Chunk())])
+    assert not holder.client.state.apply({}, [put_change(left, Chunk())])
     holder.end(*tasks)
     holder.flush(1)
     assert records.final_key(SHARD, JOB) in holder.client.state.keys
@@ -713,12 +730,12 @@
     holder.accept()
     holder.start(0)
     holder.client.fates = ["mute"]
-    with pytest.raises(StateUnknown):
+    with pytest.raises(OutcomeUnknownError):
         holder.clock.at += 1.0
         curio.run(holder.writer.flush)
         holder.clock.at += 1.0
         curio.run(holder.writer.flush)
-    assert holder.shard.log.unknown is not None
+    assert holder.shard.commit_log.unknown is not None
 
     async def down(key: str, urgent: bool = False) -> api.Entry | None:
         raise StateError("503")
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -7,16 +7,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.cluster.sharding import job_shard, machine_shard
+from starlingdeck.cluster.sharding import shard_of_job, shard_of_machine
 from starlingdeck.interning import task_key
-from starlingdeck.jobs import job_shard as jobs_module
+from starlingdeck.jobs import job_shard
 from starlingdeck.jobs.job import new_job
-from starlingdeck.machines.machine import Launch, Want
-from starlingdeck.machines.machine_shard import UNCALLED
+from starlingdeck.machines.machine import DesiredTask, PendingLaunch
+from starlingdeck.machines.machine_shard import MAX_UNANSWERED_COMMANDS
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
-from starlingdeck.storage.limiter import Limiter
-from starlingdeck.storage.state import StateUnknown, put
+from starlingdeck.storage.limiter import TokenBucket
+from starlingdeck.storage.state import OutcomeUnknownError, put_change
 from tests.support.builders import spec
 from tests.support.simulated_cluster import CANCEL_S, FORGOTTEN_S, Deck, play
 
@@ -24,7 +24,7 @@
 def of_shard(shard: int, number: int = 0) -> str:
     """A job's name that belongs to a shard of three."""
     names = (f"j-{i:06d}" for i in range(1000))
-    return [n for n in names if job_shard(n, 3) == shard][number]
+    return [n for n in names if shard_of_job(n, 3) == shard][number]
 
 
 async def spread_job(deck: Deck, shard: int, lasts_s: float) -> str:
@@ -33,7 +33,7 @@
     name = of_shard(shard)
     await deck.beside(deck.submit, name, 12, lasts_s)
     await deck.run(8.0)
-    assert {machine_shard(w, "a", deck.zones) for w, _ in deck.live(name)} == {0, 1, 2}
+    assert {shard_of_machine(w, "a", deck.zones) for w, _ in deck.live(name)} == {0, 1, 2}
     return name
 
 
@@ -538,10 +538,10 @@
         await deck.run(4.0)
         assert 0 in deck.nodes[1].writers
         deck.clients[0].cut = False
-        key = records.inbox_key(0, name)
-        assert not deck.state.change([put(key, 1)], {})
-        former.inbox.notes.clear()
-        await former.inbox.act(writer, name, key, deck.state.epoch)
+        key = records.mailbox_key(0, name)
+        assert not deck.state.change([put_change(key, 1)], {})
+        former.mailbox.entries.clear()
+        await former.mailbox.handle_entry(writer, name, key, deck.state.epoch)
         return key in deck.state.keys
 
     assert play(monkeypatch, deck, drive())
@@ -564,7 +564,7 @@
         path = f"{api.JOBS}/{name}/{api.CANCEL}"
         sent = deck.clock.at
         assert await deck.ask(0, "POST", path) == 503
-        words = deck.nodes[1].machines[1].words
+        words = deck.nodes[1].machines[1].watermarks
         for _ in range(16):
             # Carried out only after all this: within it, its fate would be known.
             deck.late = [(sent + 100.0, when, changes) for _, when, changes in deck.late]
@@ -574,14 +574,14 @@
         client.late = 0.0
         await deck.run(3.0)
         assert words[0] > sent + 1.0
-        assert jobs.finals[name] == api.CANCELLED and not deck.live(name)
-        other = new_job(node.world, spec(of_shard(0, 1)), 0, 0)
-        other.unsure = True
+        assert jobs.terminal_states[name] == api.CANCELLED and not deck.live(name)
+        other = new_job(node.context, spec(of_shard(0, 1)), 0, 0)
+        other.outcome_unknown = True
         jobs.jobs[other.index] = other
-        gen = node.membership.holders[1].gen
+        epoch = node.membership.owners[1].epoch
         for age_s in (0.0, 3.0):
-            jobs.cancelling = {other.index: deck.clock.at - age_s}
-            echo_s = node.exchange._echo(jobs, 1, gen) / 1000
+            jobs.pending_cancellations = {other.index: deck.clock.at - age_s}
+            echo_s = node.state_sync._watermark_ms(jobs, 1, epoch) / 1000
             assert deck.clock.at - age_s - 1.7 < echo_s <= deck.clock.at - age_s
         del jobs.jobs[other.index]
 
@@ -601,8 +601,8 @@
         main = records.job_key(0, name)
         record = msgspec.json.decode(deck.state.keys[main][0], type=records.JobRecord)
         record.cancelled = True
-        job.unsure = True
-        assert not deck.state.change([put(main, record)], {})
+        job.outcome_unknown = True
+        assert not deck.state.change([put_change(main, record)], {})
         deck.asked.add(name)
         assert await deck.ask(0, "GET", f"{api.JOBS}/{name}") == 503
         await deck.nodes[0].writers[0].reload(name)
@@ -620,18 +620,20 @@
         await deck.run(3.0)
         node = deck.nodes[0]
         machines = node.machines[0]
-        index = node.world.machines.put(next(iter(deck.workers)))
+        index = node.context.machine_names.intern(next(iter(deck.workers)))
         machine = machines.machines[index]
-        key = task_key(node.world.jobs.put(of_shard(1)), 0)
-        machine.launches[key] = Launch(1, deck.clock.at)
-        machines.wants.setdefault(1, {})[index] = {key: Want(1, machine.session, False, 0.0)}
+        key = task_key(node.context.job_names.intern(of_shard(1)), 0)
+        machine.pending_launches[key] = PendingLaunch(1, deck.clock.at)
+        machines.desired_tasks.setdefault(1, {})[index] = {
+            key: DesiredTask(1, machine.session, False, 0.0)
+        }
         sent = []
-        for age_s in (1.0, node.world.word_s + 1.0):
-            machines.words[1] = deck.clock.at - age_s
-            machine.unheard_do = 0
-            direct = [c.op for c in machines.orders(machine, True).commands]
-            machine.unheard_do = UNCALLED
-            sent += [direct, [c.op for c in machines.riding(machine)]]
+        for age_s in (1.0, node.context.watermark_lifetime_s + 1.0):
+            machines.watermarks[1] = deck.clock.at - age_s
+            machine.unanswered_commands = 0
+            direct = [c.op for c in machines.commands_for(machine, True).commands]
+            machine.unanswered_commands = MAX_UNANSWERED_COMMANDS
+            sent += [direct, [c.op for c in machines.piggybacked_starts(machine)]]
         return sent
 
     assert play(monkeypatch, deck, drive()) == [[api.START], [api.START], [], []]
@@ -645,15 +647,15 @@
     async def drive() -> list[str]:
         await deck.run(3.0)
         sent: list[tuple[dict[str, int], list[api.Change]]] = []
-        plain = deck.clients[2].txn
+        plain = deck.clients[2].transact
 
         async def keep(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
             if any(c.put == records.shard_key(0) for c in changes):
                 sent.append((dict(conditions), list(changes)))
-                raise StateUnknown("no answer")
+                raise OutcomeUnknownError("no answer")
             return await plain(conditions, changes, urgent)
 
-        deck.clients[2].txn = keep  # type: ignore[method-assign]
+        deck.clients[2].transact = keep  # type: ignore[method-assign]
         # Both others are away for long enough that the third tries to take the shard.
         deck.clients[0].cut = deck.clients[1].cut = True
         await deck.run(4.0)
@@ -700,12 +702,12 @@
         found = []
         for waited_s in (1.0, 2.0):
             deck.clock.at += waited_s
-            before = dict(node.machines[0].words)
+            before = dict(node.machines[0].watermarks)
             for link in deck.mail:
                 deck.mail[link].clear()
-            await node.exchange.send_wants(deck.clock.at)
-            said = any(e.HasField("wants") for sent in deck.mail.values() for e in sent)
-            assert said == (node.machines[0].words != before)
+            await node.state_sync.send_desired_state(deck.clock.at)
+            said = any(e.HasField("desired_state") for sent in deck.mail.values() for e in sent)
+            assert said == (node.machines[0].watermarks != before)
             found.append(said)
         return found[0], found[1]
 
@@ -720,8 +722,8 @@
     async def drive() -> list[bool]:
         await deck.run(3.0)
         node = deck.nodes[0]
-        jobs, gen = node.writers[0].shard, node.membership.holders[1].gen
-        return [node.exchange._echo(jobs, 1, g) > 0 for g in (gen, gen + 1)]
+        jobs, epoch = node.writers[0].shard, node.membership.owners[1].epoch
+        return [node.state_sync._watermark_ms(jobs, 1, g) > 0 for g in (epoch, epoch + 1)]
 
     assert play(monkeypatch, deck, drive()) == [True, False]
 
@@ -732,10 +734,10 @@
 def test_one_task_jobs_four_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
     """A quarter of them cancelled, the usual work beside them, few changes a second: submissions
     are answered in time, nothing starves, and nothing is kept of what has ended."""
-    monkeypatch.setattr(jobs_module, "FINALS_KEPT", 20)
+    monkeypatch.setattr(job_shard, "MAX_TERMINAL_JOBS", 20)
     deck = Deck(11)
     for client in deck.clients:
-        client.budget = Limiter(WRITES_A_SECOND / 3, 1.0, deck.clock.now)
+        client.budget = TokenBucket(WRITES_A_SECOND / 3, 1.0, deck.clock.now)
     small = [f"j-{900000 + i:06d}" for i in range(160)]
     usual = [of_shard(shard, n) for n in range(2) for shard in range(3)]
     waits: dict[str, float] = {}
@@ -749,17 +751,17 @@
         await deck.run(4.0)
         for name in usual:
             await deck.beside(submit, name, 2, 30.0)
-        changes, most = deck.state.epoch, 0.0
+        changes, limit = deck.state.epoch, 0.0
         for i, name in enumerate(small):
             await deck.beside(submit, name, 1, 1.0)
             if i % 4 == 3:
                 await deck.beside(deck.cancel, small[i - 3], (i % 3,))
             if i % 20 == 19:  # five seconds
                 await deck.poll([*usual, *small[i - 19 : i + 1]])
-                most, changes = max(most, deck.state.epoch - changes), deck.state.epoch
+                limit, changes = max(limit, deck.state.epoch - changes), deck.state.epoch
             await deck.run(0.25)
         # Transactions are fewer than changes: a job's end deletes one key and sets another.
-        assert most <= 5 * WRITES_A_SECOND * 4 / 3
+        assert limit <= 5 * WRITES_A_SECOND * 4 / 3
         await told_all(deck, [*usual, *small], 60.0)
         await deck.run(4.0)
 
@@ -770,8 +772,16 @@
     for node in deck.nodes:
         for writer in node.writers.values():
             shard = writer.shard
-            kept = (shard.jobs, shard.dirty, shard.here, shard.cancelling, writer.since)
-            assert not any(kept) and len(shard.finals) == len(shard.final_done) <= 20
+            kept = (
+                shard.jobs,
+                shard.dirty_jobs,
+                shard.tasks_by_machine,
+                shard.pending_cancellations,
+                writer.since,
+            )
+            assert (
+                not any(kept) and len(shard.terminal_states) == len(shard.terminal_completed) <= 20
+            )
         for machines in node.machines.values():
             machines.prune()
-            assert not machines.jobs and not any(machines.wants.values())
+            assert not machines.jobs and not any(machines.desired_tasks.values())
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -7,17 +7,17 @@
 import msgspec
 import pytest
 
-from starlingdeck.cluster.membership import Holder
-from starlingdeck.cluster.sharding import job_shard
-from starlingdeck.controller.controller import Node
-from starlingdeck.jobs.job import Place, new_job
+from starlingdeck.cluster.membership import ShardOwner
+from starlingdeck.cluster.sharding import shard_of_job
+from starlingdeck.controller.controller import Controller
+from starlingdeck.jobs.job import TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
-from starlingdeck.storage.state import StateLimit, put
+from starlingdeck.storage.state import RequestBudget, put_change
 from starlingdeck.transport.frames import FrameLink
 from starlingdeck.transport.server import Request
 from tests.support.builders import Clock, job_body, make_world, spec
@@ -34,17 +34,17 @@
     """A controller lost the network; its peers named it to its workers until its shard was
     taken over, each of them waited for it in vain, and 50 tasks died with their leases."""
     clock = Clock()
-    node = Node(make_world(clock))
-    node.membership.holders[1] = Holder(1, 5, 77)
+    node = Controller(make_world(clock))
+    node.membership.owners[1] = ShardOwner(1, 5, 77)
     node.peers.links[1] = FrameLink(None)
     body = Request("POST", api.REPORT, report("vm-1", "b"))
 
-    node.peers.heard[1] = clock.at
-    node.reports.faces[node.world.machines.put("vm-1")] = clock.at
+    node.peers.last_heard_at[1] = clock.at
+    node.heartbeat_api.sources[node.context.machine_names.intern("vm-1")] = clock.at
     known = curio.run(node.serve, body)
     assert (known.status, msgspec.json.decode(known.body)) == (421, {"answer_to": "n-1"})
 
-    clock.at += node.world.tuning.reply_wait_s + 0.1
+    clock.at += node.context.tuning.reply_wait_s + 0.1
     silent = curio.run(node.serve, body)
     assert (silent.status, msgspec.json.decode(silent.body)) == (421, {})
 
@@ -53,10 +53,10 @@
     """A controller that lost only its workers kept its shard; peers sent the workers back
     to it until their leases ended."""
     clock = Clock()
-    node, holder = Node(make_world(clock)), Node(make_world(clock, node=1))
-    holder.membership.lease, holder.membership.renewed = 1, clock.at
-    holder.machines[1] = MachineShard(holder.world, 1, 5, 77, 0.0)
-    node.membership.holders[1] = Holder(1, 5, 77)
+    node, holder = Controller(make_world(clock)), Controller(make_world(clock, node=1))
+    holder.membership.lease_id, holder.membership.renewed_at = 1, clock.at
+    holder.machines[1] = MachineShard(holder.context, 1, 5, 77, 0.0)
+    node.membership.owners[1] = ShardOwner(1, 5, 77)
     node.peers.links[1] = FrameLink(None)
 
     async def call(node: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
@@ -67,13 +67,13 @@
     node.peers.call = call  # type: ignore[method-assign]
     statuses = []
     for step in range(9):
-        node.peers.heard[1] = holder.membership.renewed = clock.at
+        node.peers.last_heard_at[1] = holder.membership.renewed_at = clock.at
         body = report("vm-1", "b", seq=step + 1)
         statuses.append(curio.run(node.serve, Request("POST", api.REPORT, body)).status)
         clock.at += 5.0
     assert statuses == [200, 421, 200, 200, 200, 421, 200, 200, 200]
-    machine = holder.machines[1].machines[holder.world.machines.put("vm-1")]
-    assert clock.at - machine.answered <= 10.0
+    machine = holder.machines[1].machines[holder.context.machine_names.intern("vm-1")]
+    assert clock.at - machine.lease_granted_at <= 10.0
 
 
 @pytest.mark.parametrize(
@@ -85,10 +85,10 @@
 ) -> None:
     """It renewed its workers' leases for 20 s more, and refused the users that it was sent."""
     clock = Clock()
-    node = Node(make_world(clock))
-    node.membership.lease, node.membership.renewed = 1, clock.at - (0.0 if state else 5.0)
-    node.peers.up = lambda n: peer and n == 1  # type: ignore[method-assign, assignment]
-    assert node.membership.may_renew_workers()
+    node = Controller(make_world(clock))
+    node.membership.lease_id, node.membership.renewed_at = 1, clock.at - (0.0 if state else 5.0)
+    node.peers.is_reachable = lambda n: peer and n == 1  # type: ignore[method-assign, assignment]
+    assert node.membership.may_renew_worker_leases()
     assert (node.health().status == 200) is healthy
 
 
@@ -96,30 +96,30 @@
     """Zones were cut while both controllers of one zone restarted: the other zone's kept
     their shards, whose workers it couldn't reach, and their leases ended."""
     clock = Clock()
-    node = Node(make_world(clock))
-    node.membership.lease, node.membership.renewed = 1, clock.at
-    jobs = JobShard(node.world, 1, 5, 77)
+    node = Controller(make_world(clock))
+    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    jobs = JobShard(node.context, 1, 5, 77)
     jobs.loaded = True
-    node.writers[1] = Writer(node.world, node.state, jobs)
-    assert not node.peers.up(1) and node.may_hand_back(1)
+    node.writers[1] = RecordWriter(node.context, node.state, jobs)
+    assert not node.peers.is_reachable(1) and node.may_hand_back(1)
 
 
 def test_a_controller_that_starts_while_the_cloud_is_down_knows_the_machine_types() -> None:
     """All controllers restarted during a cloud outage, and none was healthy for 40 s."""
     state = PlainState(random.Random(1))
-    first, second = Node(make_world(Clock())), Node(make_world(Clock(), node=1))
+    first, second = Controller(make_world(Clock())), Controller(make_world(Clock(), node=1))
     for node in (first, second):
         node.state = PlainClient(state, 0.0)  # type: ignore[assignment]
-    types = list(first.world.types.values())
-    curio.run(first.keep_types, types)
-    assert curio.run(second.kept_types) == []  # only the holder of shard 0 keeps them
-    curio.run(first.gained, 0, 1, 7, 0.0)
-    curio.run(first.keep_types, types)
-    assert curio.run(second.kept_types) == types
+    types = list(first.context.machine_types.values())
+    curio.run(first.store_types, types)
+    assert curio.run(second.load_types) == []  # only the holder of shard 0 keeps them
+    curio.run(first.on_shard_acquired, 0, 1, 7, 0.0)
+    curio.run(first.store_types, types)
+    assert curio.run(second.load_types) == types
 
 
 def test_paths_methods_and_bodies_get_their_statuses() -> None:
-    node = Node(make_world(Clock()))
+    node = Controller(make_world(Clock()))
 
     def status(method: str, path: str, body: bytes = b"") -> int:
         return int(curio.run(node.serve, Request(method, path, body)).status)
@@ -137,34 +137,34 @@
 def test_a_holder_that_was_cut_off_for_long_answers_no_worker() -> None:
     """It keeps leases alive for a bounded time only: its successor counts on that."""
     clock = Clock()
-    node = Node(make_world(clock))
-    node.membership.lease, node.membership.renewed = 1, clock.at
-    machines = MachineShard(node.world, 1, 3, 9, 0.0)
+    node = Controller(make_world(clock))
+    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    machines = MachineShard(node.context, 1, 3, 9, 0.0)
     node.machines[1] = machines
-    first = curio.run(node.reports.take, report("vm-1", "b"))
+    first = curio.run(node.heartbeat_api.handle, report("vm-1", "b"))
     assert first.status == 200
-    clock.at += node.world.outage_s - 0.1
-    kept = curio.run(node.reports.take, report("vm-1", "b", seq=2))
-    assert kept.status == 200 and not node.membership.valid()
+    clock.at += node.context.outage_renewal_s - 0.1
+    kept = curio.run(node.heartbeat_api.handle, report("vm-1", "b", seq=2))
+    assert kept.status == 200 and not node.membership.lease_is_valid()
     clock.at += 0.2
-    assert curio.run(node.reports.take, report("vm-1", "b", seq=3)).status == 503
-    s = node.world.settings.settings.workers
-    assert node.world.outage_s + s.lease_s < s.cancel_s - 3
+    assert curio.run(node.heartbeat_api.handle, report("vm-1", "b", seq=3)).status == 503
+    s = node.context.settings.settings.workers
+    assert node.context.outage_renewal_s + s.lease_s < s.cancel_s - 3
 
 
-def linked_nodes(clock: Clock, state: PlainState, holder: int) -> tuple[Node, Node]:
+def linked_nodes(clock: Clock, state: PlainState, holder: int) -> tuple[Controller, Controller]:
     """Two nodes with a lease each; the first reaches the second, and `holder` of the two holds
     the shard of j-000001."""
-    ours, theirs = Node(make_world(clock)), Node(make_world(clock, node=1))
+    ours, theirs = Controller(make_world(clock)), Controller(make_world(clock, node=1))
     for node in (ours, theirs):
-        node.users.state = PlainClient(state, 0.0)  # type: ignore[assignment]
-        node.membership.lease, node.membership.renewed = 1, clock.at
-    shard, node = job_shard("j-000001", 3), (ours, theirs)[holder]
-    jobs = JobShard(node.world, shard, 5, 77)
+        node.job_api.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+        node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    shard, node = shard_of_job("j-000001", 3), (ours, theirs)[holder]
+    jobs = JobShard(node.context, shard, 5, 77)
     jobs.loaded = True
-    node.writers[shard] = Writer(node.world, node.users.state, jobs)
+    node.writers[shard] = RecordWriter(node.context, node.job_api.state, jobs)
     ours.peers.links[1] = FrameLink(None)
-    ours.peers.heard[1] = clock.at
+    ours.peers.last_heard_at[1] = clock.at
 
     async def call(node: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
         reply = await theirs.on_message(envelope)
@@ -179,15 +179,15 @@
     """The holder of the job's shard answered 503 until its own lease was over."""
     state = PlainState(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 0)
-    ours.users.state.cut = True  # type: ignore[attr-defined]
-    shard = job_shard("j-000001", 3)
+    ours.job_api.state.cut = True  # type: ignore[attr-defined]
+    shard = shard_of_job("j-000001", 3)
     body = msgspec.json.encode(job_body("j-000001"))
     assert curio.run(ours.serve, Request("POST", api.JOBS, body)).status == 201
     assert {k for k in state.keys if "j-000001" in k} == {
         records.job_key(shard, "j-000001"),
-        records.inbox_key(shard, "j-000001"),  # so that the holder learns of it
+        records.mailbox_key(shard, "j-000001"),  # so that the holder learns of it
     }
-    theirs.users.state.cut = True  # type: ignore[attr-defined]
+    theirs.job_api.state.cut = True  # type: ignore[attr-defined]
     refused = curio.run(
         ours.serve, Request("POST", api.JOBS, msgspec.json.encode(job_body("j-000007")))
     )
@@ -198,17 +198,17 @@
     """Its 503 was passed on to the user, though we could have recorded the job ourselves."""
     state = PlainState(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 1)
-    theirs.users.state.cut = True  # type: ignore[attr-defined]
-    shard = job_shard("j-000001", 3)
-    ours.membership.holders[shard] = Holder(1, 5, 77)
+    theirs.job_api.state.cut = True  # type: ignore[attr-defined]
+    shard = shard_of_job("j-000001", 3)
+    ours.membership.owners[shard] = ShardOwner(1, 5, 77)
     body = msgspec.json.encode(job_body("j-000001"))
     assert curio.run(ours.serve, Request("POST", api.JOBS, body)).status == 201
-    assert records.inbox_key(shard, "j-000001") in state.keys
+    assert records.mailbox_key(shard, "j-000001") in state.keys
 
 
 def test_the_living_share_the_budgets() -> None:
     """One controller alone had the work of three, and a third of the calls."""
-    limit = StateLimit(200.0, 60.0, 3, Clock().now)
+    limit = RequestBudget(200.0, 60.0, 3, Clock().now)
     limit.share_among(1)
     assert limit.reads.rate == 180.0 and limit.writes.rate == 54.0
     limit.share_among(3)
@@ -219,16 +219,16 @@
     """A controller back from a cut was alive but hung in its old watch: its shard was handed
     back, retaken and handed back again, three times in two seconds (incident a99b)."""
     clock = Clock()
-    node = Node(make_world(clock))
+    node = Controller(make_world(clock))
     own = node.membership
     own.state = PlainClient(PlainState(random.Random(1)), 0.0)  # type: ignore[assignment]
-    own.lease, own.renewed, own.living = 1, clock.at, {0: 0.0, 1: clock.at - 3.0}
+    own.lease_id, own.renewed_at, own.live_nodes = 1, clock.at, {0: 0.0, 1: clock.at - 3.0}
     curio.run(own._take, 1, 0, 0.0)
     node.writers[1].shard.loaded = True
     held = []
     for _ in range(140):
         clock.at += 0.1
-        own.renewed = clock.at
+        own.renewed_at = clock.at
         curio.run(own._consider, 1)
         if 1 in node.writers:
             node.writers[1].shard.loaded = True
@@ -241,40 +241,42 @@
     """The key's new stamp was there before the answer that told us of it: the write's condition
     failed, and the shard's records would never have been written again."""
     clock = Clock()
-    node = Node(make_world(clock))
+    node = Controller(make_world(clock))
     own, state = node.membership, PlainState(random.Random(1))
     client = PlainClient(state, 0.0)
     own.state = node.state = client  # type: ignore[assignment]
-    own.lease, own.renewed = 1, clock.at
+    own.lease_id, own.renewed_at = 1, clock.at
     curio.run(own._take, 1, 0, 0.0)
     writer, key = node.writers[1], records.shard_key(1)
     writer.shard.loaded = True
-    job = new_job(node.world, spec("j-000001"), 1, 0)
-    job.starts[0] = Place(node.world.machines.put("vm-1"), 1, 1, 1, node.world.zones.put("b"))
-    job.versions[0] = 0
+    job = new_job(node.context, spec("j-000001"), 1, 0)
+    job.pending_starts[0] = TaskPlacement(
+        node.context.machine_names.intern("vm-1"), 1, 1, 1, node.context.zone_names.intern("b")
+    )
+    job.key_versions[0] = 0
     writer.shard.adopt(job)
-    value = records.ShardValue(0, own.held[1].gen)
-    assert not state.apply({key: own.held[1].token}, [put(key, value)])
-    assert not curio.run(writer.flush) and writer.lost and not job.places
+    value = records.ShardValue(0, own.held[1].epoch)
+    assert not state.apply({key: own.held[1].token}, [put_change(key, value)])
+    assert not curio.run(writer.flush) and writer.ownership_lost and not job.placements
     told = api.Event(state.epoch, key, msgspec.Raw(msgspec.json.encode(value)))
     curio.run(own._event, told)
-    assert curio.run(writer.flush) and list(job.places) == [0]
+    assert curio.run(writer.flush) and list(job.placements) == [0]
 
 
 def test_only_who_surely_holds_a_shard_says_what_it_wants() -> None:
     """The first list to reach a new machine holder came from a former job holder, which named a
     task that its successor had seen stopped and reaped: it was started once more."""
     clock = Clock()
-    node = Node(make_world(clock))
-    node.membership.lease, node.membership.renewed = 1, clock.at
-    node.membership.holders[0] = Holder(0, 5, 77)
-    node.machines[0] = MachineShard(node.world, 0, 5, 77, 0.0)
-    jobs = JobShard(node.world, 0, 5, 77)
+    node = Controller(make_world(clock))
+    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    node.membership.owners[0] = ShardOwner(0, 5, 77)
+    node.machines[0] = MachineShard(node.context, 0, 5, 77, 0.0)
+    jobs = JobShard(node.context, 0, 5, 77)
     jobs.loaded = True
-    node.writers[0] = Writer(node.world, node.state, jobs)
-    clock.at += node.world.tuning.state_lease_s
-    curio.run(node.step)
-    assert not node.membership.valid() and not node.machines[0].acks
-    node.membership.renewed = clock.at
-    curio.run(node.step)
-    assert node.machines[0].acks == {0: (5, 1)}
+    node.writers[0] = RecordWriter(node.context, node.state, jobs)
+    clock.at += node.context.tuning.state_lease_s
+    curio.run(node.reconcile)
+    assert not node.membership.lease_is_valid() and not node.machines[0].received_seqs
+    node.membership.renewed_at = clock.at
+    curio.run(node.reconcile)
+    assert node.machines[0].received_seqs == {0: (5, 1)}
--- a/tests/test_counted_resources.py
+++ b/tests/test_counted_resources.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from starlingdeck.counts.plugin import Counts
-from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.counts.plugin import CountedResourcePlugin
+from starlingdeck.jobs.job import Job, TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
-from starlingdeck.storage.state import StateError, put
+from starlingdeck.storage.state import StateError, put_change
 from tests.support.builders import Clock, make_world, spec
 from tests.support.counted_resources import CountedState, gate_of, watch
 from tests.support.reference_model import (
@@ -43,7 +43,7 @@
     """The plain model, with jobs that need units of a count of 3."""
 
     def __init__(self, seed: int, trouble: float) -> None:
-        self.gates: dict[int, Counts] = {}
+        self.gates: dict[int, CountedResourcePlugin] = {}
         super().__init__(seed, trouble)
         self.state: CountedState
         self.state.set("engine", 3, 2)
@@ -103,13 +103,13 @@
         """What the gates do beside the writers' work."""
         for node in self.nodes:
             for writer in node.jobs.values():
-                writer.gate = self.gates[node.number]
+                writer.durable_plugin = self.gates[node.number]
         gate = self.gates[self.rng.randrange(2)]
         if not gate.state.cut:  # type: ignore[attr-defined]
             watch(gate, self.state, lambda: self.rng.random() < 0.3)
         if self.rng.random() < 0.05:
             for node in self.nodes:
-                at_once(self.gates[node.number].note([]))
+                at_once(self.gates[node.number].begin_cycle([]))
                 for writer in node.jobs.values():
                     try:
                         if writer.shard.loaded and node.valid():
@@ -119,9 +119,9 @@
 
     def allowed(self, node: PlainNode, job: Job) -> int:
         gate = self.gates[node.number]
-        at_once(gate.note([job]))
+        at_once(gate.begin_cycle([job]))
         # Now and then more is asked for than there is room for.
-        return 2 if self.rng.random() < 0.1 else min(2, gate.spare(job))
+        return 2 if self.rng.random() < 0.1 else min(2, gate.headroom(job))
 
 
 @pytest.mark.parametrize("first", range(0, 24, 8))
@@ -160,14 +160,14 @@
         self.clock = Clock()
         self.state = CountedState(random.Random(5))
         self.clients = [PlainClient(self.state, 0.0) for _ in range(3)]
-        self.gates: dict[int, Counts] = {}
-        self.writers: dict[int, tuple[int, Writer]] = {}  # shard -> node, writer
+        self.gates: dict[int, CountedResourcePlugin] = {}
+        self.writers: dict[int, tuple[int, RecordWriter]] = {}  # shard -> node, writer
         self.jobs = 0
         self.ended: set[str] = set()
         for name, ceiling in (("engine", 3), ("seat", 4)):
             self.state.set(name, ceiling, 3)
         self.worlds = [make_world(self.clock, node=i) for i in range(3)]
-        self.held: list[dict[int, Writer]] = [{} for _ in range(3)]
+        self.held: list[dict[int, RecordWriter]] = [{} for _ in range(3)]
         for shard in range(3):
             self.restart(shard)
             self.take(shard, shard)
@@ -189,11 +189,11 @@
         if self.clients[node].cut:
             return
         old = self.state.keys.get(records.shard_key(shard), (b"", 0))[1]
-        change = put(records.shard_key(shard), records.ShardValue(node, 1))
+        change = put_change(records.shard_key(shard), records.ShardValue(node, 1))
         assert not self.state.apply({records.shard_key(shard): old}, [change])
         jobs = JobShard(self.worlds[node], shard, self.state.epoch, self.state.epoch)
         gate = self.gates[node]
-        writer = Writer(self.worlds[node], gate.state, jobs, gate)
+        writer = RecordWriter(self.worlds[node], gate.state, jobs, gate)
         at_once(writer.load())
         self.writers[shard] = (node, writer)
         self.held[node][shard] = writer
@@ -207,41 +207,48 @@
         self.jobs += 1
         counts = {"engine": units, "seat": seats}
         body = spec(f"j-{self.jobs}", chores=tasks, counts=counts)
-        record = put(records.job_key(shard, body.id), records.JobRecord(body, 0))
+        record = put_change(records.job_key(shard, body.id), records.JobRecord(body, 0))
         self.state.apply({}, [record])
         job = new_job(self.worlds[node], body, shard, 0)
-        job.versions[0] = self.state.epoch
+        job.key_versions[0] = self.state.epoch
         writer.shard.jobs[job.index] = job
 
-    def each(self) -> list[tuple[int, Writer]]:
+    def each(self) -> list[tuple[int, RecordWriter]]:
         """Every writer that somebody still takes for its own, also former holders'."""
-        return [(n, w) for n in range(3) for w in list(self.held[n].values()) if w.shard.loaded]
+        return [
+            (n, writer)
+            for n in range(3)
+            for writer in list(self.held[n].values())
+            if writer.shard.loaded
+        ]
 
-    @rule(most=st.integers(1, 9), greedy=st.booleans())
-    def plan(self, most: int, greedy: bool) -> None:
+    @rule(limit=st.integers(1, 9), greedy=st.booleans())
+    def plan(self, limit: int, greedy: bool) -> None:
         """Starts for what waits, as many as the gate says, or more."""
         for node, writer in self.each():
             gate = self.gates[node]
-            at_once(gate.note(list(writer.shard.jobs.values())))
+            at_once(gate.begin_cycle(list(writer.shard.jobs.values())))
             for job in writer.shard.jobs.values():
-                room = most if greedy else min(most, gate.spare(job))
+                room = limit if greedy else min(limit, gate.headroom(job))
                 for task in job.pending(room):
-                    number = self.worlds[node].machines.put(f"vm-{task}")
-                    attempt = job.tries[task] + 1
-                    zone = self.worlds[node].zones.put("a")
-                    job.starts[task] = Place(number, 1, attempt, 0, zone, since=self.clock.at)
-                    gate.picked(job, 1)
-                    writer.shard.dirty.add(job.index)
+                    number = self.worlds[node].machine_names.intern(f"vm-{task}")
+                    attempt = job.attempts[task] + 1
+                    zone = self.worlds[node].zone_names.intern("a")
+                    job.pending_starts[task] = TaskPlacement(
+                        number, 1, attempt, 0, zone, state_since=self.clock.at
+                    )
+                    gate.on_requested(job, 1)
+                    writer.shard.dirty_jobs.add(job.index)
 
     @rule(pick=st.integers(0, 50), done=st.booleans())
     def end(self, pick: int, done: bool) -> None:
         """A recorded task is proven to have ended."""
         found = [(w, j, t) for _, (_, w) in self.writers.items() for j in w.shard.jobs.values()
-                 for t in j.places if t not in j.ends]  # fmt: skip
+                 for t in j.placements if t not in j.pending_ends]  # fmt: skip
         if found:
             writer, job, task = found[pick % len(found)]
-            why = api.W_DONE if done else api.W_STOPPED
-            writer.shard._end(job, task, job.places[task], why, "exit")
+            error = api.W_DONE if done else api.W_STOPPED
+            writer.shard._end_attempt(job, task, job.placements[task], error, "exit")
 
     @rule(pick=st.integers(0, 50))
     def cancel(self, pick: int) -> None:
@@ -277,9 +284,9 @@
 
     @rule(node=st.integers(0, 2), to=st.integers(0, 2))
     def greet(self, node: int, to: int) -> None:
-        hello = pb.Hello()
-        self.gates[node].greet(hello)
-        self.gates[to].greeted(node, hello)
+        gossip = pb.Gossip()
+        self.gates[node].add_to_gossip(gossip)
+        self.gates[to].receive_gossip(node, gossip)
 
     @rule(name=st.sampled_from(NAMES), ceiling=st.integers(0, 5), removed=st.booleans())
     def set(self, name: str, ceiling: int, removed: bool) -> None:
@@ -302,8 +309,8 @@
             if any(job.stale for job in writer.shard.jobs.values()) or self.state.late:
                 continue
             for name in NAMES:
-                count = self.worlds[node].counts.get(name)
-                known = writer.shard.use.get(count, 0) if count is not None else 0
+                count = self.worlds[node].resource_names.find(name)
+                known = writer.shard.resource_use.get(count, 0) if count is not None else 0
                 assert known == used[(name, shard)]
 
     def teardown(self) -> None:
@@ -319,7 +326,7 @@
         for node in range(3):
             self.gates[node].writers = self.held[node]
         for _ in range(400):
-            if not any(w.shard.jobs for _, w in self.each()):
+            if not any(writer.shard.jobs for _, writer in self.each()):
                 break
             for node in range(3):
                 self.hear(node)
@@ -331,7 +338,7 @@
                 self.end(pick, True)
             self.release()
             self.state.late.clear()
-        assert not any(w.shard.jobs for _, w in self.each())
+        assert not any(writer.shard.jobs for _, writer in self.each())
         self.clock.at += 5.0
         for _ in range(3):
             for node in range(3):
--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -12,17 +12,17 @@
 
 from starlingdeck.cli import main
 from starlingdeck.counts import ledger
-from starlingdeck.counts.ledger import Use, Waiter
-from starlingdeck.counts.plugin import Counts
-from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.counts.ledger import UnitUse, Waiter
+from starlingdeck.counts.plugin import CountedResourcePlugin
+from starlingdeck.jobs.job import Job, TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.machines.shard_snapshot import Sight
+from starlingdeck.machines.shard_snapshot import ShardSnapshot
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.config import CountSettings, DeclaredCount, Fault, load_tuning
+from starlingdeck.protocol.config import ConfigError, CountSettings, DeclaredCount, load_tuning
 from starlingdeck.storage import records
-from starlingdeck.storage.state import StateError, StateUnknown
-from tests.support import fuzz_targets as fuzzed
+from starlingdeck.storage.state import OutcomeUnknownError, StateError
+from tests.support import fuzz_targets
 from tests.support.builders import job_body, spec
 from tests.support.counted_resources import CountedState, watch
 from tests.support.reference_model import PlainClient, at_once
@@ -42,7 +42,7 @@
         self.hear(0)
 
     @property
-    def gate(self) -> Counts:
+    def gate(self) -> CountedResourcePlugin:
         return self.gates[0]
 
     @property
@@ -54,22 +54,28 @@
         self.submit(0, tasks, units, 0)
         job = list(self.shard.jobs.values())[-1]
         job.spec = msgspec.structs.replace(job.spec, **fields)
-        job.at_ms = self.clock.wall_ms()
+        job.submitted_ms = self.clock.wall_ms()
         return job
 
     def start(self, job: Job, task: int = 0) -> None:
-        place = Place(self.worlds[0].machines.put("vm-1"), 1, job.tries[task] + 1, 0,
-                      self.worlds[0].zones.put("a"), since=self.clock.at)  # fmt: skip
-        job.starts[task] = place
-        self.shard.dirty.add(job.index)
+        placement = TaskPlacement(
+            self.worlds[0].machine_names.intern("vm-1"),
+            1,
+            job.attempts[task] + 1,
+            0,
+            self.worlds[0].zone_names.intern("a"),
+            state_since=self.clock.at,
+        )
+        job.pending_starts[task] = placement
+        self.shard.dirty_jobs.add(job.index)
 
     def room(self, *jobs: Job) -> list[int]:
         """What a plan allows each, in this order, and takes."""
-        at_once(self.gate.note(jobs))
+        at_once(self.gate.begin_cycle(jobs))
         found = []
         for job in jobs:
-            room = min(self.gate.spare(job), len(job.pending(9)))
-            self.gate.picked(job, room)
+            room = min(self.gate.headroom(job), len(job.pending(9)))
+            self.gate.on_requested(job, room)
             found.append(room)
         return found
 
@@ -77,7 +83,7 @@
         at_once(self.writers[0][1].flush())
 
     def finish(self, job: Job, task: int = 0) -> None:
-        self.shard._end(job, task, job.places[task], api.W_DONE, "exit done")
+        self.shard._end_attempt(job, task, job.placements[task], api.W_DONE, "exit done")
 
     def total(self) -> int:
         return self.state.ledger("engine").total
@@ -91,7 +97,7 @@
     desk.room(second, third)
     desk.finish(first)
     desk.flush()
-    assert desk.total() == 1 and not desk.shard.use[0]
+    assert desk.total() == 1 and not desk.shard.resource_use[0]
     return second, third
 
 
@@ -102,13 +108,13 @@
     second, third = idle_unit(desk)
     desk.start(second)
     desk.clients[0].trouble = 2.0  # applied later, answered never
-    with pytest.raises(StateUnknown):
+    with pytest.raises(OutcomeUnknownError):
         desk.flush()
     desk.clients[0].trouble = 0.0
-    second.starts.clear()
+    second.pending_starts.clear()
     desk.start(third)
     desk.flush()
-    assert third.places
+    assert third.placements
     assert len(desk.state.late) == 1 and desk.state.apply(*desk.state.late.pop())
 
 
@@ -117,11 +123,11 @@
     second, third = idle_unit(desk)
     desk.start(second)
     desk.clients[0].trouble = 2.0
-    with pytest.raises(StateUnknown):
+    with pytest.raises(OutcomeUnknownError):
         desk.flush()
     desk.clients[0].trouble = 0.0
     (late,) = desk.state.late
-    second.starts.clear()
+    second.pending_starts.clear()
     desk.start(third)
     reread = desk.gate.reread
 
@@ -133,7 +139,7 @@
     desk.gate.reread = applied_first  # type: ignore[method-assign]
     desk.flush()
     again = desk.shard.jobs[second.index]
-    assert again.places and not third.places and third.withheld
+    assert again.placements and not third.placements and third.withheld
 
 
 def test_a_late_release_takes_no_unit_from_a_task() -> None:
@@ -142,12 +148,12 @@
     desk.release()
     desk.clock.at += 1.0
     desk.clients[0].trouble = 2.0
-    with pytest.raises(StateUnknown):
+    with pytest.raises(OutcomeUnknownError):
         at_once(desk.gate.release(desk.writers[0][1]))
     desk.clients[0].trouble = 0.0
     desk.start(second)
     desk.flush()
-    assert second.places and desk.state.apply(*desk.state.late.pop())
+    assert second.placements and desk.state.apply(*desk.state.late.pop())
 
 
 def test_a_unit_passes_from_task_to_task_at_no_change_of_its_own() -> None:
@@ -161,7 +167,7 @@
     desk.finish(first)
     desk.start(second)
     desk.flush()
-    assert second.places and desk.state.keys[records.count_key("engine")][1] == at
+    assert second.placements and desk.state.keys[records.count_key("engine")][1] == at
 
 
 def test_units_of_several_counts_are_taken_together_or_not_at_all() -> None:
@@ -173,11 +179,11 @@
     assert desk.room(job) == [0]
     desk.start(job)
     desk.flush()
-    assert not job.places and desk.total() == 0 and job.withheld
+    assert not job.placements and desk.total() == 0 and job.withheld
     desk.clock.at += 2.0
     desk.flush()
-    assert not job.starts and job.retry_at[0] > desk.clock.at
-    whys = [w.because for w in desk.gate.waits(job)]
+    assert not job.pending_starts and job.retry_at[0] > desk.clock.at
+    whys = [w.reason for w in desk.gate.wait_reasons(job)]
     assert whys == ["1 of seat needed, its ceiling is 0"]
 
 
@@ -199,9 +205,11 @@
 def test_a_free_unit_is_left_to_better_work_elsewhere_for_a_while() -> None:
     desk = Desk(1)
     job = desk.job()
-    rival = pb.Hello()
-    rival.waits.add(count="engine", shard=1, job="j-9", rank=3, at_ms=desk.clock.wall_ms(), units=1)
-    desk.gate.greeted(1, rival)
+    rival = pb.Gossip()
+    rival.resource_waiters.add(
+        resource="engine", shard=1, job="j-9", rank=3, submitted_ms=desk.clock.wall_ms(), units=1
+    )
+    desk.gate.receive_gossip(1, rival)
     assert desk.room(job) == [0]
     desk.clock.at += 0.5
     assert desk.room(job) == [0]
@@ -214,9 +222,9 @@
 def test_a_unit_that_better_work_waits_for_elsewhere_is_given_back_at_once() -> None:
     desk = Desk(1)
     second, third = idle_unit(desk)
-    rival = pb.Hello()
-    rival.waits.add(count="engine", shard=1, job="j-9", rank=3, units=1)
-    desk.gate.greeted(1, rival)
+    rival = pb.Gossip()
+    rival.resource_waiters.add(resource="engine", shard=1, job="j-9", rank=3, units=1)
+    desk.gate.receive_gossip(1, rival)
     desk.room(second, third)
     desk.room(second, third)
     at_once(desk.gate.release(desk.writers[0][1]))
@@ -236,22 +244,22 @@
     desk.gate.stop_some()
     desk.clock.at += 1.0
     desk.gate.stop_some()
-    assert not any(job.places[0].yields for job in (low, old, young))
+    assert not any(job.placements[0].releasing for job in (low, old, young))
     desk.finish(low)
     assert desk.room(waiting) == [0]
     desk.start(waiting)
     desk.flush()
-    assert not waiting.places and desk.total() == 2
+    assert not waiting.placements and desk.total() == 2
     desk.state.set("engine", 1, 3, stop=True)
     desk.hear(0)
     desk.gate.stop_some()
     desk.clock.at += 1.0
     desk.gate.stop_some()
-    assert (old.places[0].yields, young.places[0].yields) == (False, True)
-    wants = desk.shard.wants(0, 1, True)
-    assert [item.stop for item in wants.items] == [
-        item.job == next(i for i, j in enumerate(wants.jobs) if j.id == young.id)
-        for item in wants.items
+    assert (old.placements[0].releasing, young.placements[0].releasing) == (False, True)
+    message = desk.shard.desired_state_message(0, 1, True)
+    assert [item.stop for item in message.tasks] == [
+        item.job == next(i for i, j in enumerate(message.jobs) if j.id == young.id)
+        for item in message.tasks
     ]
 
 
@@ -264,9 +272,9 @@
     desk.submit(1, 1, 1, 0)
     desk.hear(1)
     (there,) = desk.writers[1][1].shard.jobs.values()
-    there.starts[0] = Place(0, 1, 1, 0, desk.worlds[1].zones.put("a"))
-    desk.worlds[1].machines.put("vm-1")
-    desk.writers[1][1].shard.dirty.add(there.index)
+    there.pending_starts[0] = TaskPlacement(0, 1, 1, 0, desk.worlds[1].zone_names.intern("a"))
+    desk.worlds[1].machine_names.intern("vm-1")
+    desk.writers[1][1].shard.dirty_jobs.add(there.index)
     desk.write(0.0)
     assert desk.total() == 3
     desk.state.set("engine", 1, 3, stop=True)
@@ -276,25 +284,29 @@
     desk.clock.at += 1.0
     for node in (0, 1):
         desk.gates[node].stop_some()
-    assert sum(job.places[0].yields for job in here) == 1 and not there.places[0].yields
+    assert (
+        sum(job.placements[0].releasing for job in here) == 1 and not there.placements[0].releasing
+    )
 
 
-def view(seen: bool, proof: str, desk: Desk) -> pb.View:
+def view(seen: bool, proof: str, desk: Desk) -> pb.Snapshot:
     """How the machine of attempt 1 of the first task is shown, with or without a proof."""
-    sent = desk.shard.outs[0].seq
-    found = pb.View(shard=0, gen=1, seq=1, valid=proof != "not valid", whole=True)
-    found.acks.add(shard=0, token=desk.shard.base, seq=sent if proof != "list on its way" else 0)
+    sent = desk.shard.outboxes[0].seq
+    found = pb.Snapshot(shard=0, epoch=1, seq=1, valid=proof != "not valid", full=True)
+    found.acks.add(
+        shard=0, token=desk.shard.base_token, seq=sent if proof != "list on its way" else 0
+    )
     if proof == "gone":
-        found.dead.append("vm-1")
+        found.lost_machines.append("vm-1")
         return found
     machine = found.machines.add(id="vm-1", type="small", zone="a", session=1, fenced=True)
     machine.session = 2 if proof == "newer session" else 1
-    machine.dead = proof in ("lease over", "not valid")
+    machine.lost = proof in ("lease over", "not valid")
     machine.fenced = proof != "start on its way"
     if seen:
         state = api.EXITED if proof in ("exit", "halted") else api.ON
-        why = {"exit": api.W_DONE, "halted": api.W_STOPPED}.get(proof, api.W_NONE)
-        machine.tasks.add(job="j-1", task=0, attempt=1, state=state, why=why)
+        error = {"exit": api.W_DONE, "halted": api.W_STOPPED}.get(proof, api.W_NONE)
+        machine.tasks.add(job="j-1", task=0, attempt=1, state=state, cause=error)
     return found
 
 
@@ -318,16 +330,16 @@
     job = desk.job()
     desk.start(job)
     desk.flush()
-    desk.shard.wants(0, 1, True)
-    sight = Sight(desk.worlds[0], 0, 1)
-    sight.take(view(seen, proof, desk))
+    desk.shard.desired_state_message(0, 1, True)
+    snapshot = ShardSnapshot(desk.worlds[0], 0, 1)
+    snapshot.apply(view(seen, proof, desk))
     for _ in range(2):
-        desk.shard.apply_view(sight, None)
+        desk.shard.apply_snapshot(snapshot, None)
         desk.flush()
         desk.clock.at += 1.0
         at_once(desk.gate.release(desk.writers[0][1]))
-    assert desk.total() == (0 if frees else 1) and desk.shard.use[0] == desk.total()
-    assert bool(job.places) is not frees
+    assert desk.total() == (0 if frees else 1) and desk.shard.resource_use[0] == desk.total()
+    assert bool(job.placements) is not frees
 
 
 def test_higher_work_stops_lower_work_for_a_unit_only_where_it_is_switched_on() -> None:
@@ -340,20 +352,30 @@
             desk.room(high)
             desk.clock.at += 1.0
             desk.gate.stop_some()
-        assert low.places[0].yields is preempt
+        assert low.placements[0].releasing is preempt
 
 
 USES = st.lists(
-    st.builds(Use, st.integers(0, 2), st.just("j-1"), st.integers(0, 9), st.integers(0, 1),
-              st.booleans(), st.integers(0, 3), st.integers(0, 9), st.integers(1, 3),
-              st.booleans()),
-    max_size=8, unique_by=lambda u: u.task,
-)  # fmt: skip
+    st.builds(
+        UnitUse,
+        st.integers(0, 2),
+        st.just("j-1"),
+        st.integers(0, 9),
+        st.integers(0, 1),
+        st.booleans(),
+        st.integers(0, 3),
+        st.integers(0, 9),
+        st.integers(1, 3),
+        st.booleans(),
+    ),
+    max_size=8,
+    unique_by=lambda u: u.task,
+)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(USES, st.integers(-1, 8))
-def test_no_more_is_stopped_than_is_needed(uses: list[Use], excess: int) -> None:
+def test_no_more_is_stopped_than_is_needed(uses: list[UnitUse], excess: int) -> None:
     chosen = ledger.victims(uses, excess)
     freed = [u.units for u in chosen]
     assert sum(freed) >= min(excess, sum(u.units for u in uses))
@@ -377,10 +399,12 @@
     async def start(self) -> None:
         await super().start()
         node = self.node
-        self.gate = Counts(node.world, node.state, node.membership, node.writers, self.settings)
-        node.install(self.gate)
+        self.gate = CountedResourcePlugin(
+            node.context, node.state, node.membership, node.writers, self.settings
+        )
+        node.register_plugin(self.gate)
         for writer in node.writers.values():
-            writer.gate = self.gate
+            writer.durable_plugin = self.gate
         watch(self.gate, self.state)
         await self.gate.declare()
 
@@ -404,16 +428,16 @@
         await site.start()
         await site.go_round(1)
         assert await site.submit(uid="j-1", chores=9, counts={"engine": 1}) == 201
-        most = 0
+        limit = 0
         for turn in range(120):
             if turn in (9, 20):
                 await site.start()
             await site.go_round(1)
-            most = max(most, site.live())
-        assert most == 2
+            limit = max(limit, site.live())
+        assert limit == 2
         assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
         assert cast(CountedState, site.state).ledger("engine").total == 0
-        assert not any(site.gate.in_doubt(0, c) for c in site.gate.ledgers)
+        assert not any(site.gate.is_uncertain(0, c) for c in site.gate.ledgers)
 
     curio.run(drive)
 
@@ -464,10 +488,10 @@
     async def drive() -> None:
         site = CountedSite()
         await site.start()
-        known = len(site.node.world.counts.text)
+        known = len(site.node.context.resource_names.names)
         for i in range(30):
             assert await site.submit(uid=f"j-{i}", counts={f"made-up-{i}": 1}) == 422
-        assert len(site.node.world.counts.text) == known
+        assert len(site.node.context.resource_names.names) == known
 
     curio.run(drive)
 
@@ -480,14 +504,14 @@
         assert await site.submit(counts={"engine": 1}) == 422
         assert await site.submit(counts={}) == 201
         # Taken while counts were on, it waits now.
-        job = new_job(site.node.world, spec("j-2", counts={"engine": 1}), 0, 0)
-        assert site.node.admission.spare(job) == 0 and site.node.admission.waits(job)
+        job = new_job(site.node.context, spec("j-2", counts={"engine": 1}), 0, 0)
+        assert site.node.admission.headroom(job) == 0 and site.node.admission.wait_reasons(job)
         writer = site.node.writers[0]
-        job.versions[0] = 0
-        job.starts[0] = Place(0, 1, 1, 0, 0)
+        job.key_versions[0] = 0
+        job.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
         writer.shard.jobs[job.index] = job
-        writer.shard.dirty.add(job.index)
-        assert not await writer.flush() and not job.places and job.withheld
+        writer.shard.dirty_jobs.add(job.index)
+        assert not await writer.flush() and not job.placements and job.withheld
 
     curio.run(drive)
 
@@ -540,7 +564,7 @@
         site.settings = CountSettings({"engine": DeclaredCount(7)})
         with caplog.at_level("INFO"):
             await site.start()
-        assert site.gate.ledgers[site.node.world.counts.put("engine")].ceiling == 2
+        assert site.gate.ledgers[site.node.context.resource_names.intern("engine")].ceiling == 2
         assert "declared with ceiling 7" in caplog.text
 
     curio.run(drive)
@@ -550,12 +574,12 @@
     assert load_tuning(ROOT / "deploy" / "counts.toml").counts is not None
     bad = tmp_path / "bad.toml"
     bad.write_text(
-        '[counts]\npatience_s = 0\nodd = 1\n[counts.declare.a]\nceiling = -1\n'
+        "[counts]\npatience_s = 0\nodd = 1\n[counts.declare.a]\nceiling = -1\n"
         '[counts.declare."b c"]\npreempt = 3\n'
-    )  # fmt: skip
-    with pytest.raises(Fault) as fault:
+    )
+    with pytest.raises(ConfigError) as error:
         load_tuning(bad)
-    told = "\n".join(fault.value.lines)
+    told = "\n".join(error.value.lines)
     for name in ("patience_s", "odd", "a.ceiling", "b c.ceiling: missing", "b c.preempt", "b c:"):
         assert name in told, (name, told)
     result = CliRunner().invoke(main, ["counts", "list", "--server", "127.0.0.1:1"])
@@ -575,7 +599,7 @@
 @pytest.mark.parametrize("path", sorted(CORPUS.iterdir()), ids=lambda path: path.name)
 def test_what_can_not_be_is_not_believed(path: Path) -> None:
     """The fuzzer's corpus, without the fuzzer: scripts/fuzz_counts.py."""
-    outcome = fuzzed.one(path.read_bytes())
+    outcome = fuzz_targets.one(path.read_bytes())
     assert outcome == BELIEVED.get(path.name, outcome)
     assert path.name in BELIEVED or outcome.endswith(("Error", "FieldFault"))
 
@@ -588,4 +612,4 @@
     desk.clients[0].cut = True
     with pytest.raises(StateError):
         desk.flush()
-    assert not job.places and desk.total() == 0 and not desk.gate.doubts
+    assert not job.placements and desk.total() == 0 and not desk.gate.uncertain_writes
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -6,10 +6,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from starlingdeck.fairness import minimum_share as floors
-from starlingdeck.fairness.demand_snapshot import Load, Pair, Part, Picture, bounded, total
-from starlingdeck.fairness.fair_share import fair, fill, reckon
-from starlingdeck.fairness.minimum_share import SLACK, Work
+from starlingdeck.fairness import minimum_share
+from starlingdeck.fairness.demand_snapshot import (
+    ClassDemand,
+    DemandSnapshot,
+    ShardDemand,
+    TeamClass,
+    bounded,
+    total,
+)
+from starlingdeck.fairness.fair_share import compute_fair_shares, max_min_shares, water_fill
+from starlingdeck.fairness.minimum_share import SLACK, WorkItem
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import OverloadSettings
 from tests.support.overload_cluster import Events, Flood, array
@@ -19,10 +26,10 @@
 HOUSE = (100.0, 0.0, 400.0)
 
 
-def part_of(shard: int, loads: dict[Pair, float], seq: int = 1, token: int = 1) -> Part:
+def part_of(shard: int, loads: dict[TeamClass, float], seq: int = 1, token: int = 1) -> ShardDemand:
     """A part whose work takes so many cpus, half of it waiting."""
-    sizes = {p: Load((n / 2, 0.0, n), (n / 2, 0.0, n)) for p, n in loads.items()}
-    return Part(shard, token, seq, HOUSE, sizes, pressed=True)
+    sizes = {p: ClassDemand((n / 2, 0.0, n), (n / 2, 0.0, n)) for p, n in loads.items()}
+    return ShardDemand(shard, token, seq, HOUSE, sizes, overloaded=True)
 
 
 PARTS = st.dictionaries(PAIRS, st.floats(0, 1000, allow_nan=False), max_size=6)
@@ -31,7 +38,7 @@
 @given(st.dictionaries(st.integers(0, 9), AMOUNTS, max_size=8), AMOUNTS)
 def test_filling_is_max_min(wanted: dict[int, float], capacity: float) -> None:
     """Against a slow plain model: a level that rises until all is given out."""
-    shares = fill(wanted, capacity)
+    shares = water_fill(wanted, capacity)
     low, high = 0.0, 4.0
     for _ in range(60):
         level = (low + high) / 2
@@ -44,7 +51,7 @@
 
 @given(st.lists(PARTS, min_size=2, max_size=5), st.randoms(use_true_random=False))
 def test_shards_with_any_mixture_of_pictures_promise_no_more_than_there_is(
-    loads: list[dict[Pair, float]], rng: random.Random
+    loads: list[dict[TeamClass, float]], rng: random.Random
 ) -> None:
     """Late and lost messages, and both sides of a cut: each shard reckons from parts of its own
     choice and age, its own among them."""
@@ -56,7 +63,7 @@
             if other != own and rng.random() < 0.7:
                 old = loads[rng.randrange(shards)]
                 seen[other] = part_of(other, old)
-        shares = reckon(seen, shards, 1.0)
+        shares = compute_fair_shares(seen, shards, 1.0)
         in_cpus = sum(shares.split[own].values()) * shares.capacity[0]
         promised += in_cpus
     assert promised <= shards * HOUSE[0] + 1e-6
@@ -64,13 +71,13 @@
 
 @given(st.lists(PARTS, min_size=1, max_size=4), st.floats(0, 1))
 def test_the_same_picture_gives_everybody_the_same_floors(
-    loads: list[dict[Pair, float]], floor: float
+    loads: list[dict[TeamClass, float]], floor: float
 ) -> None:
     parts = [part_of(n, own) for n, own in enumerate(loads)]
-    one = reckon({p.shard: p for p in parts}, len(parts), floor)
-    assert one == reckon({p.shard: p for p in reversed(parts)}, len(parts), floor)
-    assert sum(one.floors.values()) <= floor + 1e-9
-    for pair, due in one.floors.items():
+    one = compute_fair_shares({p.shard: p for p in parts}, len(parts), floor)
+    assert one == compute_fair_shares({p.shard: p for p in reversed(parts)}, len(parts), floor)
+    assert sum(one.minimum_shares.values()) <= floor + 1e-9
+    for pair, due in one.minimum_shares.items():
         assert sum(split.get(pair, 0.0) for split in one.split.values()) <= due + 1e-9
         wanted = sum(own.get(pair, 0.0) for own in loads)
         assert due <= floor * wanted / one.capacity[0] + 1e-9 or one.capacity[2] < wanted * 2
@@ -79,27 +86,27 @@
 def test_made_up_names_of_classes_are_no_claims_against_another_team() -> None:
     honest = {(0, "x"): 1.0}
     hostile = {(1, f"c-{i}"): 1.0 for i in range(1000)}
-    shares = fair(honest | hostile)
+    shares = max_min_shares(honest | hostile)
     assert shares[(0, "x")] == pytest.approx(0.5)
-    loads = {p: Load((n, 0.0, 0.0), (0.0, 0.0, n)) for p, n in (honest | hostile).items()}
+    loads = {p: ClassDemand((n, 0.0, 0.0), (0.0, 0.0, n)) for p, n in (honest | hostile).items()}
     small = bounded(loads)
     assert len(small) <= 34
     assert total(x.running for x in small.values()) == total(x.running for x in loads.values())
 
 
 def test_a_part_is_replaced_by_newer_ones_only_and_forgotten_in_time() -> None:
-    picture = Picture()
-    assert picture.take(part_of(0, {}, seq=5, token=3), 10.0)
-    assert not picture.take(part_of(0, {}, seq=5, token=3), 11.0)  # twice
-    assert not picture.take(part_of(0, {}, seq=4, token=3), 11.0)  # late
-    assert not picture.take(part_of(0, {}, seq=99, token=2), 11.0)  # a former holder's
-    assert picture.take(part_of(0, {}, seq=1, token=4), 12.0)  # its successor's
+    picture = DemandSnapshot()
+    assert picture.update(part_of(0, {}, seq=5, token=3), 10.0)
+    assert not picture.update(part_of(0, {}, seq=5, token=3), 11.0)  # twice
+    assert not picture.update(part_of(0, {}, seq=4, token=3), 11.0)  # late
+    assert not picture.update(part_of(0, {}, seq=99, token=2), 11.0)  # a former holder's
+    assert picture.update(part_of(0, {}, seq=1, token=4), 12.0)  # its successor's
     assert picture.known(31.9, 20.0) and not picture.known(32.1, 20.0)
 
 
 WORKS = st.lists(
     st.builds(
-        Work,
+        WorkItem,
         key=st.integers(0, 99),
         pair=st.sampled_from([(0, "a"), (1, "b")]),
         at_ms=st.integers(0, 9),
@@ -116,11 +123,11 @@
 
 @given(WORKS, st.floats(0, 0.5))
 def test_a_shard_spends_its_own_part_and_no_more_than_a_task_beyond(
-    works: list[Work], due: float
+    works: list[WorkItem], due: float
 ) -> None:
     by_key = {w.key: w for w in works}
-    kept = floors.kept(works, lambda pair: due)
-    first = dict(floors.first(works, lambda pair: due))
+    kept = minimum_share.protected_work(works, lambda pair: due)
+    first = dict(minimum_share.below_share(works, lambda pair: due))
     for pair in {w.pair for w in works}:
         own = [w for w in works if w.pair == pair]
         task = max(w.share for w in own)
@@ -137,13 +144,15 @@
 
 
 def test_late_work_has_a_quarter_and_what_is_kept_stays_so() -> None:
-    fresh = [Work(i, (0, "a"), 100 + i, 0.01, 0, 10) for i in range(4)]
-    late = Work(9, (0, "a"), 1, 0.01, 0, 40, late=True)
-    found = dict(floors.first([*fresh, late], lambda pair: 0.2))
+    fresh = [WorkItem(i, (0, "a"), 100 + i, 0.01, 0, 10) for i in range(4)]
+    late = WorkItem(9, (0, "a"), 1, 0.01, 0, 40, late=True)
+    found = dict(minimum_share.below_share([*fresh, late], lambda pair: 0.2))
     assert found[9] == 5 and sum(found.values()) == 20
-    old = Work(1, (0, "a"), 1, 0.01, 10, 0, kept=10)
-    assert floors.kept([old], lambda pair: 0.08) == {1: 10}  # within half as much again
-    assert floors.kept([old], lambda pair: 0.04) == {1: 6}
+    old = WorkItem(1, (0, "a"), 1, 0.01, 10, 0, kept=10)
+    assert minimum_share.protected_work([old], lambda pair: 0.08) == {
+        1: 10
+    }  # within half as much again
+    assert minimum_share.protected_work([old], lambda pair: 0.04) == {1: 6}
 
 
 # --- several controllers, in simulated time
@@ -167,16 +176,16 @@
 ON = OverloadSettings(patience_s=5.0, floor=0.5)
 
 
-def crash(world: Flood) -> None:
-    world.crash(1)
+def crash(context: Flood) -> None:
+    context.crash(1)
 
 
-def cut(world: Flood) -> None:
-    world.cuts = {(0, 1), (1, 2)}
+def cut(context: Flood) -> None:
+    context.cuts = {(0, 1), (1, 2)}
 
 
-def heal(world: Flood) -> None:
-    world.cuts = set()
+def heal(context: Flood) -> None:
+    context.cuts = set()
 
 
 TROUBLES: dict[str, tuple[Events, float, int]] = {
@@ -193,19 +202,19 @@
     """Without floors low work stood still: the bits of room that came free were too small for it,
     and what ran was stopped for the flood."""
     events, lost, nodes = TROUBLES[trouble]
-    world = Flood(1, flood, ON, nodes=nodes, lost=lost)
-    world.play(100, events)
-    began, all_ = world.served("low", 1000 + 80)
+    context = Flood(1, flood, ON, nodes=nodes, lost=lost)
+    context.play(100, events)
+    began, all_ = context.served("low", 1000 + 80)
     assert began >= 0.5 * all_
-    began, all_ = world.served("high", 1000 + 80)
+    began, all_ = context.served("high", 1000 + 80)
     assert began >= 0.5 * all_
 
 
 def test_what_floors_change_and_what_they_cost() -> None:
     """Paired with the order by rank alone: who starves, what is stopped, and all that is done."""
     plain, fair_ = Flood(1, flood, None), Flood(1, flood, ON)
-    for world in (plain, fair_):
-        world.play(100)
+    for context in (plain, fair_):
+        context.play(100)
     began, all_ = plain.served("low", 1000 + 80)
     assert began < 0.5 * all_
     assert fair_.goodput["low"] > 3 * plain.goodput["low"]
@@ -219,8 +228,8 @@
         return low(second, 5) + (high(second, rng)[:1] if second % 2 else [])
 
     plain, fair_ = Flood(3, quiet, None), Flood(3, quiet, ON)
-    for world in (plain, fair_):
-        world.play(60)
+    for context in (plain, fair_):
+        context.play(60)
     assert plain.started == fair_.started and len(plain.started) > 30
 
 
@@ -228,23 +237,27 @@
     def burst(second: int, rng: random.Random) -> list[api.JobSpec]:
         return flood(second, rng) if second < 40 else []
 
-    world = Flood(2, burst, ON)
+    context = Flood(2, burst, ON)
     seen: list[bool] = []
 
     def agree(now: Flood) -> None:
         shares = [n.overload.shares for n in now.nodes if n.overload is not None]
-        by_marks = {s.marks: s for s in shares}
-        seen.append(all(by_marks[s.marks] == s for s in shares))
+        by_marks = {s.signals: s for s in shares}
+        seen.append(all(by_marks[s.signals] == s for s in shares))
         assert all(s.overload for s in shares)
 
     def over(now: Flood) -> None:
         for node in now.nodes:
             assert node.overload is not None and not node.overload.shares.overload
-            places = [p for w in node.writers.values() for j in w.shard.jobs.values()
-                      for p in j.places.values()]  # fmt: skip
-            assert not any(p.kept for p in places)
-
-    world.play(140, {30.0: agree, 38.0: agree, 139.0: over})
+            placements = [
+                placement
+                for writer in node.writers.values()
+                for job in writer.shard.jobs.values()
+                for placement in job.placements.values()
+            ]
+            assert not any(placement.protected for placement in placements)
+
+    context.play(140, {30.0: agree, 38.0: agree, 139.0: over})
     assert seen == [True, True]
 
 
@@ -252,10 +265,10 @@
     def huge(second: int, rng: random.Random) -> list[api.JobSpec]:
         return high(second, rng) + (low(0, tasks=300) if second == 10 else [])
 
-    world = Flood(4, huge, ON)
-    world.play(100)
+    context = Flood(4, huge, ON)
+    context.play(100)
     # 90 s of a floor of a quarter of 112 cpus, or a third at most, less 10 s until it is seen.
-    assert world.goodput["low"] > 0.5 * 80 * 112 / 4
+    assert context.goodput["low"] > 0.5 * 80 * 112 / 4
 
 
 def test_a_flood_of_one_class_leaves_other_teams_and_later_classes_theirs() -> None:
@@ -265,7 +278,7 @@
         late = [array(second * 10 + 7, "svc", "urgent", "blue", 2, 4.0, 10.0)]
         return high(second, rng) + (late if second >= 40 and second % 4 == 0 else [])
 
-    world = Flood(5, both, ON)
-    world.play(100)
-    began, all_ = world.served("svc", 1000 + 85)
+    context = Flood(5, both, ON)
+    context.play(100)
+    began, all_ = context.served("svc", 1000 + 85)
     assert began >= 0.8 * all_
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -6,23 +6,23 @@
 import curio
 import msgspec
 
-from starlingdeck.cluster.membership import Holder
-from starlingdeck.cluster.peers import pack
-from starlingdeck.cluster.sharding import job_shard
-from starlingdeck.controller.controller import DELETED_TOLD_S, SPARE_CONNECTIONS, Node
+from starlingdeck.cluster.membership import ShardOwner
+from starlingdeck.cluster.peers import encode_batch
+from starlingdeck.cluster.sharding import shard_of_job
+from starlingdeck.controller.controller import DELETED_ANNOUNCE_S, RESERVED_CONNECTIONS, Controller
 from starlingdeck.interning import split_key
-from starlingdeck.jobs.job import Place, new_job
+from starlingdeck.jobs.job import TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
-from starlingdeck.machines.shard_snapshot import Sight, follow
+from starlingdeck.machines.shard_snapshot import ShardSnapshot, apply_snapshot_message
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.quarantine import Quarantine
 from starlingdeck.scheduling.scheduler import guaranteed_jobs
-from starlingdeck.storage.limiter import Limiter
-from starlingdeck.sync.state_sync import DETOUR_AFTER_S, DETOUR_EVERY_S
-from starlingdeck.transport.client import NotSent, Reply
+from starlingdeck.storage.limiter import TokenBucket
+from starlingdeck.sync.state_sync import RELAY_AFTER_S, RELAY_INTERVAL_S
+from starlingdeck.transport.client import ConnectionFailedError, Reply
 from tests.support.builders import Clock, make_world, spec
 from tests.support.reference_model import PlainClient, PlainState, at_once
 
@@ -41,7 +41,7 @@
 def job_ids(many: int, shard: int) -> list[str]:
     """So many jobs of one shard."""
     names = (f"j-{number:06d}" for number in itertools.count())
-    return list(itertools.islice((n for n in names if job_shard(n, 3) == shard), many))
+    return list(itertools.islice((n for n in names if shard_of_job(n, 3) == shard), many))
 
 
 def whole_fleet(
@@ -63,37 +63,37 @@
             5,
             tasks=[api.ReportTask(f"{ids[job]}/{task}", 1, "running") for job, task in names],
         )
-        taken = machines.take_report(report, True)
+        taken = machines.apply_report(report, True)
         taken.images = dict.fromkeys(rng.sample(images, IMAGES), 0.0)
     fill(machines, jobs, ids)
 
 
 def fill(machines: MachineShard, jobs: JobShard, ids: list[str]) -> None:
     """The records of all tasks that the machines run."""
-    world = machines.world
+    context = machines.context
     for job in ids:
-        jobs.adopt(new_job(world, spec(job, chores=JOB_TASKS), jobs.shard, 0))
+        jobs.adopt(new_job(context, spec(job, chores=JOB_TASKS), jobs.shard, 0))
     for machine in machines.machines.values():
         for key in machine.tasks:
             index, task = split_key(key)
-            place = Place(machine.index, machine.session, 1, machines.shard, 0)
-            jobs.jobs[index].places[task] = place
+            placement = TaskPlacement(machine.index, machine.session, 1, machines.shard, 0)
+            jobs.jobs[index].placements[task] = placement
 
 
 class BudgetClient(PlainClient):
     """A state service of which changes are taken at a controller's share of its rate. A
     controller's step follows each transaction, and what it begins is written beside."""
 
-    def __init__(self, node: Node, clock: Clock, rate: float) -> None:
+    def __init__(self, node: Controller, clock: Clock, rate: float) -> None:
         super().__init__(PlainState(random.Random(1)), 0.0)
         self.node, self.clock = node, clock
-        self.limiter = Limiter(rate, 1.0, clock.now)
+        self.limiter = TokenBucket(rate, 1.0, clock.now)
         self.limiter.level = 0.0
         self.until = 0.0
         self.sent: list[api.Change] = []
         self.begun: list[curio.Task] = []
 
-    async def txn(
+    async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
         while (wait_s := self.limiter.delay(len(changes), urgent)) > 0:
@@ -107,28 +107,28 @@
     async def step(self) -> None:
         if self.clock.at >= self.until:
             return
-        for node, text in self.node.exchange.detour(self.clock.at, pb.Hello):
-            task = await curio.spawn(self.node.exchange.put_detour, node, text)
+        for node, text in self.node.state_sync.relay_messages(self.clock.at, pb.Gossip):
+            task = await curio.spawn(self.node.state_sync.write_relay, node, text)
             self.begun.append(task)
 
 
-def cut_off(clock: Clock, peers: list[int]) -> Node:
+def cut_off(clock: Clock, peers: list[int]) -> Controller:
     """A controller that holds its lease and can't reach some peers, which live."""
-    world = make_world(clock)
-    node = Node(world)
-    node.membership.valid = lambda: True  # type: ignore[method-assign]
-    node.peers.started = clock.at - DETOUR_AFTER_S
-    node.membership.living = dict.fromkeys(peers, clock.at)
-    for shard in range(world.shards):
-        node.membership.holders[shard] = Holder(peers[0] if shard == 2 else 0, 5, 77)
+    context = make_world(clock)
+    node = Controller(context)
+    node.membership.lease_is_valid = lambda: True  # type: ignore[method-assign]
+    node.peers.started = clock.at - RELAY_AFTER_S
+    node.membership.live_nodes = dict.fromkeys(peers, clock.at)
+    for shard in range(context.shard_count):
+        node.membership.owners[shard] = ShardOwner(peers[0] if shard == 2 else 0, 5, 77)
     return node
 
 
-def play_detour(node: Node, clock: Clock, seconds: float, rate: float) -> BudgetClient:
+def play_detour(node: Controller, clock: Clock, seconds: float, rate: float) -> BudgetClient:
     """Texts are begun for so long; only what is written by then counts."""
     client = BudgetClient(node, clock, rate)
     client.until = clock.at + seconds
-    node.exchange.state = client  # type: ignore[assignment]
+    node.state_sync.state = client  # type: ignore[assignment]
 
     async def write() -> None:
         await client.step()
@@ -139,23 +139,23 @@
     return client
 
 
-def seconds_of(node: Node, envelope: pb.Envelope, rate: float) -> float:
+def seconds_of(node: Controller, envelope: pb.Envelope, rate: float) -> float:
     """How long it takes to write a message's text at so many changes a second."""
-    part = node.world.settings.settings.state.value_kb * 1000 - 200
-    return len(pack([envelope])) / part / rate
+    part = node.context.settings.settings.state.value_kb * 1000 - 200
+    return len(encode_batch([envelope])) / part / rate
 
 
 def delivered(client: BudgetClient, to: int) -> list[pb.Envelope]:
     """What a peer takes of it."""
     got: list[pb.Envelope] = []
-    receiver = Node(make_world(Clock(), node=to))
+    receiver = Controller(make_world(Clock(), node=to))
 
     async def take(envelope: pb.Envelope) -> None:
         got.append(envelope)
 
     for change in client.sent:
         value = msgspec.Raw(msgspec.json.encode(change.value))
-        at_once(receiver.exchange.take_detour(change.put or "", value, take))
+        at_once(receiver.state_sync.receive_relay(change.put or "", value, take))
     return got
 
 
@@ -164,12 +164,15 @@
     none ever arrived. Half of the share goes to starts and ends."""
     clock = Clock()
     node = cut_off(clock, [2])
-    machines = MachineShard(node.world, 1, 5, 77, 0.0)
-    whole_fleet(machines, JobShard(node.world, 0, 3, 9), random.Random(1))
+    machines = MachineShard(node.context, 1, 5, 77, 0.0)
+    whole_fleet(machines, JobShard(node.context, 0, 3, 9), random.Random(1))
     node.machines[1] = machines
-    assert seconds_of(node, pb.Envelope(view=machines.whole_view(True)), SHARE / 2) > DETOUR_EVERY_S
-    client = play_detour(node, clock, 3 * DETOUR_EVERY_S, SHARE / 2)
-    views = [e.view for e in delivered(client, 2) if e.WhichOneof("body") == "view"]
+    assert (
+        seconds_of(node, pb.Envelope(snapshot=machines.full_snapshot(True)), SHARE / 2)
+        > RELAY_INTERVAL_S
+    )
+    client = play_detour(node, clock, 3 * RELAY_INTERVAL_S, SHARE / 2)
+    views = [e.snapshot for e in delivered(client, 2) if e.WhichOneof("body") == "snapshot"]
     assert views and len(views[0].machines) == MACHINES
     assert len(views[0].machines[0].tasks) == TASKS
 
@@ -178,16 +181,21 @@
     """One controller holds all jobs, the other all machines: too long for 2 s of a whole share."""
     clock = Clock()
     node = cut_off(clock, [2])
-    machines = MachineShard(node.world, 1, 5, 77, 0.0)
-    jobs = JobShard(node.world, 0, 3, 9)
+    machines = MachineShard(node.context, 1, 5, 77, 0.0)
+    jobs = JobShard(node.context, 0, 3, 9)
     whole_fleet(machines, jobs, random.Random(1))
-    assert seconds_of(node, pb.Envelope(wants=jobs.wants(1, 77)), SHARE) > DETOUR_EVERY_S
+    assert (
+        seconds_of(node, pb.Envelope(desired_state=jobs.desired_state_message(1, 77)), SHARE)
+        > RELAY_INTERVAL_S
+    )
     jobs.loaded = True
-    node.membership.holders[1] = Holder(2, 5, 77)
-    node.writers[0] = Writer(node.world, node.state, jobs, None)
-    client = play_detour(node, clock, 3 * DETOUR_EVERY_S, SHARE)
-    wants = [e.wants for e in delivered(client, 2) if e.WhichOneof("body") == "wants"]
-    assert MACHINES * TASKS in [len(w.items) for w in wants]
+    node.membership.owners[1] = ShardOwner(2, 5, 77)
+    node.writers[0] = RecordWriter(node.context, node.state, jobs, None)
+    client = play_detour(node, clock, 3 * RELAY_INTERVAL_S, SHARE)
+    wants = [
+        e.desired_state for e in delivered(client, 2) if e.WhichOneof("body") == "desired_state"
+    ]
+    assert MACHINES * TASKS in [len(w.tasks) for w in wants]
 
 
 def test_texts_to_two_peers_do_not_end_each_other() -> None:
@@ -195,60 +203,62 @@
     clock = Clock()
     node = cut_off(clock, [1, 2])
     noise = random.Random(5).randbytes(200_000).hex()[:120_000]
-    node.machines[0] = machines = MachineShard(node.world, 0, 5, 77, 0.0)
-    machines.whole_view = lambda valid: pb.View(shard=0, dead=[noise])  # type: ignore[method-assign]
-    client = play_detour(node, clock, DETOUR_EVERY_S, SHARE)
+    node.machines[0] = machines = MachineShard(node.context, 0, 5, 77, 0.0)
+    machines.full_snapshot = lambda valid: pb.Snapshot(shard=0, lost_machines=[noise])  # type: ignore[method-assign]
+    client = play_detour(node, clock, RELAY_INTERVAL_S, SHARE)
     for peer in (1, 2):
-        assert [e.view.dead[0] for e in delivered(client, peer)[1:]] == [noise]
+        assert [e.snapshot.lost_machines[0] for e in delivered(client, peer)[1:]] == [noise]
 
 
 def test_after_a_failed_text_the_next_begins() -> None:
     clock = Clock()
     node = cut_off(clock, [2])
-    node.machines[0] = MachineShard(node.world, 0, 5, 77, 0.0)
+    node.machines[0] = MachineShard(node.context, 0, 5, 77, 0.0)
     client = PlainClient(PlainState(random.Random(1)), 0.0)
     client.cut = True
-    node.exchange.state = client  # type: ignore[assignment]
+    node.state_sync.state = client  # type: ignore[assignment]
     for _ in range(3):
-        ((to, text),) = node.exchange.detour(clock.at, pb.Hello)
-        clock.at += DETOUR_EVERY_S
-        assert not node.exchange.detour(clock.at, pb.Hello)  # it is being written
-        curio.run(node.exchange.put_detour, to, text)
+        ((to, text),) = node.state_sync.relay_messages(clock.at, pb.Gossip)
+        clock.at += RELAY_INTERVAL_S
+        assert not node.state_sync.relay_messages(clock.at, pb.Gossip)  # it is being written
+        curio.run(node.state_sync.write_relay, to, text)
 
 
 def test_what_a_controller_tells_of_the_whole_fleet() -> None:
     """The sizes in docs/operations.md, "Reach of each fixed limit"."""
-    world = make_world(Clock())
-    machines = MachineShard(world, 1, 5, 77, 0.0)
-    jobs = JobShard(world, 0, 3, 9)
+    context = make_world(Clock())
+    machines = MachineShard(context, 1, 5, 77, 0.0)
+    jobs = JobShard(context, 0, 3, 9)
     whole_fleet(machines, jobs, random.Random(1))
-    view = pb.Envelope(view=machines.whole_view(True))
-    wants = pb.Envelope(wants=jobs.wants(1, 77))
-    hello = pb.Envelope(hello=pb.Hello(deleted=[m.name for m in machines.machines.values()]))
-    assert len(wants.wants.items) == MACHINES * TASKS
-    sizes = [len(e.SerializeToString()) for e in (view, wants, hello)]
-    texts = [len(pack([e])) for e in (view, wants, hello)]
-    for size, most in zip(sizes, (5_700_000, 3_800_000, 53_000), strict=True):
-        assert 0.9 * most < size <= most
-    for size, most in zip(texts, (1_400_000, 2_450_000, 31_000), strict=True):
-        assert 0.9 * most < size <= most
+    view = pb.Envelope(snapshot=machines.full_snapshot(True))
+    wants = pb.Envelope(desired_state=jobs.desired_state_message(1, 77))
+    gossip = pb.Envelope(
+        gossip=pb.Gossip(deleted_machines=[machine.name for machine in machines.machines.values()])
+    )
+    assert len(wants.desired_state.tasks) == MACHINES * TASKS
+    sizes = [len(e.SerializeToString()) for e in (view, wants, gossip)]
+    texts = [len(encode_batch([e])) for e in (view, wants, gossip)]
+    for size, limit in zip(sizes, (5_700_000, 3_800_000, 53_000), strict=True):
+        assert 0.9 * limit < size <= limit
+    for size, limit in zip(texts, (1_400_000, 2_450_000, 31_000), strict=True):
+        assert 0.9 * limit < size <= limit
 
 
 class Workers:
     """What answers calls at the workers' addresses, over no more connections than are allowed."""
 
-    def __init__(self, machines: MachineShard, most: int) -> None:
+    def __init__(self, machines: MachineShard, limit: int) -> None:
         self.machines = machines
-        self.most = most
+        self.most = limit
         self.open = self.peak = 0
         self.called: set[str] = set()
-        self.index = {m.address: i for i, m in machines.machines.items()}
+        self.index = {machine.address: i for i, machine in machines.machines.items()}
 
     async def call(
         self, address: str, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> Reply:
         if self.open >= self.most:
-            raise NotSent("too many open connections")
+            raise ConnectionFailedError("too many open connections")
         self.open += 1
         self.peak = max(self.peak, self.open)
         await curio.sleep(0.001)
@@ -261,18 +271,20 @@
         return Reply(200, msgspec.json.encode(report), None)
 
 
-def fleet_to_call(stopping: bool) -> tuple[Node, MachineShard, Workers]:
+def fleet_to_call(stopping: bool) -> tuple[Controller, MachineShard, Workers]:
     """A controller that holds all machines, of which each runs a task; all are to stop, or none."""
-    node = Node(make_world(Clock()))
-    machines = MachineShard(node.world, 1, 5, 77, 0.0)
-    jobs = JobShard(node.world, 0, 3, 9)
+    node = Controller(make_world(Clock()))
+    machines = MachineShard(node.context, 1, 5, 77, 0.0)
+    jobs = JobShard(node.context, 0, 3, 9)
     whole_fleet(machines, jobs, random.Random(1), 1)
-    wants = jobs.wants(1, 77)
-    for item in wants.items:
+    message = jobs.desired_state_message(1, 77)
+    for item in message.tasks:
         item.stop = stopping
-    machines.apply_wants(wants)
+    machines.apply_desired_state(message)
     for machine in machines.machines.values():
-        machine.back = None  # it hears us: it is called whenever there is something to do
+        machine.unconfirmed_since = (
+            None  # it hears us: it is called whenever there is something to do
+        )
     node.machines[1] = machines
     workers = Workers(machines, node.http.max_open)
     node.http.call = workers.call  # type: ignore[method-assign]
@@ -293,39 +305,39 @@
 
     curio.run(call_all)
     assert len(workers.called) == MACHINES
-    assert not any(m.unheard_do for m in machines.machines.values())
-    assert workers.peak <= workers.most - SPARE_CONNECTIONS
+    assert not any(machine.unanswered_commands for machine in machines.machines.values())
+    assert workers.peak <= workers.most - RESERVED_CONNECTIONS
 
 
 def test_a_token_is_shown_to_every_machine_of_a_shard_taken_over() -> None:
     """All were called at once: those beyond the connections allowed were not called at all."""
     node, machines, workers = fleet_to_call(stopping=False)
-    sights: dict[int, Sight] = {}
-    follow(node.world, sights, machines.whole_view(True))
+    snapshots: dict[int, ShardSnapshot] = {}
+    apply_snapshot_message(node.context, snapshots, machines.full_snapshot(True))
 
     async def raise_all() -> None:
-        await node._raise_at_workers(machines, sights[1])
+        await node._announce_token_to_workers(machines, snapshots[1])
         for _ in range(100):
             await curio.sleep(0.005)
             if len(workers.called) == MACHINES:
                 return
 
     curio.run(raise_all)
-    assert len(workers.called) == MACHINES and workers.peak <= node.most_calls
+    assert len(workers.called) == MACHINES and workers.peak <= node.max_worker_calls
 
 
 def test_a_backlog_of_thousands_of_jobs_hides_no_guaranteed_work() -> None:
     """The 500 oldest jobs were told, whatever their teams: behind a backlog of a team without a
     guarantee, another's work passed for beyond its own."""
-    node = Node(make_world(Clock()))
-    jobs = JobShard(node.world, 0, 3, 9)
+    node = Controller(make_world(Clock()))
+    jobs = JobShard(node.context, 0, 3, 9)
     for number in range(MACHINES):
         crew = "blue" if number == MACHINES - 1 else "red"
-        jobs.adopt(new_job(node.world, spec(f"j-{number:06d}", crew=crew), 0, number))
-    node.writers[0] = Writer(node.world, node.state, jobs, None)
+        jobs.adopt(new_job(node.context, spec(f"j-{number:06d}", crew=crew), 0, number))
+    node.writers[0] = RecordWriter(node.context, node.state, jobs, None)
     told = node.planner.own_team_jobs()
     assert [job.id for job in told] == [f"j-{MACHINES - 1:06d}"]
-    assert guaranteed_jobs(node.world, told) == {told[0].id}
+    assert guaranteed_jobs(node.context, told) == {told[0].id}
 
 
 def test_a_fault_of_every_machine_sets_each_aside() -> None:
@@ -333,26 +345,26 @@
     quarantine = Quarantine()
     for _ in range(2):
         for number in range(MACHINES):
-            quarantine.put("machine", f"vm-{number}", ValueError("x"), 0.0)
-    assert all(quarantine.rests("machine", f"vm-{n}", 1.0) for n in range(MACHINES))
+            quarantine.add("machine", f"vm-{number}", ValueError("x"), 0.0)
+    assert all(quarantine.is_quarantined("machine", f"vm-{n}", 1.0) for n in range(MACHINES))
 
 
 def test_deleted_machines_are_told_for_a_while_only() -> None:
     """A controller that had forgotten one heard of it once more from another that had not: while
     machines were deleted, all that ever were stayed in each greeting."""
     clock = Clock()
-    nodes = [Node(make_world(clock, node=number)) for number in range(3)]
+    nodes = [Controller(make_world(clock, node=number)) for number in range(3)]
     told = []
     for second in range(MACHINES // 10):
         if second < MACHINES // 20:
-            nodes[0].note_deleted([f"vm-{second}-{i}" for i in range(20)])
+            nodes[0].record_deleted([f"vm-{second}-{i}" for i in range(20)])
         for sender in (1, 2, 0):  # who deletes tells it after the others have told theirs
             clock.at += 0.3
-            hello = nodes[sender].hello()
-            told.append(len(hello.deleted))
+            gossip = nodes[sender].build_gossip()
+            told.append(len(gossip.deleted_machines))
             for other in nodes:
-                curio.run(other.on_hello, sender, hello)
+                curio.run(other.on_gossip, sender, gossip)
         clock.at += 0.1
-    assert max(told) <= 20 * (DELETED_TOLD_S + 2)
+    assert max(told) <= 20 * (DELETED_ANNOUNCE_S + 2)
     assert told[-3:] == [0, 0, 0]  # the last one was deleted 200 s ago
-    assert f"vm-{MACHINES // 20 - 1}-0" in nodes[2].deleted
+    assert f"vm-{MACHINES // 20 - 1}-0" in nodes[2].deleted_machines
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -23,12 +23,10 @@
 from google.protobuf.unknown_fields import UnknownFieldSet
 
 from starlingdeck.admission import quota
-from starlingdeck.counts import http_api as door
-from starlingdeck.counts import ledger
+from starlingdeck.counts import http_api, ledger
 from starlingdeck.jobs.commit_log import CommitLog
 from starlingdeck.jobs.job import encode_chunk, load_job
-from starlingdeck.protocol import api, peer_pb2
-from starlingdeck.protocol import config as settings
+from starlingdeck.protocol import api, config, peer_pb2
 from starlingdeck.storage import commit_log, records
 from tests.support.builders import Clock, make_world
 
@@ -51,9 +49,9 @@
     "user_job": api.JobSpec,
     "user_status": api.JobStatus,
     "user_error": api.ErrorBody,
-    "operator_set_count": door.SetCount,
-    "operator_count": door.CountInfo,
-    "operator_counts": dict[str, list[door.CountInfo]],
+    "operator_set_count": http_api.SetCount,
+    "operator_count": http_api.CountInfo,
+    "operator_counts": dict[str, list[http_api.CountInfo]],
     "operator_history": dict[str, list[ledger.Change]],
     "worker_report": api.Report,
     "worker_order": api.Command,
@@ -66,14 +64,14 @@
     "cloud_machines": api.MachineList,
     "state_service_entries": api.Entries,
     "state_service_change": api.Change,
-    "state_service_transaction": api.Txn,
-    "state_service_done": api.TxnDone,
-    "state_service_failed": api.TxnFailed,
-    "state_service_lease": api.LeaseAsk,
+    "state_service_transaction": api.Transaction,
+    "state_service_done": api.TransactionResult,
+    "state_service_failed": api.TransactionConflict,
+    "state_service_lease": api.LeaseRequest,
     "state_service_lease_grant": api.LeaseGrant,
     "state_service_events": api.Events,
-    "settings": settings.Settings,
-    "tuning": settings.Tuning,
+    "settings": config.Settings,
+    "tuning": config.Tuning,
 }
 OLDER: dict[str, Any] = {
     **{
@@ -102,13 +100,13 @@
 FUNCTIONS: dict[str, Callable[..., Any]] = {
     "node": records.node_key,
     "shard": records.shard_key,
-    "takeover": records.hold_key,
+    "takeover": records.takeover_key,
     "job": records.job_key,
     "job_prefix": records.job_prefix,
     "chunk_prefix": records.chunk_prefix,
     "chunk": records.chunk_key,
     "final": records.final_key,
-    "note": records.inbox_key,
+    "note": records.mailbox_key,
     "relay_part": records.relay_key,
     "quota_split": records.quota_key,
     "count": records.count_key,
@@ -127,13 +125,13 @@
     "cluster_prefix": records.CLUSTER,
     "node_prefix": records.NODES,
     "shard_prefix": records.SHARDS,
-    "takeover_prefix": records.HOLDS,
-    "note_prefix": records.INBOX,
+    "takeover_prefix": records.TAKEOVERS,
+    "note_prefix": records.MAILBOX,
     "relay_prefix": records.RELAY,
     "quota_prefix": records.QUOTA,
     "count_prefix": records.COUNTS,
     "machine_types_key": records.TYPES,
-    "tasks_of_a_chunk": records.CHUNK,
+    "tasks_of_a_chunk": records.TASKS_PER_CHUNK,
     "log_form": commit_log.FORM,
     "log_start": records.LOG_START,
     "path_jobs": api.JOBS,
@@ -142,7 +140,7 @@
     "path_report": api.REPORT,
     "path_orders": api.COMMANDS,
     "path_counts": api.COUNTS,
-    "path_count_history": door.HISTORY,
+    "path_count_history": http_api.HISTORY,
     "path_worker_status": api.WORKER_STATUS,
     "path_machine_types": api.MACHINE_TYPES,
     "path_machines": api.MACHINES,
@@ -154,40 +152,40 @@
     "path_watch": api.WATCH,
     "shapes": [api.ARRAY, api.SERVICE],
     "ranks": api.RANKS,
-    "verbs": [api.START, api.STOP, api.FORGET],
+    "verbs": [api.START, api.STOP, api.REAP],
     "job_states": [api.QUEUED, api.RUNNING, api.DONE, api.CANCELLED],
     "machine_states": [api.BOOTING, api.FAILED],
     "task_states": api.STATE_CODES,
-    "task_causes": api.WHY_CODES,
-    "cause_names": api.WHY_NAMES,
+    "task_causes": api.CAUSE_CODES,
+    "cause_names": api.CAUSE_NAMES,
 }
 PEER_MESSAGES: dict[str, type[Message]] = {
     "envelope": peer_pb2.Envelope,
-    "nothing": peer_pb2.Nothing,
-    "again": peer_pb2.Again,
-    "hello": peer_pb2.Hello,
-    "shard_part": peer_pb2.ShardPart,
-    "pair_load": peer_pb2.PairLoad,
-    "count_wait": peer_pb2.CountWait,
-    "count_use": peer_pb2.CountUse,
+    "nothing": peer_pb2.Empty,
+    "again": peer_pb2.ResyncRequest,
+    "hello": peer_pb2.Gossip,
+    "shard_part": peer_pb2.ShardDemand,
+    "pair_load": peer_pb2.ClassDemand,
+    "count_wait": peer_pb2.ResourceWaiter,
+    "count_use": peer_pb2.ResourceUse,
     "team_job": peer_pb2.TeamJob,
-    "holding": peer_pb2.Holding,
+    "holding": peer_pb2.Ownership,
     "demand": peer_pb2.Demand,
     "quota_need": peer_pb2.QuotaNeed,
     "job": peer_pb2.Job,
-    "wants": peer_pb2.Wants,
-    "unwant": peer_pb2.Unwant,
-    "want": peer_pb2.Want,
-    "view": peer_pb2.View,
+    "wants": peer_pb2.DesiredState,
+    "unwant": peer_pb2.RemovedTask,
+    "want": peer_pb2.DesiredTask,
+    "view": peer_pb2.Snapshot,
     "ack": peer_pb2.Ack,
-    "machine": peer_pb2.Machine,
-    "seen": peer_pb2.Seen,
-    "reserve": peer_pb2.Reserve,
-    "spot": peer_pb2.Spot,
-    "reserved": peer_pb2.Reserved,
-    "given": peer_pb2.Given,
-    "forward": peer_pb2.Forward,
-    "forwarded": peer_pb2.Forwarded,
+    "machine": peer_pb2.MachineState,
+    "seen": peer_pb2.ObservedTask,
+    "reserve": peer_pb2.ReserveRequest,
+    "spot": peer_pb2.RequestedTask,
+    "reserved": peer_pb2.ReserveReply,
+    "given": peer_pb2.GrantedTask,
+    "forward": peer_pb2.ForwardRequest,
+    "forwarded": peer_pb2.ForwardReply,
 }
 
 GOLDEN = Path(__file__).resolve().parent / "golden"
@@ -318,19 +316,19 @@
 
 @pytest.mark.parametrize("name", sorted(names_in("tuning", ".toml")))
 def test_tuning_file_loaded_gives_the_same_settings(name: str) -> None:
-    loaded = settings.load_tuning(GOLDEN / "tuning" / f"{name}.toml")
+    loaded = config.load_tuning(GOLDEN / "tuning" / f"{name}.toml")
     expected = (GOLDEN / "tuning" / f"{name}.json").read_bytes()
     assert msgspec.json.encode(loaded) + b"\n" == expected
 
 
 @pytest.mark.parametrize("name", ["counts.toml", "group-commit.toml", "overload.toml"])
 def test_deployed_tuning_file_loads_without_fault(name: str) -> None:
-    assert settings.load_tuning(DEPLOY / name) != settings.Tuning()
+    assert config.load_tuning(DEPLOY / name) != config.Tuning()
 
 
 def test_settings_file_loaded_is_the_same_bytes() -> None:
     path = GOLDEN / "messages" / "settings.jsonl"
-    assert lines_of(path) == [msgspec.json.encode(settings.load_settings(path))]
+    assert lines_of(path) == [msgspec.json.encode(config.load_settings(path))]
 
 
 # --- the commit log
@@ -456,10 +454,10 @@
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_job_loaded_from_its_record_is_stored_as_the_same_chunks(name: str) -> None:
-    stored, world = LOG.jobs[name], make_world(Clock())
-    job = load_job(world, SHARD, stored.record, stored.chunks)
+    stored, context = LOG.jobs[name], make_world(Clock())
+    job = load_job(context, SHARD, stored.record, stored.chunks)
     for number, chunk in stored.all_chunks.items():
-        assert encode_chunk(world, job, number, {}, {}, chunk.upto) == chunk
+        assert encode_chunk(context, job, number, {}, {}, chunk.upto) == chunk
 
 
 # --- messages between controllers
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from starlingdeck.api.job_api import Users
-from starlingdeck.jobs import commit_log as ring_module
+from starlingdeck.api.job_api import JobApi
+from starlingdeck.jobs import commit_log
 from starlingdeck.storage.commit_log import LOG
-from tests.support import builders as build
+from tests.support import builders
 from tests.support.reference_model import Broken, Model
 from tests.support.simulated_cluster import Deck, play
 from tests.test_concurrent_failures import (
@@ -25,15 +25,15 @@
 
 @pytest.fixture(autouse=True)
 def logged(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(build, "tuning", build.LOGGED)
+    monkeypatch.setattr(builders, "tuning", builders.LOGGED)
 
 
 def small_ring(monkeypatch: Patch) -> None:
     """So that slots are used again, and records rewritten for it, within a short play."""
-    monkeypatch.setattr(ring_module, "SLOTS", 8)
-    monkeypatch.setattr(ring_module, "CHECKPOINT_AT", 3)
-    monkeypatch.setattr(ring_module, "RESERVED", 2)
-    monkeypatch.setattr(ring_module, "SEGMENT_BYTES", 200)
+    monkeypatch.setattr(commit_log, "MAX_SLOTS", 8)
+    monkeypatch.setattr(commit_log, "CHECKPOINT_AT", 3)
+    monkeypatch.setattr(commit_log, "RESERVED", 2)
+    monkeypatch.setattr(commit_log, "SEGMENT_BYTES", 200)
 
 
 @pytest.mark.parametrize("first", [100, 110])
@@ -88,7 +88,7 @@
         start_trouble(deck, "apart", 0)
         await ask_all(deck, name)
         with monkeypatch.context() as patch:
-            patch.setattr(Users, "_logged", nothing)
+            patch.setattr(JobApi, "_log_changes", nothing)
             with pytest.raises(Broken, match="went_back"):
                 await ask_all(deck, name)
         deck.calm()
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -5,16 +5,16 @@
 import msgspec
 import pytest
 
-from starlingdeck.api import job_api as users
+from starlingdeck.api import job_api
 from starlingdeck.cluster import peers
-from starlingdeck.jobs.job import PLACED, Place, encode_chunk, load_job, new_job
+from starlingdeck.jobs.job import PLACED, TaskPlacement, encode_chunk, load_job, new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.metrics.latency import Meters
+from starlingdeck.metrics.latency import LatencyHistograms
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.protocol.config import Fault, load_settings, load_tuning
-from starlingdeck.storage.limiter import Limiter
-from starlingdeck.storage.records import CHUNK, JobRecord
+from starlingdeck.protocol.config import ConfigError, load_settings, load_tuning
+from starlingdeck.storage.limiter import TokenBucket
+from starlingdeck.storage.records import TASKS_PER_CHUNK, JobRecord
 from tests.support.builders import Clock, job_body, make_world, settings_dict, spec
 
 
@@ -36,13 +36,13 @@
     ],
 )
 def test_a_bad_field_is_named(change: dict[str, Any], names: str) -> None:
-    with pytest.raises(api.FieldFault, match=names):
+    with pytest.raises(api.ValidationError, match=names):
         api.decode_job(msgspec.json.encode(job_body(**change)))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b'{"cores":NaN}', b"\xff\xfe"])
 def test_what_is_no_object_is_refused(body: bytes) -> None:
-    with pytest.raises(api.FieldFault):
+    with pytest.raises(api.ValidationError):
         api.decode_job(body)
 
 
@@ -52,7 +52,7 @@
         del body[name]
     assert api.decode_job(msgspec.json.encode(body)).types is None
     del body["cores"]
-    with pytest.raises(api.FieldFault, match="cores"):
+    with pytest.raises(api.ValidationError, match="cores"):
         api.decode_job(msgspec.json.encode(body))
 
 
@@ -70,7 +70,7 @@
     ],
 )
 def test_what_can_never_run(change: dict[str, Any], says: str) -> None:
-    reason = users.never(make_world(Clock()), spec(**change))
+    reason = job_api.infeasibility_reason(make_world(Clock()), spec(**change))
     assert says in reason and bool(says) == bool(reason)
 
 
@@ -83,19 +83,19 @@
     raw["public_addr"] = "nowhere"
     raw["external"]["cloud"] = "x:99999"
     path.write_bytes(msgspec.json.encode(raw))
-    with pytest.raises(Fault) as caught:
+    with pytest.raises(ConfigError) as caught:
         load_settings(path)
     assert len(caught.value.lines) == 2
     tuning = tmp_path / "t.toml"
     tuning.write_text("moves_per_s = -3.0\nidel_s = 5.0\nidle_s = 60\n")
-    with pytest.raises(Fault) as caught:
+    with pytest.raises(ConfigError) as caught:
         load_tuning(tuning)
     assert ["moves_per_s" in caught.value.lines[0], "idel_s" in caught.value.lines[1]] == [True] * 2
     raw = settings_dict()
     raw["settings"]["state"]["rps"] = "many"
     del raw["external"]["state"], raw["zone"]
     path.write_bytes(msgspec.json.encode(raw))
-    with pytest.raises(Fault) as caught:
+    with pytest.raises(ConfigError) as caught:
         load_settings(path)
     named = ("zone: missing", "external.state: missing", "settings.state.rps: Expected")
     assert all(any(n in line for line in caught.value.lines) for n in named)
@@ -103,67 +103,78 @@
 
 
 def test_a_record_comes_back_as_it_was_written() -> None:
-    world = make_world(Clock())
-    job = new_job(world, spec(chores=CHUNK + 10), 1, 5)
-    places = {
-        t: Place(world.machines.put(f"vm-{t}"), 3, 2, 1, world.zones.put("b"))
-        for t in (0, 7, CHUNK + 3)
+    context = make_world(Clock())
+    job = new_job(context, spec(chores=TASKS_PER_CHUNK + 10), 1, 5)
+    placements = {
+        t: TaskPlacement(
+            context.machine_names.intern(f"vm-{t}"), 3, 2, 1, context.zone_names.intern("b")
+        )
+        for t in (0, 7, TASKS_PER_CHUNK + 3)
     }
     ends = {0: api.W_DONE, 7: api.W_ERROR}
     for t in (0, 7):
-        job.places[t], job.state[t], job.tries[t] = places[t], PLACED, 1
-    late = {CHUNK + 3: places[CHUNK + 3]}
-    chunks = [encode_chunk(world, job, n, ends, late) for n in (0, 1)]
+        job.placements[t], job.task_states[t], job.attempts[t] = placements[t], PLACED, 1
+    late = {TASKS_PER_CHUNK + 3: placements[TASKS_PER_CHUNK + 3]}
+    chunks = [encode_chunk(context, job, n, ends, late) for n in (0, 1)]
     copies = [msgspec.json.decode(msgspec.json.encode(c), type=type(c)) for c in chunks]
-    back = load_job(world, 1, JobRecord(job.spec, 5, False, copies[0]), {1: copies[1]})
-    assert back.finished == 1 and back.state[0] == 2 and back.state[7] == 0
-    assert list(back.places) == [CHUNK + 3]
-    place = back.places[CHUNK + 3]
-    assert (place.machine, place.session, place.attempt) == (places[CHUNK + 3].machine, 3, 2)
-    assert back.tries[7] == 1 and back.tries[CHUNK + 3] == 2
+    back = load_job(context, 1, JobRecord(job.spec, 5, False, copies[0]), {1: copies[1]})
+    assert back.completed == 1 and back.task_states[0] == 2 and back.task_states[7] == 0
+    assert list(back.placements) == [TASKS_PER_CHUNK + 3]
+    placement = back.placements[TASKS_PER_CHUNK + 3]
+    assert (placement.machine, placement.session, placement.attempt) == (
+        placements[TASKS_PER_CHUNK + 3].machine,
+        3,
+        2,
+    )
+    assert back.attempts[7] == 1 and back.attempts[TASKS_PER_CHUNK + 3] == 2
 
 
 def test_a_full_chunk_fits_a_value() -> None:
-    world = make_world(Clock())
-    job = new_job(world, spec(chores=CHUNK), 0, 0)
-    for t in range(CHUNK):
-        index = world.machines.put(f"vm-{t:06d}")
-        job.places[t] = Place(index, 1000, 20, 0, world.zones.put("a-zone-with-long-name"))
-    record = JobRecord(job.spec, 0, False, encode_chunk(world, job, 0, {}, {}))
+    context = make_world(Clock())
+    job = new_job(context, spec(chores=TASKS_PER_CHUNK), 0, 0)
+    for t in range(TASKS_PER_CHUNK):
+        index = context.machine_names.intern(f"vm-{t:06d}")
+        job.placements[t] = TaskPlacement(
+            index, 1000, 20, 0, context.zone_names.intern("a-zone-with-long-name")
+        )
+    record = JobRecord(job.spec, 0, False, encode_chunk(context, job, 0, {}, {}))
     assert len(msgspec.json.encode(record)) < 16_000
 
 
 def test_a_large_job_is_written_in_transactions_that_fit() -> None:
     """Eight full chunks at once were over the state service's 64 KiB and refused for ever."""
-    world = make_world(Clock())
-    shard = JobShard(world, 0, 3, 9)
-    job = new_job(world, spec(chores=CHUNK * 10), 0, 0)
-    job.versions[0] = 1
-    zone = world.zones.put("a-zone-with-long-name")
+    context = make_world(Clock())
+    shard = JobShard(context, 0, 3, 9)
+    job = new_job(context, spec(chores=TASKS_PER_CHUNK * 10), 0, 0)
+    job.key_versions[0] = 1
+    zone = context.zone_names.intern("a-zone-with-long-name")
     for t in range(job.spec.tasks):
-        index = world.machines.put(f"vm-{t:06d}")
-        job.starts[t] = Place(index, 1000, 20, 0, zone)
+        index = context.machine_names.intern(f"vm-{t:06d}")
+        job.pending_starts[t] = TaskPlacement(index, 1000, 20, 0, zone)
     written = 0
-    while (draft := shard.draft(job)) is not None:
-        assert len(msgspec.json.encode(draft.changes)) < 60_000
-        assert len(draft.changes) <= world.settings.settings.state.txn_ops
+    while (update := shard.draft_update(job)) is not None:
+        assert len(msgspec.json.encode(update.changes)) < 60_000
+        assert len(update.changes) <= context.settings.settings.state.txn_ops
         written += 1
-        shard.commit(draft, written + 1)
-    assert written == 4 and not job.starts and len(job.places) == job.spec.tasks
+        shard.apply_update(update, written + 1)
+    assert written == 4 and not job.pending_starts and len(job.placements) == job.spec.tasks
 
 
 def test_the_detour_carries_messages_and_refuses_garbage() -> None:
-    sent = [pb.Envelope(sender=1, view=pb.View(shard=2, gen=9)), pb.Envelope(nothing=pb.Nothing())]
-    back = peers.unpack(peers.pack(sent))
-    assert back[0].view.gen == 9 and len(back) == 2
-    for text in ("!!", "AAAA", peers.pack(sent)[:-9]):
+    sent = [
+        pb.Envelope(sender=1, snapshot=pb.Snapshot(shard=2, epoch=9)),
+        pb.Envelope(empty=pb.Empty()),
+    ]
+    back = peers.decode_batch(peers.encode_batch(sent))
+    assert back[0].snapshot.epoch == 9 and len(back) == 2
+    for text in ("!!", "AAAA", peers.encode_batch(sent)[:-9]):
         with pytest.raises(ValueError):
-            peers.unpack(text)
+            peers.decode_batch(text)
 
 
 def test_the_limiter_keeps_the_rate_and_a_reserve_for_the_urgent() -> None:
     clock = Clock()
-    limiter = Limiter(10.0, 1.0, clock.now)
+    limiter = TokenBucket(10.0, 1.0, clock.now)
     ordinary = urgent = 0
     for _ in range(100):
         ordinary += limiter.delay(1.0, False) == 0.0
@@ -178,10 +189,10 @@
 
 
 def test_meters_show_each_minute_of_its_own() -> None:
-    meters = Meters()
+    meters = LatencyHistograms()
     for ms in range(1, 101):
-        meters.note("answer look", ms / 1000)
-    meters.note("wait prod", 1e9)
+        meters.record("answer look", ms / 1000)
+    meters.record("wait prod", 1e9)
     first, second = meters.lines()
     assert first == "answer look: 100, p50/p90/p99 50/90/99 ms, most 100"
     assert second.startswith("wait prod: 1, ")
--- a/tests/test_invariant_checks.py
+++ b/tests/test_invariant_checks.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from starlingdeck import context as world_module
+from starlingdeck import context
 from starlingdeck.protocol import api
 from starlingdeck.transport.server import Request, Response
 from tests.support.reference_model import Broken, PlainWorker
@@ -109,7 +109,7 @@
 
 async def ran_twice(deck: Deck, patch: Patch) -> None:
     """Silence is taken for an end long before a lease is over."""
-    patch.setattr(world_module.World, "silence_s", property(lambda _: 0.5))
+    patch.setattr(context.ControllerContext, "lease_expiry_s", property(lambda _: 0.5))
     await one_job(deck, 4, 60.0)
     deck.off |= {(i, machine) for machine, _ in deck.live(NAME) for i in range(3)}
     await deck.run(8.0)
@@ -171,7 +171,7 @@
         return None
 
     for node in deck.nodes:
-        node.planner.plan = plan  # type: ignore[method-assign, assignment]
+        node.planner.run_cycle = plan  # type: ignore[method-assign, assignment]
     await deck.beside(deck.submit, NAME, 2, 5.0)
     await deck.run(1.0)
     deck.calm()
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -2,19 +2,19 @@
 
 from starlingdeck.jobs.job import new_job
 from starlingdeck.jobs.job_shard import job_message
-from starlingdeck.machines.desired_state import GONE_S, PRUNE_S
+from starlingdeck.machines.desired_state import DELETED_RETENTION_S, PRUNE_INTERVAL_S
 from starlingdeck.machines.machine import JobInfo, may_preempt
-from starlingdeck.machines.machine_shard import MOST_PROBES, MachineShard
+from starlingdeck.machines.machine_shard import MAX_PROBES, MachineShard
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from tests.support.builders import Clock, make_world, spec
 
 
-def ask(machines: MachineShard, uid: str, preempt: bool, **other: object) -> list[pb.Given]:
-    job = new_job(machines.world, spec(uid, **other), 0, 0)
-    msg = pb.Reserve(to_gen=machines.gen, job=job_message(job), preempt=preempt)
-    msg.spots.add(task=0, attempt=1, machine="vm-1")
-    return list(machines.reserve(msg).given)
+def ask(machines: MachineShard, uid: str, preempt: bool, **other: object) -> list[pb.GrantedTask]:
+    job = new_job(machines.context, spec(uid, **other), 0, 0)
+    message = pb.ReserveRequest(to_epoch=machines.epoch, job=job_message(job), preempt=preempt)
+    message.tasks.add(task=0, attempt=1, machine="vm-1")
+    return list(machines.reserve(message).granted)
 
 
 def test_room_made_by_preemption_is_kept_for_who_asked() -> None:
@@ -25,14 +25,14 @@
 
     def report(seq: int, *tasks: api.ReportTask, renews: bool = False) -> None:
         body = api.Report("vm-1", "x", "small", "a", 1, seq, 3, tasks=list(tasks))
-        machines.take_report(body, renews)
+        machines.apply_report(body, renews)
 
     report(1)
     low = {"cores": 4.0, "chores": 1, "rank": "normal"}
     high = {"cores": 2.0, "chores": 1, "rank": "urgent"}
     assert [g.evicting for g in ask(machines, "j-1", False, **low)] == [False]
     report(2, api.ReportTask("j-1/0", 1, "running"))
-    machines.machines[0].holds.clear()
+    machines.machines[0].reservations.clear()
     assert [g.evicting for g in ask(machines, "j-2", True, **high)] == [True]
     report(3)
     assert ask(machines, "j-3", False, **low) == []
@@ -71,40 +71,42 @@
     low = {"cores": 4.0, "chores": 1, "rank": "normal", "mark_s": 10.0, "stash_s": 3.0}
     ask(machines, "j-1", False, **low)
     tasks = [api.ReportTask("j-1/0", 1, "running")]
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3, tasks=tasks), False)
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3, tasks=tasks), False)
     ask(machines, "j-1", False, **low)
-    machine = machines.machines[machines.world.machines.put("vm-1")]
+    machine = machines.machines[machines.context.machine_names.intern("vm-1")]
     for wait_s, grace_s in ((0.0, 4.0), (6.0, 4.0), (2.0, 0.0)):
-        machine.evict.clear()
-        machine.holds.clear()
-        job = new_job(machines.world, spec("j-2", cores=2.0, rank="prod"), 0, 0)
-        msg = pb.Reserve(to_gen=9, job=job_message(job), preempt=True, wait_s=wait_s)
-        msg.spots.add(task=0, attempt=1, machine="vm-1")
-        assert [g.evicting for g in machines.reserve(msg).given] == [True]
-        assert list(machine.evict.values()) == [grace_s]
+        machine.evictions.clear()
+        machine.reservations.clear()
+        job = new_job(machines.context, spec("j-2", cores=2.0, rank="prod"), 0, 0)
+        message = pb.ReserveRequest(to_epoch=9, job=job_message(job), preempt=True, wait_s=wait_s)
+        message.tasks.add(task=0, attempt=1, machine="vm-1")
+        assert [g.evicting for g in machines.reserve(message).granted] == [True]
+        assert list(machine.evictions.values()) == [grace_s]
 
 
 def test_jobs_that_left_no_trace_are_forgotten() -> None:
     """What was known of a job stayed for as long as the shard was held."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
     for number in range(50):
         ask(machines, f"j-{number}", False, chores=1)
-        machines.machines[0].holds.clear()
+        machines.machines[0].reservations.clear()
     tasks = [api.ReportTask("j-7/0", 1, "running")]
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 1, 2, 3, tasks=tasks), True)
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 2, 3, tasks=tasks), True)
     ask(machines, "j-8", False, chores=1)
-    machines.machines[0].holds[next(iter(machines.machines[0].holds))].until = clock.at + 100.0
+    machines.machines[0].reservations[next(iter(machines.machines[0].reservations))].expires_at = (
+        clock.at + 100.0
+    )
     machines.mark_deleted("vm-9")
-    clock.at += PRUNE_S
+    clock.at += PRUNE_INTERVAL_S
     machines.reconcile()
-    names = machines.world.jobs
+    names = machines.context.job_names
     assert {names[index] for index in machines.jobs} == {"j-7", "j-8"}
-    assert machines.deleted("vm-9")
-    clock.at += GONE_S
+    assert machines.is_deleted("vm-9")
+    clock.at += DELETED_RETENTION_S
     machines.reconcile()
-    assert not machines.gone
+    assert not machines.deleted_machines
 
 
 def test_a_machine_back_from_a_cut_is_drawn_only_when_its_word_is_new() -> None:
@@ -114,19 +116,19 @@
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
 
     def report(session: int, seq: int, renews: bool = True) -> None:
-        machines.take_report(api.Report("vm-1", "x", "small", "a", session, seq, 3), renews)
+        machines.apply_report(api.Report("vm-1", "x", "small", "a", session, seq, 3), renews)
 
     report(1, 1)
     (machine,) = machines.reconcile()
-    assert not ask(machines, "j-1", False) and not machines.orders(machine, True).commands
+    assert not ask(machines, "j-1", False) and not machines.commands_for(machine, True).commands
     report(1, 2, renews=False)
     assert ask(machines, "j-1", False)
     clock.at += 30.0
-    machines.check_silence()
-    assert machine.dead
+    machines.expire_leases()
+    assert machine.lost
     for session, seq in ((1, 3), (1, 4), (2, 5)):
         report(session, seq)
-        assert not machine.dead and not ask(machines, "j-2", False)
+        assert not machine.lost and not ask(machines, "j-2", False)
     assert machine in machines.reconcile()  # to be called
     report(3, 6, renews=False)
     assert machine.session == 3 and ask(machines, "j-2", False)
@@ -134,13 +136,13 @@
     clock.at += 30.0
     report(3, 7)
     assert not ask(machines, "j-3", False) and not machines.needs_new_token()
-    machines.unanswered(machine, machines.orders(machine, True), True)
+    machines.on_command_unanswered(machine, machines.commands_for(machine, True), True)
     assert machines.needs_new_token() and not machines.needs_new_token()
     machines.token = 4
     report(3, 8)
     assert not ask(machines, "j-3", False)
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 3, 9, 4), True)
-    assert ask(machines, "j-3", False) and machine.back is None
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 3, 9, 4), True)
+    assert ask(machines, "j-3", False) and machine.unconfirmed_since is None
 
 
 def test_calls_that_only_ask_who_is_there_are_few_at_once() -> None:
@@ -148,29 +150,31 @@
     them hangs: two hundred at once would leave no socket for the state service."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
-    for number in range(3 * MOST_PROBES):
-        machines.take_report(api.Report(f"vm-{number}", "x", "small", "a", 1, 1, 3), True)
+    for number in range(3 * MAX_PROBES):
+        machines.apply_report(api.Report(f"vm-{number}", "x", "small", "a", 1, 1, 3), True)
     first = machines.reconcile()
     for machine in first:
-        machine.busy = True
-    assert len(first) == MOST_PROBES and not machines.reconcile()
+        machine.command_in_flight = True
+    assert len(first) == MAX_PROBES and not machines.reconcile()
     for machine in first:
-        machine.busy = False
+        machine.command_in_flight = False
         report = api.Report(machine.name, "x", "small", "a", 1, 2, 3)
-        machines.take_report(report, False)
+        machines.apply_report(report, False)
     second = machines.reconcile()
-    assert len(second) == MOST_PROBES and not {m.index for m in first} & {m.index for m in second}
+    assert len(second) == MAX_PROBES and not {m.index for m in first} & {m.index for m in second}
 
 
-def wants(seq: int, machines: MachineShard, *items: pb.Want, whole: bool = False) -> None:
-    job = new_job(machines.world, spec("j-1", cores=4.0, chores=1), 0, 0)
-    msg = pb.Wants(from_shard=machines.home(0), from_token=5, to_gen=machines.gen, seq=seq)
-    msg.whole = whole
-    msg.jobs.append(job_message(job))
-    msg.items.extend(items)
+def wants(seq: int, machines: MachineShard, *items: pb.DesiredTask, whole: bool = False) -> None:
+    job = new_job(machines.context, spec("j-1", cores=4.0, chores=1), 0, 0)
+    message = pb.DesiredState(
+        from_shard=machines.shard_of_task(0), from_token=5, to_epoch=machines.epoch, seq=seq
+    )
+    message.full = whole
+    message.jobs.append(job_message(job))
+    message.tasks.extend(items)
     if not (items or whole):
-        msg.gone.add(job="j-1", task=0, machine="vm-1")
-    assert machines.apply_wants(msg)
+        message.removed.add(job="j-1", task=0, machine="vm-1")
+    assert machines.apply_desired_state(message)
 
 
 def test_reports_that_say_what_the_last_one_said_still_bring_what_lists_call_for() -> None:
@@ -181,12 +185,12 @@
 
     def told(*tasks: api.ReportTask) -> list[str]:
         body = api.Report("vm-1", "x", "small", "a", 1, next(seq), 3, tasks=list(tasks))
-        return [c.op for c in machines.commands_after(machines.take_report(body, True), True)]
+        return [c.op for c in machines.pending_commands(machines.apply_report(body, True), True)]
 
     assert told() == []
-    machines.world.jobs.put("j-1")
+    machines.context.job_names.intern("j-1")
     running = api.ReportTask("j-1/0", 1, "running")
-    wanted = pb.Want(task=0, attempt=1, machine="vm-1", session=1)
+    wanted = pb.DesiredTask(task=0, attempt=1, machine="vm-1", session=1)
     wants(1, machines, wanted, whole=True)
     assert told(running) == [] and told(running) == []
     clock.at += 50.0
@@ -198,14 +202,14 @@
     wanted.stop = False
     wants(3, machines, wanted)
     assert told(running) == []
-    machines.machines[0].evict[0] = 0.0
-    machines.touch(0)
+    machines.machines[0].evictions[0] = 0.0
+    machines.mark_changed(0)
     assert told(running) == [api.STOP]
-    machines.machines[0].evict.clear()
+    machines.machines[0].evictions.clear()
     wants(4, machines)
     assert told(running) == [api.STOP]  # no list names it any more
     ended = api.ReportTask("j-1/0", 1, "exited", "halted")
-    assert told(ended) == [api.FORGET] and told(ended) == [api.FORGET]
+    assert told(ended) == [api.REAP] and told(ended) == [api.REAP]
     assert told() == []
 
 
@@ -213,34 +217,34 @@
     """Small tasks took each bit of room that came free, and a larger one never fitted."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
     small = {"cores": 1.0, "chores": 1, "rank": "urgent"}
     for n in range(2, 6):
         ask(machines, f"j-{n}", False, **small)
     running = [api.ReportTask(f"j-{n}/0", 1, "running") for n in range(2, 6)]
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 1, 2, 3, tasks=running), False)
-    machines.machines[0].holds.clear()
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 2, 3, tasks=running), False)
+    machines.machines[0].reservations.clear()
 
     def gather(uid: str) -> list[bool]:
-        job = new_job(machines.world, spec(uid, cores=4.0, chores=1), 0, 0)
-        msg = pb.Reserve(to_gen=machines.gen, job=job_message(job), gather=True)
-        msg.spots.add(task=0, attempt=1, machine="vm-1")
-        return [g.evicting for g in machines.reserve(msg).given]
+        job = new_job(machines.context, spec(uid, cores=4.0, chores=1), 0, 0)
+        message = pb.ReserveRequest(to_epoch=machines.epoch, job=job_message(job), accumulate=True)
+        message.tasks.add(task=0, attempt=1, machine="vm-1")
+        return [g.evicting for g in machines.reserve(message).granted]
 
-    assert gather("j-8") == [True] and gather("j-9") == [] and not machines.machines[0].evict
+    assert gather("j-8") == [True] and gather("j-9") == [] and not machines.machines[0].evictions
     # What comes free isn't given to the next small task, and goes to the large one in the end.
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 1, 3, 3, tasks=running[:1]), False)
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 3, 3, tasks=running[:1]), False)
     assert ask(machines, "j-7", False, **small) == [] and gather("j-8") == [True]
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 1, 4, 3), False)
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 4, 3), False)
     assert gather("j-8") == [False]
     # A task that is kept is stopped for nobody, whatever their rank.
-    machines.machines[0].holds.clear()
-    machines.world.jobs.put("j-1")
-    wanted = pb.Want(task=0, attempt=1, machine="vm-1", session=1, kept=True)
+    machines.machines[0].reservations.clear()
+    machines.context.job_names.intern("j-1")
+    wanted = pb.DesiredTask(task=0, attempt=1, machine="vm-1", session=1, protected=True)
     wants(1, machines, wanted, whole=True)
     low = [api.ReportTask("j-1/0", 1, "running")]
-    machines.take_report(api.Report("vm-1", "x", "small", "a", 1, 5, 3, tasks=low), False)
+    machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 5, 3, tasks=low), False)
     assert ask(machines, "j-6", True, cores=1.0, chores=1, rank="prod") == []
-    wanted.kept = False
+    wanted.protected = False
     wants(2, machines, wanted)
     assert [g.evicting for g in ask(machines, "j-6", True, cores=1.0, chores=1, rank="prod")]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,9 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.cluster.membership import Hooks, Membership
+from starlingdeck.cluster.membership import Membership, OwnershipHooks
 from starlingdeck.protocol import api
-from starlingdeck.storage.state import Conflict, LeaseLost, StateError, StateUnknown
+from starlingdeck.storage.state import (
+    LeaseLostError,
+    OutcomeUnknownError,
+    StateError,
+    TransactionConflictError,
+)
 from tests.support.builders import Clock, make_world
 from tests.support.reference_model import PlainState
 
@@ -70,7 +75,7 @@
 
     def _answer(self) -> None:
         if self.mute:
-            raise StateUnknown("no answer")
+            raise OutcomeUnknownError("no answer")
 
     async def lease(self, ttl_s: float) -> int:
         state = self._call()
@@ -82,20 +87,20 @@
     async def renew(self, lease: int) -> None:
         state = self._call()
         if lease not in state.leases:
-            raise LeaseLost
+            raise LeaseLostError
         state.leases[lease] = state.clock.at + state.ttl[lease]
         self._answer()
 
-    async def txn(
+    async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
         state = self._call()
         if any(c.lease is not None and c.lease not in state.leases for c in changes):
-            raise LeaseLost
+            raise LeaseLostError
         failed = state.change(changes, conditions)
         self._answer()
         if failed:
-            raise Conflict(failed)
+            raise TransactionConflictError(failed)
         return state.epoch
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
@@ -124,9 +129,9 @@
         self.tokens: dict[int, tuple[int, int, int]] = {}  # shard -> token, node, gen
 
     def start(self, number: int) -> Membership:
-        world = make_world(self.clock, seed=self.clock.wall_ms() + number, node=number)
+        context = make_world(self.clock, seed=self.clock.wall_ms() + number, node=number)
 
-        async def gained(shard: int, token: int, gen: int, wait_s: float) -> None:
+        async def gained(shard: int, token: int, epoch: int, wait_s: float) -> None:
             pass
 
         async def lost(shard: int) -> None:
@@ -138,8 +143,8 @@
         async def key(event: api.Event) -> None:
             pass
 
-        hooks = Hooks(gained, lost, raised, key, lambda shard: True)
-        return Membership(world, self.clients[number], hooks)  # type: ignore[arg-type]
+        hooks = OwnershipHooks(gained, lost, raised, key, lambda shard: True)
+        return Membership(context, self.clients[number], hooks)  # type: ignore[arg-type]
 
     async def act(self, verb: str, number: int) -> None:
         node, client = self.nodes[number], self.clients[number]
@@ -159,7 +164,7 @@
                     self.state.leases[lease] = self.clock.at + self.state.ttl[lease]
         elif verb == "raise":
             for shard in list(node.held):
-                with contextlib.suppress(StateError, Conflict, LeaseLost):
+                with contextlib.suppress(StateError, TransactionConflictError, LeaseLostError):
                     await node.raise_token(shard)
         self.check()
 
@@ -178,15 +183,15 @@
     def check(self) -> None:
         """A shard is held by one node at most, and every new hold has a higher token."""
         for shard in range(NODES):
-            holders = [n for n in self.nodes if n.valid() and shard in n.held]
-            assert len(holders) <= 1, f"shard {shard} is held twice"
-            for node in holders:
+            owners = [n for n in self.nodes if n.lease_is_valid() and shard in n.held]
+            assert len(owners) <= 1, f"shard {shard} is held twice"
+            for node in owners:
                 held = node.held[shard]
-                token, number, gen = self.tokens.get(shard, (0, -1, -1))
+                token, number, epoch = self.tokens.get(shard, (0, -1, -1))
                 assert held.token >= token, f"shard {shard}: its token fell"
-                if (held.node, held.gen) != (number, gen):
+                if (held.node, held.epoch) != (number, epoch):
                     assert held.token > token, f"shard {shard}: a new hold under an old token"
-                self.tokens[shard] = (held.token, held.node, held.gen)
+                self.tokens[shard] = (held.token, held.node, held.epoch)
 
     async def settle(self) -> None:
         for client in self.clients:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -2,53 +2,60 @@
 
 import curio
 
-from starlingdeck.cluster.membership import Holder
-from starlingdeck.controller.controller import Node
-from starlingdeck.fairness.demand_snapshot import Load, Part
-from starlingdeck.fairness.fair_share import Shares
-from starlingdeck.jobs.job import Job, Place, new_job
+from starlingdeck.cluster.membership import ShardOwner
+from starlingdeck.controller.controller import Controller
+from starlingdeck.fairness.demand_snapshot import ClassDemand, ShardDemand
+from starlingdeck.fairness.fair_share import FairShares
+from starlingdeck.jobs.job import Job, TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
-from starlingdeck.machines.shard_snapshot import Sight
-from starlingdeck.metrics import counters as tally
-from starlingdeck.metrics.latency import Slices
+from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.machines.shard_snapshot import ShardSnapshot
+from starlingdeck.metrics import counters
+from starlingdeck.metrics.latency import TaskProfiler
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings
-from starlingdeck.scheduling.candidate_pool import ASKED_S
-from starlingdeck.scheduling.overload import Overload
-from starlingdeck.scheduling.planner import STRETCH_S
+from starlingdeck.scheduling.candidate_pool import UNANSWERED_RETENTION_S
+from starlingdeck.scheduling.overload import OverloadController
+from starlingdeck.scheduling.planner import MAX_STRETCH_S
 from tests.support.builders import Clock, make_world, spec
 
 
-def overloaded(node: Node, *jobs: Job) -> Overload:
+def overloaded(node: Controller, *jobs: Job) -> OverloadController:
     """Floors of all there is for the jobs' pairs, by a picture of one shard."""
-    found = Overload(node.world, node.writers, node.machines, OverloadSettings(churn=0.05))
-    pairs = {found.pair(job) for job in jobs}
-    part = Part(0, 3, 1, (8.0, 0.0, 32.0), {pair: Load() for pair in pairs}, True)
-    found.picture.take(part, node.world.now())
+    found = OverloadController(
+        node.context, node.writers, node.machines, OverloadSettings(churn=0.05)
+    )
+    pairs = {found.team_class(job) for job in jobs}
+    part = ShardDemand(0, 3, 1, (8.0, 0.0, 32.0), {pair: ClassDemand() for pair in pairs}, True)
+    found.demand.update(part, node.context.now())
     floors = dict.fromkeys(pairs, 1.0)
-    found.shares = Shares(True, part.capacity, floors, {0: floors})
+    found.shares = FairShares(True, part.capacity, floors, {0: floors})
     return found
 
 
-def machine(name: str, free: float = 4.0) -> pb.Machine:
-    return pb.Machine(
-        id=name, type="small", zone="a", drawable=True, free_cpus=free, free_memory_gb=16.0
+def machine(name: str, free: float = 4.0) -> pb.MachineState:
+    return pb.MachineState(
+        id=name,
+        type="small",
+        zone="a",
+        schedulable=True,
+        available_cpus=free,
+        available_memory_gb=16.0,
     )
 
 
-def planning_node(clock: Clock, *machines: pb.Machine) -> tuple[Node, JobShard]:
+def planning_node(clock: Clock, *machines: pb.MachineState) -> tuple[Controller, JobShard]:
     """A node that holds job shard 0; machine shard 2 belongs to a peer that is up."""
-    node = Node(make_world(clock))
-    node.membership.lease, node.membership.renewed = 1, clock.at
-    jobs = JobShard(node.world, 0, 3, 9)
+    node = Controller(make_world(clock))
+    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    jobs = JobShard(node.context, 0, 3, 9)
     jobs.loaded = True
-    node.writers[0] = Writer(node.world, node.state, jobs)
-    node.membership.holders[2] = Holder(0, 5, 77)
-    sight = Sight(node.world, 2, 77)
-    sight.take(pb.View(shard=2, gen=77, seq=1, valid=True, whole=True, machines=machines))
-    node.rooms.show(sight, set(sight.machines))
+    node.writers[0] = RecordWriter(node.context, node.state, jobs)
+    node.membership.owners[2] = ShardOwner(0, 5, 77)
+    snapshot = ShardSnapshot(node.context, 2, 77)
+    snapshot.apply(pb.Snapshot(shard=2, epoch=77, seq=1, valid=True, full=True, machines=machines))
+    node.candidates.update(snapshot, set(snapshot.machines))
     return node, jobs
 
 
@@ -57,29 +64,29 @@
     it gives way must not be given machines after."""
     clock = Clock()
     node, jobs = planning_node(clock, machine("vm-1", 2.0), machine("vm-2", 2.0))
-    first, second = (new_job(node.world, spec(f"j-00000{i}", chores=1), 0, i) for i in (1, 2))
+    first, second = (new_job(node.context, spec(f"j-00000{i}", chores=1), 0, i) for i in (1, 2))
     for one in (first, second):
         jobs.jobs[one.index] = one
     asked: list[tuple[str, bool]] = []
 
-    def slow(msg: pb.Reserve) -> pb.Reserved:
-        asked.append((msg.job.id, second.cancelled))
-        return pb.Reserved()
+    def slow(message: pb.ReserveRequest) -> pb.ReserveReply:
+        asked.append((message.job.id, second.cancelled))
+        return pb.ReserveReply()
 
     async def cancel() -> None:
         second.cancelled = True
 
     async def drive() -> None:
         await curio.spawn(cancel, daemon=True)
-        await node.planner.plan()
+        await node.planner.run_cycle()
         await curio.sleep(0)
 
     node.planner.reserve_here = slow
-    step = STRETCH_S * 2
+    step = MAX_STRETCH_S * 2
     ticking = iter(range(10_000))
-    node.world.now = lambda: 1000.0 + step * next(ticking)  # every look at the clock takes long
-    node.membership.renewed = 1e9
-    node.peers.heard[0] = 1e9
+    node.context.now = lambda: 1000.0 + step * next(ticking)  # every look at the clock takes long
+    node.membership.renewed_at = 1e9
+    node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
     assert asked == [("j-000001", True)]
 
@@ -88,17 +95,17 @@
     """A job whose last tasks were placed by the plan in which they were noted as waiting made the
     next plan stumble, in a flood (KeyError)."""
     node, jobs = planning_node(Clock())
-    now_ms = node.world.wall_ms()
+    now_ms = node.context.wall_clock_ms()
     placed, waits = (
-        new_job(node.world, spec(f"j-00000{i}", chores=4), 0, now_ms + i) for i in (1, 2)
+        new_job(node.context, spec(f"j-00000{i}", chores=4), 0, now_ms + i) for i in (1, 2)
     )
     for one in (placed, waits):
         jobs.jobs[one.index] = one
     overload = overloaded(node, placed, waits)
-    overload.waited([(placed, 1), (waits, 1)])
-    placed.places[0] = Place(0, 1, 1, 2, 0)
-    assert overload.first([waits]) == [(waits, 1)]
-    assert overload.first([]) == []
+    overload.on_cycle_end([(placed, 1), (waits, 1)])
+    placed.placements[0] = TaskPlacement(0, 1, 1, 2, 0)
+    assert overload.below_minimum_share([waits]) == [(waits, 1)]
+    assert overload.below_minimum_share([]) == []
 
 
 def test_arrays_wait_before_they_stop_others_while_many_starts_are_stopped() -> None:
@@ -106,41 +113,41 @@
     overload cost a burst's urgent work more than it saved."""
     clock = Clock()
     node, _ = planning_node(clock)
-    now_ms = node.world.wall_ms()
+    now_ms = node.context.wall_clock_ms()
     sweep, service = (
-        new_job(node.world, spec(f"j-00000{n}", shape=shape), 0, now_ms)
+        new_job(node.context, spec(f"j-00000{n}", shape=shape), 0, now_ms)
         for n, shape in enumerate(("sweep", "daemon"))
     )
     overload = node.planner.overload = overloaded(node, sweep)
-    node.world.tally.note("red", "batch", tally.STARTED, 100)
+    node.context.counters.increment("red", "batch", counters.STARTED, 100)
     for stopped, waits in ((4, False), (8, True)):
-        node.world.tally.note("red", "batch", tally.STOPPED, stopped)
+        node.context.counters.increment("red", "batch", counters.STOPPED, stopped)
         clock.at += 0.3
         shares = overload.shares
-        overload.tell()
+        overload.refresh()
         overload.shares = shares
-        assert overload.churns() is waits
-        assert node.planner._may_stop(sweep) is not waits
-        assert node.planner._may_stop(service)
+        assert overload.is_churning() is waits
+        assert node.planner._may_preempt(sweep) is not waits
+        assert node.planner._may_preempt(service)
     clock.at += 0.3 * overload.settings.patience_s
-    assert node.planner._may_stop(sweep)
+    assert node.planner._may_preempt(sweep)
     clock.at += 60.0
-    overload.tell()
+    overload.refresh()
     overload.shares = shares
-    assert not overload.churns()
+    assert not overload.is_churning()
 
 
 def test_a_replica_brings_the_next_plan_on() -> None:
     """Plans in a backlog pause for up to 0.5 s; a replica has a second or two to start in all."""
     node, jobs = planning_node(Clock())
-    service = new_job(node.world, spec("j-000001", shape="daemon", chores=1), 0, 1)
+    service = new_job(node.context, spec("j-000001", shape="daemon", chores=1), 0, 1)
     jobs.jobs[service.index] = service
-    assert not node.planner._hurry()
-    service.places[0] = Place(node.world.machines.put("vm-1"), 1, 1, 2, 0)
-    jobs._end(service, 0, service.places[0], api.W_STOPPED, "stopped")
-    assert node.planner._hurry()
-    curio.run(node.planner.plan)
-    assert not node.planner._hurry()
+    assert not node.planner._is_urgent()
+    service.placements[0] = TaskPlacement(node.context.machine_names.intern("vm-1"), 1, 1, 2, 0)
+    jobs._end_attempt(service, 0, service.placements[0], api.W_STOPPED, "stopped")
+    assert node.planner._is_urgent()
+    curio.run(node.planner.run_cycle)
+    assert not node.planner._is_urgent()
 
 
 def test_a_refused_task_leaves_no_trace_on_the_machine() -> None:
@@ -148,37 +155,37 @@
     way there, until the machine was shown again."""
     clock = Clock()
     node, _ = planning_node(clock, machine("vm-1"))
-    rooms = node.rooms
-    (room,) = rooms.all()
+    candidates = node.candidates
+    (candidate,) = candidates.candidates()
     for given in (False, True):
-        room.free[0] -= 2.0
-        room.present.add((7, 0))
-        room.fetching.add("img")
-        rooms.take(room, (7, 0), (2.0, 0.0, 0.0), "img")
-        rooms.answered(room, (7, 0), given)
-        clock.at += ASKED_S
-        rooms.all()
-        assert room.free[0] == 4.0
-        assert (bool(room.present), bool(room.fetching)) == (given, given)
+        candidate.available[0] -= 2.0
+        candidate.tasks.add((7, 0))
+        candidate.fetching.add("img")
+        candidates.allocate(candidate, (7, 0), (2.0, 0.0, 0.0), "img")
+        candidates.resolve(candidate, (7, 0), given)
+        clock.at += UNANSWERED_RETENTION_S
+        candidates.candidates()
+        assert candidate.available[0] == 4.0
+        assert (bool(candidate.tasks), bool(candidate.fetching)) == (given, given)
 
 
 def test_room_shown_anew_while_the_picker_gave_way_counts_what_was_picked() -> None:
     clock = Clock()
     node, _ = planning_node(clock, machine("vm-1"))
-    rooms = node.rooms
-    (picked,) = rooms.all()
-    sight = rooms.sights[2]
-    rooms.show(sight, set(sight.machines))
-    rooms.take(picked, (7, 0), (2.0, 0.0, 0.0), "img")
-    (current,) = rooms.all()
-    assert current is not picked and current.free[0] == 2.0
-    rooms.answered(picked, (7, 0), False)
-    assert current.free[0] == 4.0
+    candidates = node.candidates
+    (picked,) = candidates.candidates()
+    snapshot = candidates.snapshots[2]
+    candidates.update(snapshot, set(snapshot.machines))
+    candidates.allocate(picked, (7, 0), (2.0, 0.0, 0.0), "img")
+    (current,) = candidates.candidates()
+    assert current is not picked and current.available[0] == 2.0
+    candidates.resolve(picked, (7, 0), False)
+    assert current.available[0] == 4.0
 
 
 def test_slices_tell_how_long_each_kind_of_task_ran_at_a_stretch() -> None:
     clock = Clock()
-    slices = Slices(clock.now)
+    slices = TaskProfiler(clock.now)
 
     async def plan() -> None:
         for took_s in (0.5, 2.0):
@@ -205,21 +212,21 @@
     full.youngest_s.extend([5.0, -1.0, -1.0, -1.0])
     node, jobs = planning_node(clock, full)
     job = new_job(
-        node.world, spec(crew="blue", cores=0.5, ram_gb=0.1, chores=40, rank="prod"), 0, 1
+        node.context, spec(crew="blue", cores=0.5, ram_gb=0.1, chores=40, rank="prod"), 0, 1
     )
     jobs.jobs[job.index] = job
     asked: list[int] = []
 
-    def reserve(msg: pb.Reserve) -> pb.Reserved:
-        asked.extend(spot.task for spot in msg.spots if msg.preempt)
-        return pb.Reserved()
+    def reserve(message: pb.ReserveRequest) -> pb.ReserveReply:
+        asked.extend(spot.task for spot in message.tasks if message.preempt)
+        return pb.ReserveReply()
 
     async def drive() -> None:
-        await node.planner.plan()
+        await node.planner.run_cycle()
         await curio.sleep(0)
 
-    node.transfers.quota.learn(0, [(3.0, 0.0), (10.0, 0.0), (11.0, 0.0)], 9)
+    node.quota_transfer.quota.learn(0, [(3.0, 0.0), (10.0, 0.0), (11.0, 0.0)], 9)
     node.planner.reserve_here = reserve
-    node.peers.heard[0] = 1e9
+    node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
     assert asked and len(asked) <= 6
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -13,10 +13,10 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_use_never_passes_the_limit(seed: int) -> None:
     rng = random.Random(seed)
-    world = make_world(Clock())
+    context = make_world(Clock())
     key: tuple[list[tuple[float, float]], int] = ([], 0)
     late: list[tuple[list[tuple[float, float]], int]] = []
-    nodes = [Quota(world) for _ in range(3)]
+    nodes = [Quota(context) for _ in range(3)]
     used = [0.0] * 3
     unread: set[int] = set()
     for _ in range(400):
@@ -54,8 +54,8 @@
 
 
 def test_a_service_of_nearly_the_whole_limit_gets_its_quota() -> None:
-    world = make_world(Clock())
-    quota = Quota(world)
+    context = make_world(Clock())
+    quota = Quota(context)
     for giver in (1, 2):
         after = quota.transfer(0, giver, 0, (12.0, 0.0), (0.0, 0.0))
         assert after is not None
