--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -7,19 +7,19 @@
 import msgspec
 import pytest
 
-from starlingdeck.cluster.membership import Holder, Membership
-from starlingdeck.cluster.sharding import job_shard, machine_shard
-from starlingdeck.context import World
-from starlingdeck.controller.controller import Node
-from starlingdeck.jobs.job import Job, Place, densest, new_job
+from starlingdeck.cluster.membership import Membership, ShardOwner
+from starlingdeck.cluster.sharding import shard_of_job, shard_of_machine
+from starlingdeck.context import ControllerContext
+from starlingdeck.controller.controller import Controller
+from starlingdeck.jobs.job import Job, TaskPlacement, densest_chunks, new_job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.machines.failure_attribution import FINE, FailureAttribution
 from starlingdeck.machines.machine_shard import MachineShard
-from starlingdeck.machines.reachability import may_return
-from starlingdeck.machines.shard_snapshot import Sight, follow
+from starlingdeck.machines.reachability import releasable_count
+from starlingdeck.machines.shard_snapshot import ShardSnapshot, apply_snapshot_message
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.storage.records import CHUNK, ShardValue
+from starlingdeck.storage.records import TASKS_PER_CHUNK, ShardValue
 from tests.support.builders import Clock, make_world, spec
 
 
@@ -28,13 +28,13 @@
     """A job shard, and the holder of the shard that vm-1 belongs to."""
 
     clock: Clock = field(default_factory=Clock)
-    sights: dict[int, Sight] = field(default_factory=dict)
+    sights: dict[int, ShardSnapshot] = field(default_factory=dict)
     token: int = 5
     seq: int = 0
 
     def __post_init__(self) -> None:
-        self.world: World = make_world(self.clock)
-        self.jobs = JobShard(self.world, job_shard("j-000001", 3), 3, 9)
+        self.world: ControllerContext = make_world(self.clock)
+        self.jobs = JobShard(self.world, shard_of_job("j-000001", 3), 3, 9)
         self.machines = self.held()
 
     def held(self, wait_s: float = 0.0) -> MachineShard:
@@ -58,27 +58,29 @@
         report = api.Report("vm-1", "x", "small", "b", session, self.seq, seen, tasks=body)
         before = self.machines.machines.get(0)
         mark = (before.session, before.seq) if before is not None else None
-        machine = self.machines.take_report(report, not called)
+        machine = self.machines.apply_report(report, not called)
         return (machine.session, machine.seq) != mark
 
     def place(self, attempt: int = 1) -> Job:
         """A task recorded on vm-1."""
-        index = self.world.machines.put("vm-1")
+        index = self.world.machine_names.intern("vm-1")
         job = new_job(self.world, spec("j-000001", chores=1), self.jobs.shard, 0)
-        job.places[0] = Place(index, 1, attempt, 1, self.world.zones.put("b"))
-        job.state[0] = 1
+        job.placements[0] = TaskPlacement(index, 1, attempt, 1, self.world.zone_names.intern("b"))
+        job.task_states[0] = 1
         self.jobs.adopt(job)
         return job
 
     def exchange(self) -> list[tuple[str, int]]:
         """Lists, reconciling and views once; the starts sent."""
-        self.machines.apply_wants(self.jobs.wants(1, self.machines.gen, True, self.clock.wall_ms()))
+        self.machines.apply_desired_state(
+            self.jobs.desired_state_message(1, self.machines.epoch, True, self.clock.wall_ms())
+        )
         sent = []
         for machine in self.machines.reconcile():
-            orders = self.machines.orders(machine, True)
+            orders = self.machines.commands_for(machine, True)
             sent += [(c.task, c.attempt) for c in orders.commands if c.op == api.START]
-        follow(self.world, self.sights, self.machines.whole_view(True))
-        self.jobs.apply_view(self.sights[1], None)
+        apply_snapshot_message(self.world, self.sights, self.machines.full_snapshot(True))
+        self.jobs.apply_snapshot(self.sights[1], None)
         return sent
 
 
@@ -88,12 +90,12 @@
     pair = Pair()
     full = ("j-000009/0", 1, "running"), ("j-000009/1", 1, "running")
     pair.report(*full)
-    pair.machines._learn(pb.Job(id="j-000009", cpus=2.0))
+    pair.machines._learn_job(pb.Job(id="j-000009", cpus=2.0))
     job = pair.place()
-    assert pair.exchange() == [] and job.ends  # no room: refused, and so freed
+    assert pair.exchange() == [] and job.pending_ends  # no room: refused, and so freed
     pair.held()
     pair.report()
-    assert pair.exchange() == [] and job.ends  # there is room now
+    assert pair.exchange() == [] and job.pending_ends  # there is room now
 
 
 def test_copies_renew_revive_and_prove_nothing() -> None:
@@ -102,21 +104,21 @@
     running = ("j-000001/0", 1, "running")
     pair.report(running, seq=40)
     job = pair.place()
-    assert pair.exchange() == [] and not job.ends
+    assert pair.exchange() == [] and not job.pending_ends
     machine = pair.machines.machines[0]
     for _ in range(3):  # it dies; copies come for longer than its lease
         pair.clock.at += 5.0
         copy = api.Report("vm-1", "x", "small", "b", 1, 40, pair.token)
-        assert pair.machines.passed_over(copy)
-        pair.machines.check_silence()
-    assert machine.dead and pair.machines.copies == 3
+        assert pair.machines.is_stale_report(copy)
+        pair.machines.expire_leases()
+    assert machine.lost and pair.machines.stale_reports == 3
     pair.exchange()
-    assert job.ends
+    assert job.pending_ends
     # Of a deleted machine they bring nothing back, at whatever time.
     pair.machines.mark_deleted("vm-1")
     pair.clock.at += 100.0
     pair.machines.reconcile()
-    assert pair.machines.passed_over(copy) and not pair.machines.machines
+    assert pair.machines.is_stale_report(copy) and not pair.machines.machines
 
 
 def test_a_copy_that_comes_to_a_new_holder_proves_nothing() -> None:
@@ -131,13 +133,13 @@
     machine = pair.machines.machines[0]
     for _ in range(60):
         pair.clock.at += 0.5
-        pair.machines.check_silence()
-        assert pair.exchange() == [] and not pair.machines.drawable(machine)
-        assert not machine.dead and not job.ends, "before the former holder was quiet"
+        pair.machines.expire_leases()
+        assert pair.exchange() == [] and not pair.machines.is_schedulable(machine)
+        assert not machine.lost and not job.pending_ends, "before the former holder was quiet"
     pair.clock.at += 0.5
-    pair.machines.check_silence()
+    pair.machines.expire_leases()
     pair.exchange()
-    assert machine.dead and job.ends
+    assert machine.lost and job.pending_ends
 
 
 def test_a_session_that_a_call_shows_lasts_a_lease_from_then() -> None:
@@ -149,21 +151,21 @@
     pair.clock.at += 10.1  # its lease is over, and surely so only 0.2 s later
     pair.report(session=2, seq=1, called=True)
     job = pair.place()
-    job.places[0].session = 2
+    job.placements[0].session = 2
     machine = pair.machines.machines[0]
     pair.exchange()
     pair.report(("j-000001/0", 1, "running"), session=2, called=True)
     for _ in range(99):
-        assert not machine.dead and not job.ends
+        assert not machine.lost and not job.pending_ends
         # Nothing new is begun there: no start renews a lease.
-        assert not pair.machines.drawable(machine)
+        assert not pair.machines.is_schedulable(machine)
         pair.clock.at += 0.1
-        pair.machines.check_silence()
+        pair.machines.expire_leases()
         pair.exchange()
     pair.clock.at += 0.6
-    pair.machines.check_silence()
+    pair.machines.expire_leases()
     pair.exchange()
-    assert machine.dead and job.ends
+    assert machine.lost and job.pending_ends
 
 
 def test_a_machine_that_reports_and_hears_nothing_is_told_and_not_drawn() -> None:
@@ -172,25 +174,25 @@
     pair = Pair()
     pair.report(called=True)
     machine, machines, first = pair.machines.machines[0], pair.machines, pair.token
-    assert machines.drawable(machine)
+    assert machines.is_schedulable(machine)
     job, tokens = pair.place(), 0
     for second in range(40):
         pair.clock.at += 1.0
         sent = pair.exchange()
-        if sent or machine.unheard_do or machine.back is not None:
-            machines.unanswered(machine, machines.orders(machine, True), True)
+        if sent or machine.unanswered_commands or machine.unconfirmed_since is not None:
+            machines.on_command_unanswered(machine, machines.commands_for(machine, True), True)
         if machines.needs_new_token():
             machines.token += 1
             tokens += 1
         if second % 5 == 4:  # a report every 5 s, and its lease ends all the same
             pair.report(session=1 + second // 10, token=first)
-    assert tokens <= 3 and not machines.drawable(machine)
-    assert max(machines.deaf()) > 20.0
-    assert job.ends  # its session ended: proven
+    assert tokens <= 3 and not machines.is_schedulable(machine)
+    assert max(machines.unreachable_counts()) > 20.0
+    assert job.pending_ends  # its session ended: proven
     # Once it answers it is used again.
     pair.token = machines.token
     pair.report(session=5, called=True)
-    assert machines.drawable(machine) and machines.deaf() == []
+    assert machines.is_schedulable(machine) and machines.unreachable_counts() == []
 
 
 @pytest.mark.parametrize("sign", ["two calls without an answer", "a new session", "silence"])
@@ -199,20 +201,20 @@
     pair.report(called=True)
     machine, machines = pair.machines.machines[0], pair.machines
     for _ in range(2 if sign.startswith("two") else 0):
-        assert machines.drawable(machine)
-        machines.unanswered(machine, machines.orders(machine, True), True)
+        assert machines.is_schedulable(machine)
+        machines.on_command_unanswered(machine, machines.commands_for(machine, True), True)
     pair.clock.at += 9.0 if sign == "silence" else 0.5
     pair.report(session=2 if sign == "a new session" else 1)
-    assert not machines.drawable(machine)
+    assert not machines.is_schedulable(machine)
     pair.clock.at += 2.0
     assert machine in machines.reconcile()  # it is to be called
     pair.report(session=machine.session, called=True)
-    assert machines.drawable(machine)
+    assert machines.is_schedulable(machine)
 
 
 def test_only_few_that_hear_nothing_are_returned() -> None:
-    assert [may_return(n, 100) for n in (0, 1, 5, 6, 60)] == [0, 1, 5, 0, 0]
-    assert [may_return(n, 4) for n in (2, 3)] == [2, 0]
+    assert [releasable_count(n, 100) for n in (0, 1, 5, 6, 60)] == [0, 1, 5, 0, 0]
+    assert [releasable_count(n, 4) for n in (2, 3)] == [2, 0]
 
 
 def test_a_machine_back_at_once_counts_anew_only_by_an_answer_to_a_call() -> None:
@@ -224,33 +226,33 @@
     job = pair.place()
     pair.exchange()
     machine = machines.machines[0]
-    machine.doubt = 0
+    machine.unconfirmed_token = 0
     body = api.Report("vm-1", "x", "small", "b", 1, 3, 0)
-    assert machines.passed_over(body) and machine.ask
+    assert machines.is_stale_report(body) and machine.probe_needed
     assert machine in machines.reconcile()  # it is to be called
-    asked = machine.mark()
+    asked = machine.position()
     assert asked == (1, 40)
     # The answer may come before a start of its former life, which it must not know the token of,
     # or after, which must have stopped.
     held = api.ReportTask("j-000001/0", 1, "running")
     for token, tasks in ((6, []), (7, [held])):
         body = api.Report("vm-1", "x", "small", "b", 1, 4, token, tasks=tasks)
-        machines.take_report(body, False, asked)
-        assert machine.session == 1 and machines.needs_new_token() and not job.ends
-        orders = machines.orders(machine, True)
+        machines.apply_report(body, False, asked)
+        assert machine.session == 1 and machines.needs_new_token() and not job.pending_ends
+        orders = machines.commands_for(machine, True)
         assert [c.op for c in orders.commands] == [api.STOP] * len(tasks) and orders.session == 1
     machines.token = pair.token = 7
-    machines.take_report(api.Report("vm-1", "x", "small", "b", 1, 5, 7), False, asked)
-    assert machine.session == 2 and machines.orders(machine, True).session == 1
+    machines.apply_report(api.Report("vm-1", "x", "small", "b", 1, 5, 7), False, asked)
+    assert machine.session == 2 and machines.commands_for(machine, True).session == 1
     pair.exchange()
-    assert job.ends and machines.drawable(machine)
+    assert job.pending_ends and machines.is_schedulable(machine)
     # What comes late of its former life has lost: by its token.
-    assert machines.passed_over(api.Report("vm-1", "x", "small", "b", 1, 900, 6))
-    assert not machines.passed_over(api.Report("vm-1", "x", "small", "b", 1, 6, 7))
+    assert machines.is_stale_report(api.Report("vm-1", "x", "small", "b", 1, 900, 6))
+    assert not machines.is_stale_report(api.Report("vm-1", "x", "small", "b", 1, 6, 7))
     # A new holder learns from the lists that it has had more lives than it says.
     pair.held()
-    job.ends.clear()
-    job.places[0].session = 2
+    job.pending_ends.clear()
+    job.placements[0].session = 2
     pair.report(session=1, seq=8)
     assert pair.exchange() and pair.machines.machines[0].session == 2
 
@@ -287,9 +289,9 @@
     failing(failures, jobs, 5, well, elsewhere)
     for attempt in range(30):
         failures.error(5, jobs[0], attempt)
-    assert failures.sick(5) is sick, case
+    assert failures.is_faulty(5) is sick, case
     failures.done(5, 99)
-    assert not failures.sick(5)
+    assert not failures.is_faulty(5)
 
 
 def test_thousands_of_jobs_that_fail_everywhere_take_few_machines() -> None:
@@ -299,50 +301,63 @@
     rng = random.Random(4)
     for number in range(4000):
         vm = f"vm-{number % 40}"
-        why = "error" if vm == "vm-7" or rng.random() < 0.7 else "done"
-        job = f"j-{rng.randrange(3000):06d}" if why == "error" else f"j-{9000 + number:06d}"
-        tasks = [api.ReportTask(f"{job}/0", number, "exited", why)]
-        machines.take_report(api.Report(vm, "x", "small", "a", 1, number + 1, 3, tasks=tasks), True)
-        ill = [m.name for m in machines.machines.values() if m.sick is not None]
+        error = "error" if vm == "vm-7" or rng.random() < 0.7 else "done"
+        job = f"j-{rng.randrange(3000):06d}" if error == "error" else f"j-{9000 + number:06d}"
+        tasks = [api.ReportTask(f"{job}/0", number, "exited", error)]
+        machines.apply_report(
+            api.Report(vm, "x", "small", "a", 1, number + 1, 3, tasks=tasks), True
+        )
+        ill = [
+            machine.name
+            for machine in machines.machines.values()
+            if machine.faulty_since is not None
+        ]
         assert len(ill) <= 4
     for number in range(3):  # their holders say that these go well elsewhere
         job = f"j-{8000 + number:06d}"
-        machines._learn(pb.Job(id=job, known=FINE))
+        machines._learn_job(pb.Job(id=job, failure_evidence=FINE))
         tasks = [api.ReportTask(f"{job}/0", 1, "exited", "error")]
         body = api.Report("vm-7", "x", "small", "a", 1, 9000 + number, 3, tasks=tasks)
-        machines.take_report(body, True)
-    assert machines.machines[machines.world.machines.put("vm-7")].sick is not None
+        machines.apply_report(body, True)
+    assert machines.machines[machines.context.machine_names.intern("vm-7")].faulty_since is not None
 
 
 def test_the_chunks_with_most_in_them_are_written_first_and_the_lowest_with_them() -> None:
-    starts, ends = range(10 * CHUNK, 10 * CHUNK + 100), [n * CHUNK for n in range(8)]
-    assert densest([*starts, *ends], 3) == [0, 1, 10]
-    assert densest([*starts, *ends], 1) == [0] and densest([], 3) == []
+    starts, ends = (
+        range(10 * TASKS_PER_CHUNK, 10 * TASKS_PER_CHUNK + 100),
+        [n * TASKS_PER_CHUNK for n in range(8)],
+    )
+    assert densest_chunks([*starts, *ends], 3) == [0, 1, 10]
+    assert densest_chunks([*starts, *ends], 1) == [0] and densest_chunks([], 3) == []
 
 
 def test_starts_whose_room_is_gone_are_not_recorded() -> None:
     pair = Pair()
     job = pair.place()
-    place = job.places.pop(0)
-    place.until = pair.clock.at + 1.0
-    job.state[0] = 0
-    job.starts[0], job.versions[0] = place, 1
-    assert pair.jobs.draft(job) is not None
+    placement = job.placements.pop(0)
+    placement.reserved_until = pair.clock.at + 1.0
+    job.task_states[0] = 0
+    job.pending_starts[0], job.key_versions[0] = placement, 1
+    assert pair.jobs.draft_update(job) is not None
     pair.clock.at += 0.8
-    assert pair.jobs.draft(job) is None and job.pending(1) == [0]
+    assert pair.jobs.draft_update(job) is None and job.pending(1) == [0]
 
 
 def test_who_is_back_in_an_election_goes_on_counting_until_all_are_quiet() -> None:
     """A controller took a shard from one that is cut off and goes on answering its workers, died
     and was back at once: it took its own key over, and judged silence at once."""
     clock = Clock()
-    world = make_world(clock)
-    membership = Membership(world, None, None)  # type: ignore[arg-type]
-    taken = ShardValue(0, 7, world.wall_ms() + int(world.outage_s * 1000))
-    off_s = 2 * world.settings.settings.skew_ms / 1000
-    for later, left in ((0.3, world.outage_s), (5.3, world.outage_s - 5.3 + off_s), (60.0, 0.0)):
+    context = make_world(clock)
+    membership = Membership(context, None, None)  # type: ignore[arg-type]
+    taken = ShardValue(0, 7, context.wall_clock_ms() + int(context.outage_renewal_s * 1000))
+    off_s = 2 * context.settings.settings.skew_ms / 1000
+    for later, left in (
+        (0.3, context.outage_renewal_s),
+        (5.3, context.outage_renewal_s - 5.3 + off_s),
+        (60.0, 0.0),
+    ):
         clock.at = 1000.0 + later
-        assert abs(membership._left_s(taken) - min(left, world.outage_s)) < 1e-3
+        assert abs(membership._left_s(taken) - min(left, context.outage_renewal_s)) < 1e-3
     assert membership._left_s(ShardValue(0, 7)) == 0.0  # nobody was before
 
 
@@ -350,16 +365,16 @@
     """The holder was cut off from its workers and the third controller was down: a worker was back
     10 s after it was sent away, 2 s too late to be told, and was sent away each time."""
     clock = Clock()
-    node = Node(make_world(clock, zones=("a",) * 3, node=1))
+    node = Controller(make_world(clock, zones=("a",) * 3, node=1))
     names = [f"vm-{i}" for i in range(40)]
-    mine = [n for n in names if machine_shard(n, "a", ("a",) * 3) == 0]
-    node.membership.holders[0] = Holder(0, 7, 7)
-    node.peers.up = lambda n: n == 0  # type: ignore[method-assign, assignment]
+    mine = [n for n in names if shard_of_machine(n, "a", ("a",) * 3) == 0]
+    node.membership.owners[0] = ShardOwner(0, 7, 7)
+    node.peers.is_reachable = lambda n: n == 0  # type: ignore[method-assign, assignment]
     passed: list[float] = []
 
     async def call(to: int, ask: pb.Envelope, wait_s: float) -> pb.Envelope:
         passed.append(clock.at)
-        return pb.Envelope(forwarded=pb.Forwarded(status=200, body=b"{}"))
+        return pb.Envelope(forward_reply=pb.ForwardReply(status=200, body=b"{}"))
 
     node.peers.call = call  # type: ignore[method-assign, assignment]
 
@@ -369,7 +384,7 @@
             "host": name, "endpoint": "x:1", "build": "small", "roost": "a", "tenure": 1,
             "tally": int(clock.at * 100), "baton": 7, "chores": [],
         }  # fmt: skip
-        reply = curio.run(node.reports.take, msgspec.json.encode(body))
+        reply = curio.run(node.heartbeat_api.handle, msgspec.json.encode(body))
         return bool(reply.status == 421)
 
     report(mine[0])
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -68,7 +68,7 @@
 ) -> None:
     """By its record's first part alone an array's count fell as soon as its holder was away."""
     deck = Deck(4)
-    tasks = records.CHUNK + 20
+    tasks = records.TASKS_PER_CHUNK + 20
 
     async def drive() -> int:
         name = of_shard(0)
@@ -84,7 +84,7 @@
         await ask_all(deck, name)
         return before
 
-    assert play(monkeypatch, deck, drive()) > records.CHUNK
+    assert play(monkeypatch, deck, drive()) > records.TASKS_PER_CHUNK
 
 
 @pytest.mark.parametrize("end", ["done", "cancelled"])
@@ -111,7 +111,7 @@
         # The holder has forgotten it since, or is a new one: the record alone knows.
         for node in deck.nodes:
             for writer in node.writers.values():
-                writer.shard.finals.clear()
+                writer.shard.terminal_states.clear()
         await ask_all(deck, name)
         return deck.done[name], deck.told[name][0]
 
@@ -129,7 +129,7 @@
     async def drive() -> list[str]:
         await deck.run(4.0)
         name, client = of_shard(0), deck.clients[0]
-        plain = client.txn
+        plain = client.transact
 
         async def slow(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
             revision = await plain(conditions, changes, urgent)
@@ -137,7 +137,7 @@
                 await curio.sleep(1.5)
             return revision
 
-        client.txn = slow  # type: ignore[method-assign]
+        client.transact = slow  # type: ignore[method-assign]
         deck.asked.add(name)
         deck.jobs[name] = job_body(name)
         body = msgspec.json.encode(deck.jobs[name])
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -10,14 +10,14 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.api import job_api as users
-from starlingdeck.autoscaling import policy as fleet
-from starlingdeck.controller.controller import Node
+from starlingdeck.api import job_api
+from starlingdeck.autoscaling import policy
+from starlingdeck.controller.controller import Controller
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.records import JobRecord
-from starlingdeck.storage.state import put
+from starlingdeck.storage.state import put_change
 from starlingdeck.transport.client import Reply
 from starlingdeck.transport.server import Request
 from tests.support.builders import Clock, job_body, make_world, spec
@@ -30,16 +30,16 @@
 class StrictClient(PlainClient):
     """Holds callers to the state service's limits."""
 
-    async def txn(
+    async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
-        body = api.Txn([api.Condition(k, v) for k, v in conditions.items()], changes)
+        body = api.Transaction([api.Condition(k, v) for k, v in conditions.items()], changes)
         assert len(msgspec.json.encode(body)) <= TXN_BYTES and len(changes) <= 12
         for change in changes:
             key = change.put or change.delete or ""
             assert 0 < len(key.encode()) <= 200 and not any(c.isspace() for c in key)
             assert len(msgspec.json.encode(change.value)) <= VALUE_BYTES
-        return await super().txn(conditions, changes, urgent)
+        return await super().transact(conditions, changes, urgent)
 
 
 class Plain(Model):
@@ -67,11 +67,11 @@
         }
 
     async def start(self) -> None:
-        self.node = node = Node(make_world(self.clock, zones=("a",)))
-        node.state = node.users.state = node.membership.state = self.client  # type: ignore
-        node.membership.lease, node.membership.renewed = 1, self.clock.at
+        self.node = node = Controller(make_world(self.clock, zones=("a",)))
+        node.state = node.job_api.state = node.membership.state = self.client  # type: ignore
+        node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
         found = self.state.keys.get(records.shard_key(0), (b"", 0))[1]
-        node.membership.takes[0] = self.state.keys.get(records.hold_key(0), (b"", 0))[1]
+        node.membership.takes[0] = self.state.keys.get(records.takeover_key(0), (b"", 0))[1]
         await node.membership._take(0, found, 0.0)
 
         async def call(
@@ -84,7 +84,7 @@
         node.http.call = call  # type: ignore[method-assign]
         for _ in range(3):
             await curio.sleep(0)  # the shard is read
-        await node.step()  # reports wait for its first list
+        await node.reconcile()  # reports wait for its first list
 
     def body(self, address: str, report: api.Report) -> bytes:
         return msgspec.json.encode(msgspec.structs.replace(report, addr=address, type="big"))
@@ -107,7 +107,7 @@
         node = self.node
         for _ in range(times):
             self.clock.at += 0.3
-            node.membership.renewed = self.clock.at
+            node.membership.renewed_at = self.clock.at
             for address, worker in self.workers.items():
                 worker.expire(self.clock.at)
                 sent, session = self.clock.at, worker.session
@@ -117,19 +117,21 @@
                 assert status == 200, told
                 worker.answer(msgspec.convert(told, api.ReportReply), session, sent)
                 worker.progress(self.state.rng)
-            await node.planner.plan()
+            await node.planner.run_cycle()
             for _ in range(3):
                 await curio.sleep(0)
             for writer in node.writers.values():
                 while await writer.flush():
                     pass
-            await node.step()
+            await node.reconcile()
             await curio.sleep(0)
-            hello = pb.Hello.FromString(node.hello().SerializeToString())
-            await node.on_hello(0, hello)
+            gossip = pb.Gossip.FromString(node.build_gossip().SerializeToString())
+            await node.on_gossip(0, gossip)
             demands = node.planner.all_demands()
-            rooms = node.rooms.all()
-            fleet.wanted_asks(node.world, fleet.FleetState(), demands, rooms, [], [], self.clock.at)
+            candidates = node.candidates.candidates()
+            policy.plan_rentals(
+                node.context, policy.FleetState(), demands, candidates, [], [], self.clock.at
+            )
 
 
 NUMBERS = st.sampled_from(
@@ -171,7 +173,7 @@
         await site.go_round(12)
         await site.start()
         await site.go_round(12)
-        assert not site.node.world.quarantine.found
+        assert not site.node.context.quarantine.entries
         assert (await site.ask("GET", f"{api.JOBS}/{GOOD}"))[1]["status"] != api.QUEUED
         for n, status in enumerate(statuses):
             code, told = await site.ask("GET", f"{api.JOBS}/j-{n + 100}")
@@ -197,13 +199,13 @@
     async def drive() -> None:
         site = Site()
         record = JobRecord(spec("j-7", **fields), site.clock.wall_ms())
-        assert not site.state.apply({}, [put(records.job_key(0, "j-7"), record)])
+        assert not site.state.apply({}, [put_change(records.job_key(0, "j-7"), record)])
         await site.start()
         await site.go_round(2)
         await site.serves()
         status, told = await site.ask("GET", f"{api.JOBS}/j-7")
         assert status == 200
-        assert ("fault" in told) == bool(site.node.world.quarantine.why("job", "j-7"))
+        assert ("fault" in told) == bool(site.node.context.quarantine.reason("job", "j-7"))
         # The same submission once more is not refused: it was accepted.
         assert await site.submit(uid="j-7", **fields) == 200
 
@@ -214,16 +216,16 @@
     async def drive() -> None:
         site = Site()
         for key in (records.job_key(0, "j-7"), records.chunk_key(0, "j-8", 1)):
-            assert not site.state.apply({}, [put(key, {"spec": 7, "tries": 7})])
+            assert not site.state.apply({}, [put_change(key, {"spec": 7, "tries": 7})])
         assert not site.state.apply(
-            {}, [put(records.job_key(0, "j-8"), JobRecord(spec("j-8", chores=300), 0))]
+            {}, [put_change(records.job_key(0, "j-8"), JobRecord(spec("j-8", chores=300), 0))]
         )
         await site.start()
         await site.serves()
         assert (await site.ask("GET", f"{api.JOBS}/j-7"))[0] == 503
         # What runs of a job is not known when a part of it can't be read: it starts nothing.
         assert all("j-8/" not in name for w in site.workers.values() for name in w.completed)
-        found = {name for _, name in site.node.world.quarantine.found}
+        found = {name for _, name in site.node.context.quarantine.entries}
         assert found == {records.job_key(0, "j-7"), records.chunk_key(0, "j-8", 1), "j-7"}
 
     curio.run(drive)
@@ -267,10 +269,10 @@
             status, _ = await site.ask("POST", api.REPORT, msgspec.json.encode(report))
             assert status in (200, 400, 421, 503)  # 503: no news of a first session
         site.clock.at += 30.0
-        site.node.membership.renewed = site.clock.at
+        site.node.membership.renewed_at = site.clock.at
         assert await site.submit(uid="j-000002", chores=1) == 201
         await site.go_round(20)
-        assert not site.node.world.quarantine.found
+        assert not site.node.context.quarantine.entries
         assert (await site.ask("GET", f"{api.JOBS}/j-000002"))[1]["status"] != api.QUEUED
 
     curio.run(drive)
@@ -282,11 +284,11 @@
         await site.start()
         await site.go_round(2)
         machines = site.node.machines[0]
-        bad = machines.machines[site.node.world.machines.put("vm-1")]
+        bad = machines.machines[site.node.context.machine_names.intern("vm-1")]
         bad.type = None  # type: ignore[assignment]
-        machines.touch(bad.index)
+        machines.mark_changed(bad.index)
         await site.serves()
-        assert list(site.node.world.quarantine.found) == [("machine", "vm-1")]
+        assert list(site.node.context.quarantine.entries) == [("machine", "vm-1")]
 
     curio.run(drive)
 
@@ -294,21 +296,23 @@
 @pytest.mark.parametrize(
     "message",
     [
-        pb.Envelope(view=pb.View(shard=9, gen=1, seq=1, whole=True)),
-        pb.Envelope(wants=pb.Wants(to_gen=1, whole=True, items=[pb.Want(job=3)])),
-        pb.Envelope(hello=pb.Hello(holdings=[pb.Holding(shard=7, node=9, token=1 << 60)])),
-        pb.Envelope(hello=pb.Hello(needs=[pb.QuotaNeed(team=99, shard=9, cpus=1e308)])),
-        pb.Envelope(hello=pb.Hello(demands=[pb.Demand(cpus=float("inf"), count=1)])),
-        pb.Envelope(hello=pb.Hello(demands=[pb.Demand(cpus=float("nan"), count=0)])),
-        pb.Envelope(hello=pb.Hello(jobs=[pb.TeamJob(team=99, cpus=float("nan"))])),
+        pb.Envelope(snapshot=pb.Snapshot(shard=9, epoch=1, seq=1, full=True)),
+        pb.Envelope(
+            desired_state=pb.DesiredState(to_epoch=1, full=True, tasks=[pb.DesiredTask(job=3)])
+        ),
+        pb.Envelope(gossip=pb.Gossip(ownerships=[pb.Ownership(shard=7, node=9, token=1 << 60)])),
+        pb.Envelope(gossip=pb.Gossip(quota_needs=[pb.QuotaNeed(team=99, shard=9, cpus=1e308)])),
+        pb.Envelope(gossip=pb.Gossip(demands=[pb.Demand(cpus=float("inf"), count=1)])),
+        pb.Envelope(gossip=pb.Gossip(demands=[pb.Demand(cpus=float("nan"), count=0)])),
+        pb.Envelope(gossip=pb.Gossip(team_jobs=[pb.TeamJob(team=99, cpus=float("nan"))])),
     ],
 )
 def test_what_peers_say_stops_nothing(message: pb.Envelope) -> None:
     async def drive() -> None:
         site = Site()
         await site.start()
-        if message.HasField("wants"):
-            message.wants.to_gen = site.node.machines[0].gen
+        if message.HasField("desired_state"):
+            message.desired_state.to_epoch = site.node.machines[0].epoch
         with contextlib.suppress(LookupError, ValueError):  # its link ends: `Peers.serve`
             await site.node.on_message(message)
         await site.serves()
@@ -330,10 +334,10 @@
     async def drive() -> None:
         site = Site()
         await site.start()
-        before = dict(site.node.world.types)
-        site.node.world.learn_types([kind])
-        assert site.node.world.types == before
-        assert list(site.node.world.quarantine.found) == [("machine type", "odd")]
+        before = dict(site.node.context.machine_types)
+        site.node.context.update_machine_types([kind])
+        assert site.node.context.machine_types == before
+        assert list(site.node.context.quarantine.entries) == [("machine type", "odd")]
         await site.serves()
 
     curio.run(drive)
@@ -375,7 +379,7 @@
         ({"guess_s": 1e10}, "guess_s.*1000000000"),
         ({"due_s": 1e300}, "due_s"),
     ):
-        with pytest.raises(api.FieldFault, match=names):
+        with pytest.raises(api.ValidationError, match=names):
             api.decode_job(msgspec.json.encode(job_body(**change)))
     wide = spec(builds=["é" * 120] * 60)
-    assert "of 4000 allowed" in users.too_large(make_world(Clock()), wide)
+    assert "of 4000 allowed" in job_api.oversize_reason(make_world(Clock()), wide)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from standins.scale.troubles import Sample, Troubles, longest_gap, recovery
 from standins.state import State
 from starlingdeck.protocol import api
-from starlingdeck.protocol.config import Fault
+from starlingdeck.protocol.config import ConfigError
 from starlingdeck.transport.server import Request
 
 JOB = workload.job_id(workload.ARRAY, 7, 10.0, 1)
@@ -138,7 +138,7 @@
 
 # --- hollow workers follow the protocol
 
-START, STOP, FORGET = api.START, api.STOP, api.FORGET
+START, STOP, FORGET = api.START, api.STOP, api.REAP
 COMMANDS: list[tuple[str, list[tuple[str, int]], list[tuple[int, str, str | None]]]] = [
     ("start", [(START, 1)], [(1, "fetching", None)]),
     ("repeated", [(START, 1), (START, 1)], [(1, "fetching", None)]),
@@ -217,9 +217,9 @@
 ) -> None:
     path = tmp_path / "plan.toml"
     path.write_text(text)
-    with pytest.raises(Fault) as fault:
+    with pytest.raises(ConfigError) as error:
         load(path)
-    told = "\n".join(fault.value.lines)
+    told = "\n".join(error.value.lines)
     assert all(one in told for one in faults), told
 
 
@@ -403,9 +403,9 @@
     assert [plan.starts(rung) for rung in plan.rungs] == [30.0, 7.0]
 
 
-def bind_below(sock: socket.socket, most: int) -> int:
+def bind_below(sock: socket.socket, limit: int) -> int:
     """Bind to the highest free port under `most`, which no outgoing connection has."""
-    for port in range(most - 1, most - 1000, -1):
+    for port in range(limit - 1, limit - 1000, -1):
         try:
             sock.bind(("127.0.0.1", port))
         except OSError:
@@ -434,12 +434,12 @@
     assert "ended by itself" not in done.stderr
 
 
-@pytest.mark.parametrize(("line", "most"), [("", 1000), ("max_connections = 2002", 2002)])
+@pytest.mark.parametrize(("line", "limit"), [("", 1000), ("max_connections = 2002", 2002)])
 def test_a_plan_may_set_the_connections_of_a_controller(
-    tmp_path: Path, line: str, most: int
+    tmp_path: Path, line: str, limit: int
 ) -> None:
     path = tmp_path / "plan.toml"
     path.write_text(f"[limits]\n{line}\n[[rungs]]\nworkers = 100\n")
     plan = load(path)
     settings = Site(plan, plan.rungs[0], tmp_path).controller_settings(0)
-    assert settings["settings"]["machine_limits"]["max_connections"] == most
+    assert settings["settings"]["machine_limits"]["max_connections"] == limit
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -7,11 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.cluster import sharding as shards
+from starlingdeck.cluster import sharding
 from starlingdeck.jobs.job import new_job
-from starlingdeck.machines import descheduling as shedding
-from starlingdeck.machines import scoring as placement
-from starlingdeck.machines.scoring import Room
+from starlingdeck.machines import descheduling, scoring
+from starlingdeck.machines.scoring import Candidate
 from starlingdeck.protocol.config import Objective, Team
 from starlingdeck.scheduling import scheduler
 from starlingdeck.scheduling.scheduler import TeamJob
@@ -31,24 +30,33 @@
 def test_start_takes_the_best_machine_that_fits(
     machines: list[tuple[float, float, bool]], size: float
 ) -> None:
-    rooms = [
-        Room(i, 0, 0, False, 0, (8.0, 0.0, 8.0), [c, 0.0, m], images={"img"} if image else set())
+    candidates = [
+        Candidate(
+            i, 0, 0, False, 0, (8.0, 0.0, 8.0), [c, 0.0, m], images={"img"} if image else set()
+        )
         for i, (c, m, image) in enumerate(machines)
     ]
     need = (size, 0.0, size)
-    got = placement.Draw(rooms, need, lambda r: r.fetch_s("img", 2.0), 200, random.Random(1)).best(
-        lambda room: True
-    )
-    fitting = [r for r in rooms if r.free[0] >= size and r.free[2] >= size]
+    got = scoring.CandidateSample(
+        candidates, need, lambda candidate: candidate.fetch_s("img", 2.0), 200, random.Random(1)
+    ).best(lambda room: True)
+    fitting = [
+        candidate
+        for candidate in candidates
+        if candidate.available[0] >= size and candidate.available[2] >= size
+    ]
     if not fitting:
         assert got is None
         return
-    cached = [r for r in fitting if "img" in r.images] or fitting
+    cached = [candidate for candidate in fitting if "img" in candidate.images] or fitting
     best = max(
-        plain_start_score([8 - r.free[0] + size, 8 - r.free[2] + size], [8.0, 8.0]) for r in cached
+        plain_start_score(
+            [8 - candidate.available[0] + size, 8 - candidate.available[2] + size], [8.0, 8.0]
+        )
+        for candidate in cached
     )
     assert got is not None and got in cached
-    assert abs(placement.start_score(got.shares_with(need)) - best) < 1e-9
+    assert abs(scoring.start_score(got.utilization_with(need)) - best) < 1e-9
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -58,10 +66,10 @@
 ) -> None:
     total = (10.0, 0.0, 100.0)
     tasks = [
-        shedding.Load(i, (c, 0.0, 1.0), float(cost), pinned)
+        descheduling.RunningTask(i, (c, 0.0, 1.0), float(cost), pinned)
         for i, (c, cost, pinned) in enumerate(loads)
     ]
-    got = shedding.pick(total, tasks, 25, 5, 6, random.Random(1))
+    got = descheduling.choose_tasks(total, tasks, 25, 5, 6, random.Random(1))
     left = sum(t.size[0] for t in tasks if t.key not in got)
     movable = [t.key for t in tasks if not t.pinned]
     possible = any(
@@ -77,12 +85,14 @@
 
 
 def test_refit_draws_machines_with_room_before_forced_ones() -> None:
-    rooms = [Room(i, 0, 0, False, 0, (8.0, 0.0, 8.0), [float(i), 0.0, 8.0]) for i in range(9)]
-    got = placement.choose_refit(rooms, (2.0, 0.0, 2.0), 2000, 15, random.Random(3))
-    open_ = [r.index for r in got if r.free[0] >= 2]
-    assert sorted(r.index for r in got) == list(range(9)) and len(open_) == 7
+    candidates = [
+        Candidate(i, 0, 0, False, 0, (8.0, 0.0, 8.0), [float(i), 0.0, 8.0]) for i in range(9)
+    ]
+    got = scoring.choose_refit(candidates, (2.0, 0.0, 2.0), 2000, 15, random.Random(3))
+    open_ = [candidate.index for candidate in got if candidate.available[0] >= 2]
+    assert sorted(candidate.index for candidate in got) == list(range(9)) and len(open_) == 7
     # Forced candidates, fitting only by total room, come last.
-    assert [r.index for r in got][: len(open_)] == open_
+    assert [candidate.index for candidate in got][: len(open_)] == open_
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -91,11 +101,11 @@
     jobs: list[tuple[int, int, int]],
 ) -> None:
     """A backlog of normal work took up its team's guarantee, and its urgent work waited."""
-    world = make_world(Clock())
+    context = make_world(Clock())
     found = [TeamJob(0, at, f"j-{i}", float(c), 0.0, r) for i, (at, c, r) in enumerate(jobs)]
-    inside = scheduler.guaranteed_jobs(world, found)
+    inside = scheduler.guaranteed_jobs(context, found)
     total = 0.0
-    for job in sorted(found, key=lambda j: (-j.rank, j.at_ms, j.id)):
+    for job in sorted(found, key=lambda j: (-j.rank, j.submitted_ms, j.id)):
         total += job.cpus
         assert (job.id in inside) == (total <= 8.0)
 
@@ -111,74 +121,82 @@
     jobs: list[tuple[int, int, int, int]],
 ) -> None:
     """Each tells only its jobs that bear on them; together they say the same as all jobs."""
-    world = make_world(Clock())
+    context = make_world(Clock())
     found = [
         TeamJob(team, at, f"j-{i:02d}", float(cpus), 0.0, rank)
         for i, (team, at, cpus, rank) in enumerate(jobs)
     ]
-    told = [j for part in range(3) for j in scheduler.bearing_jobs(world, found[part::3])]
-    assert scheduler.guaranteed_jobs(world, told) == scheduler.guaranteed_jobs(world, found)
+    told = [
+        j for part in range(3) for j in scheduler.guarantee_relevant_jobs(context, found[part::3])
+    ]
+    assert scheduler.guaranteed_jobs(context, told) == scheduler.guaranteed_jobs(context, found)
 
 
 def test_a_guarantee_is_its_own_teams() -> None:
     """The first team's lack of one was taken for the second's: it had all processors."""
-    world = make_world(Clock())
+    context = make_world(Clock())
     teams = [Team("red"), Team("blue", cpus=8.0)]
-    deployment = msgspec.structs.replace(world.settings.settings, teams=teams)
-    world.settings = msgspec.structs.replace(world.settings, settings=deployment)
+    deployment = msgspec.structs.replace(context.settings.settings, teams=teams)
+    context.settings = msgspec.structs.replace(context.settings, settings=deployment)
     found = [TeamJob(1, i, f"j-{i}", 6.0, 0.0) for i in range(2)]
-    assert scheduler.guaranteed_jobs(world, found) == {"j-0"}
+    assert scheduler.guaranteed_jobs(context, found) == {"j-0"}
 
 
 def test_a_machine_stays_with_a_controller_of_its_zone() -> None:
     zones = ["a", "b", "a"]
     for i in range(50):
-        assert zones[shards.machine_shard(f"vm-{i}", "b", zones)] == "b"
-        assert zones[shards.machine_shard(f"vm-{i}", "a", zones)] == "a"
-    assert {shards.machine_shard(f"vm-{i}", "c", zones) for i in range(50)} == {0, 1, 2}
-    assert shards.heirs(0, zones, [1, 2]) == [2, 1]
+        assert zones[sharding.shard_of_machine(f"vm-{i}", "b", zones)] == "b"
+        assert zones[sharding.shard_of_machine(f"vm-{i}", "a", zones)] == "a"
+    assert {sharding.shard_of_machine(f"vm-{i}", "c", zones) for i in range(50)} == {0, 1, 2}
+    assert sharding.failover_candidates(0, zones, [1, 2]) == [2, 1]
 
 
 def test_spread_keeps_at_most_half_rounded_up_in_a_zone() -> None:
-    world = make_world(Clock())
-    job = new_job(world, spec(chores=5, spread=True, cores=1.0), 0, 0)
-    rooms = [
-        Room(0, world.type_names.put("big"), 0, False, 0, (16.0, 0.0, 64.0), [16.0, 0.0, 64.0]),
-        Room(1, world.type_names.put("big"), 1, False, 1, (16.0, 0.0, 64.0), [3.0, 0.0, 64.0]),
+    context = make_world(Clock())
+    job = new_job(context, spec(chores=5, spread=True, cores=1.0), 0, 0)
+    candidates = [
+        Candidate(
+            0, context.type_names.intern("big"), 0, False, 0, (16.0, 0.0, 64.0), [16.0, 0.0, 64.0]
+        ),
+        Candidate(
+            1, context.type_names.intern("big"), 1, False, 1, (16.0, 0.0, 64.0), [3.0, 0.0, 64.0]
+        ),
     ]
-    picks, _ = scheduler.plan(world, [job], rooms, lambda j: 99, 99)
-    zones = [p.room.zone for p in picks]
+    decisions, _ = scheduler.schedule(context, [job], candidates, lambda j: 99, 99)
+    zones = [p.candidate.zone for p in decisions]
     assert len(zones) == 5 and max(zones.count(0), zones.count(1)) == 3
 
 
 def test_work_with_an_aim_on_waiting_asks_once_for_room_beside_its_image() -> None:
-    world = make_world(Clock())
-    world.settings.settings.objectives.append(Objective("wait", "batch", 1.0, 0.8))
-    job = new_job(world, spec(chores=1, rank="prod", image_gb=8.0), 0, 0)
+    context = make_world(Clock())
+    context.settings.settings.objectives.append(Objective("wait", "batch", 1.0, 0.8))
+    job = new_job(context, spec(chores=1, rank="prod", image_gb=8.0), 0, 0)
     total = (16.0, 0.0, 64.0)
-    kind = world.type_names.put("big")
-    full = Room(
+    kind = context.type_names.intern("big")
+    full = Candidate(
         0, kind, 0, False, 0, total, [0.0, 0.0, 8.0], images={"img"}, youngest_s=[-1, 5, -1, -1]
     )
     # Has the image too, and nothing that may be stopped.
-    stuck = Room(
+    stuck = Candidate(
         2, kind, 0, False, 0, total, [0.0, 0.0, 8.0], images={"img"}, youngest_s=[-1, -1, -1, 5]
     )
-    empty = Room(1, kind, 0, False, 0, total, [16.0, 0.0, 64.0])
-    first, _ = scheduler.plan(world, [job], [stuck, full, empty], lambda j: 9, 9)
-    assert [(p.room.index, p.preempt) for p in first] == [(0, True)]
-    job.asking.clear()
-    again, _ = scheduler.plan(world, [job], [stuck, full, empty], lambda j: 9, 9)
-    assert [(p.room.index, p.preempt) for p in again] == [(1, False)]
-    calm = new_job(world, spec("j-2", chores=1, rank="normal", image_gb=8.0), 0, 0)
-    picks, _ = scheduler.plan(world, [calm], [full, empty], lambda j: 9, 9)
-    assert [(p.room.index, p.preempt) for p in picks] == [(1, False)]
+    empty = Candidate(1, kind, 0, False, 0, total, [16.0, 0.0, 64.0])
+    first, _ = scheduler.schedule(context, [job], [stuck, full, empty], lambda j: 9, 9)
+    assert [(p.candidate.index, p.preempt) for p in first] == [(0, True)]
+    job.reserving.clear()
+    again, _ = scheduler.schedule(context, [job], [stuck, full, empty], lambda j: 9, 9)
+    assert [(p.candidate.index, p.preempt) for p in again] == [(1, False)]
+    calm = new_job(context, spec("j-2", chores=1, rank="normal", image_gb=8.0), 0, 0)
+    decisions, _ = scheduler.schedule(context, [calm], [full, empty], lambda j: 9, 9)
+    assert [(p.candidate.index, p.preempt) for p in decisions] == [(1, False)]
 
 
 def test_one_zone_job_never_leaves_its_first_zone() -> None:
-    world = make_world(Clock())
-    job = new_job(world, spec(chores=4, same_place=True), 0, 0)
-    rooms = [Room(i, 0, i, False, i, (16.0, 0.0, 64.0), [4.0, 0.0, 64.0]) for i in range(2)]
-    picks, waiting = scheduler.plan(world, [job], rooms, lambda j: 99, 99)
-    assert len({p.room.zone for p in picks}) == 1 and len(picks) == 2
+    context = make_world(Clock())
+    job = new_job(context, spec(chores=4, same_place=True), 0, 0)
+    candidates = [
+        Candidate(i, 0, i, False, i, (16.0, 0.0, 64.0), [4.0, 0.0, 64.0]) for i in range(2)
+    ]
+    decisions, waiting = scheduler.schedule(context, [job], candidates, lambda j: 99, 99)
+    assert len({p.candidate.zone for p in decisions}) == 1 and len(decisions) == 2
     assert waiting and waiting[0][0] is job
--- a/tests/test_status_answers.py
+++ b/tests/test_status_answers.py
@@ -8,17 +8,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.cluster.membership import Holder
-from starlingdeck.cluster.peers import PeerDown
-from starlingdeck.cluster.sharding import job_shard
-from starlingdeck.controller.controller import Node
-from starlingdeck.jobs.job import Place
+from starlingdeck.cluster.membership import ShardOwner
+from starlingdeck.cluster.peers import PeerUnavailableError
+from starlingdeck.cluster.sharding import shard_of_job
+from starlingdeck.controller.controller import Controller
+from starlingdeck.jobs.job import TaskPlacement
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import Writer
+from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
-from starlingdeck.storage.state import StateError, StateUnknown, put
+from starlingdeck.storage.state import OutcomeUnknownError, StateError, put_change
 from starlingdeck.transport.server import Request, Response
 from tests.support.builders import Clock, job_body, make_world
 from tests.support.reference_model import PlainClient, PlainState
@@ -27,7 +27,7 @@
 TTL_S = 2.5
 FORGOTTEN_S = 75.0  # the operators' bound on a job's questions without an answer
 JOB = "j-000001"
-SHARD = job_shard(JOB, NODES)
+SHARD = shard_of_job(JOB, NODES)
 
 
 class Deck:
@@ -44,14 +44,14 @@
         self.told = ""
         self.known = False
 
-    def start(self, number: int) -> Node:
-        node = Node(make_world(self.clock, node=number))
-        node.state = node.users.state = self.clients[number]  # type: ignore[assignment]
-        node.membership.lease, node.membership.renewed = 1, self.clock.at
+    def start(self, number: int) -> Controller:
+        node = Controller(make_world(self.clock, node=number))
+        node.state = node.job_api.state = self.clients[number]  # type: ignore[assignment]
+        node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
             if not up(to):
-                raise PeerDown("parted")
+                raise PeerUnavailableError("parted")
             reply = await self.nodes[to].on_message(envelope)
             assert reply is not None
             return reply
@@ -60,20 +60,20 @@
             return frozenset((number, to)) not in self.parted
 
         node.peers.call = call  # type: ignore[method-assign, assignment]
-        node.peers.up = up  # type: ignore[method-assign, assignment]
+        node.peers.is_reachable = up  # type: ignore[method-assign, assignment]
         return node
 
     async def tick(self, seconds: float) -> None:
         """Leases, takeovers, and the watches of those that hear."""
         self.clock.at += seconds
         for number, node in enumerate(self.nodes):
-            if self.clock.at > node.membership.renewed + TTL_S:
+            if self.clock.at > node.membership.renewed_at + TTL_S:
                 node.writers.clear()
                 if number == self.holder:
                     self.holder = -1
                     del self.state.keys[records.shard_key(SHARD)]
             if not self.clients[number].cut:
-                node.membership.renewed = self.clock.at
+                node.membership.renewed_at = self.clock.at
         if self.holder < 0:
             await self.take_over()
         for number in set(range(NODES)) - self.deaf:
@@ -85,23 +85,25 @@
         if not able:
             return
         self.holder = first if first in able else able[0]
-        gen = self.state.rng.getrandbits(40)
-        change = put(records.shard_key(SHARD), records.ShardValue(self.holder, gen))
+        epoch = self.state.rng.getrandbits(40)
+        change = put_change(records.shard_key(SHARD), records.ShardValue(self.holder, epoch))
         assert not self.state.apply({records.shard_key(SHARD): 0}, [change])
         node, token = self.nodes[self.holder], self.state.epoch
-        writer = Writer(node.world, node.state, JobShard(node.world, SHARD, token, gen))
+        writer = RecordWriter(node.context, node.state, JobShard(node.context, SHARD, token, epoch))
         node.writers[SHARD] = writer
         await node._load(writer)
         for other in self.nodes:
-            other.membership.holders[SHARD] = Holder(self.holder, token, gen)
+            other.membership.owners[SHARD] = ShardOwner(self.holder, token, epoch)
 
     async def hear(self, number: int) -> None:
         """The notes that its watch would have brought."""
         writer = self.nodes[number].writers.get(SHARD)
-        prefix = records.inbox_key(SHARD, "")
+        prefix = records.mailbox_key(SHARD, "")
         for key, (_, version) in list(self.state.keys.items()):
             if key.startswith(prefix) and writer is not None and writer.shard.loaded:
-                await self.nodes[number].inbox.act(writer, key[len(prefix) :], key, version)
+                await self.nodes[number].mailbox.handle_entry(
+                    writer, key[len(prefix) :], key, version
+                )
 
     async def act(self, verb: str, number: int, other: int) -> None:
         client, node = self.clients[number], self.nodes[number]
@@ -158,22 +160,26 @@
             return
         node = self.nodes[self.holder]
         writer = node.writers[SHARD]
-        job = writer.shard.jobs.get(node.world.jobs.get(JOB) or 0)
-        if job is None or not node.membership.valid():
+        job = writer.shard.jobs.get(node.context.job_names.find(JOB) or 0)
+        if job is None or not node.membership.lease_is_valid():
             return
-        if not job.places and not job.cancelled:
-            job.places[0] = Place(
-                node.world.machines.put("vm-1"), 1, 1, 0, node.world.zones.put("a")
+        if not job.placements and not job.cancelled:
+            job.placements[0] = TaskPlacement(
+                node.context.machine_names.intern("vm-1"),
+                1,
+                1,
+                0,
+                node.context.zone_names.intern("a"),
             )
-        if job.places:
-            job.ends[0] = api.W_DONE
-        writer.shard.dirty.add(job.index)
+        if job.placements:
+            job.pending_ends[0] = api.W_DONE
+        writer.shard.dirty_jobs.add(job.index)
         try:
             await writer.flush()
         except StateError:
             return
 
-    async def ask(self, node: Node, method: str, path: str, body: bytes) -> None:
+    async def ask(self, node: Controller, method: str, path: str, body: bytes) -> None:
         reply: Response = await node.serve(Request(method, path, body))
         if reply.status == 404 and path != api.JOBS:
             assert not self.known, "a job once accepted is unknown"
@@ -257,13 +263,13 @@
         holder = deck[0].holder
         far = (holder + 1) % NODES
         client = deck[0].clients[holder]
-        apply = client.txn
+        apply = client.transact
 
         async def mute(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
             await apply(conditions, changes, urgent)
-            raise StateUnknown("no answer")
+            raise OutcomeUnknownError("no answer")
 
-        client.txn = mute  # type: ignore[method-assign]
+        client.transact = mute  # type: ignore[method-assign]
         await deck[0].finish()
         deck[0].parted.add(frozenset((holder, far)))
         await deck[0].act("look", far, 0)
@@ -299,8 +305,8 @@
             return found
 
         if when == "heard":
-            note = {records.inbox_key(SHARD, JOB): 0}
-            assert not deck[0].state.apply(note, [put(records.inbox_key(SHARD, JOB), 1)])
+            note = {records.mailbox_key(SHARD, JOB): 0}
+            assert not deck[0].state.apply(note, [put_change(records.mailbox_key(SHARD, JOB), 1)])
             client.get = and_then  # type: ignore[method-assign, assignment]
             await deck[0].hear(former)
         else:
@@ -310,7 +316,7 @@
             await deck[0].tick(TTL_S + 1.0)
             writer = deck[0].nodes[deck[0].holder].writers[SHARD]
         (job,) = writer.shard.jobs.values()
-        assert job.cancelled or records.inbox_key(SHARD, JOB) in deck[0].state.keys
+        assert job.cancelled or records.mailbox_key(SHARD, JOB) in deck[0].state.keys
         assert job.cancelled == (when == "read")
 
     curio.run(drive)
@@ -323,7 +329,7 @@
     async def drive() -> tuple[int, bool]:
         await play(deck[0], [("submit", 0, 0, 0.5)])
         node = deck[0].nodes[deck[0].holder]
-        writer, key = node.writers[SHARD], records.inbox_key(SHARD, JOB)
+        writer, key = node.writers[SHARD], records.mailbox_key(SHARD, JOB)
         reads = 0
         plain = writer.reload
 
@@ -336,17 +342,18 @@
         await writer.lock.acquire()
         tasks = []
         for _ in range(5):
-            deck[0].state.apply({}, [put(key, 1)])
+            deck[0].state.apply({}, [put_change(key, 1)])
             version = deck[0].state.epoch
             tasks += [
-                await curio.spawn(node.inbox.act, writer, JOB, key, version) for _ in range(9)
+                await curio.spawn(node.mailbox.handle_entry, writer, JOB, key, version)
+                for _ in range(9)
             ]
         async with curio.ignore_after(0.02):
             await curio.Event().wait()
         await writer.lock.release()
         for task in tasks:
             await task.join()
-        return reads, key in deck[0].state.keys or bool(node.inbox.notes)
+        return reads, key in deck[0].state.keys or bool(node.mailbox.entries)
 
     assert curio.run(drive) == (1, False)
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -8,12 +8,17 @@
 import pytest
 from curio import socket
 
-from starlingdeck.cluster.peers import PeerDown, Peers
-from starlingdeck.controller.controller import Node
+from starlingdeck.cluster.peers import Peers, PeerUnavailableError
+from starlingdeck.controller.controller import Controller
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.storage.state import Conflict, StateClient, StateLimit, drop
+from starlingdeck.storage.state import (
+    RequestBudget,
+    StateClient,
+    TransactionConflictError,
+    delete_change,
+)
 from starlingdeck.transport.client import HttpClient, Reply
-from starlingdeck.transport.frames import MAX_FRAME, FrameLink, LinkBusy, dial
+from starlingdeck.transport.frames import MAX_FRAME, FrameLink, LinkBusyError, dial
 from starlingdeck.transport.server import HttpServer, Request, Response, listen
 from tests.support.builders import Clock, make_world
 from tests.support.ports import free_port
@@ -41,7 +46,7 @@
 
 def test_a_call_ends_with_its_link() -> None:
     """Submissions passed on to a controller that crashed waited 1 s for nothing."""
-    node = Node(make_world(Clock()))
+    node = Controller(make_world(Clock()))
 
     async def cut() -> str:
         crash = curio.Event()
@@ -58,9 +63,9 @@
         node.peers.links[1] = link
         reader = await curio.spawn(node.peers._read_replies, 1, link)
         try:
-            await node.peers.call(1, pb.Envelope(forward=pb.Forward()), 1.0)
-        except PeerDown as why:
-            return str(why)
+            await node.peers.call(1, pb.Envelope(forward_request=pb.ForwardRequest()), 1.0)
+        except PeerUnavailableError as error:
+            return str(error)
         finally:
             await reader.join()
         return ""
@@ -77,10 +82,10 @@
             return Reply(409, b'{"failed":["a/b"],"epoch":431}', None)
 
     clock = Clock()
-    limit = StateLimit(100.0, 100.0, 1, clock.now)
+    limit = RequestBudget(100.0, 100.0, 1, clock.now)
     client = StateClient(Http(), "127.0.0.1:1", limit, clock.now)  # type: ignore[arg-type]
-    with pytest.raises(Conflict) as caught:
-        curio.run(client.txn, {"a/b": 3}, [drop("a/b")])
+    with pytest.raises(TransactionConflictError) as caught:
+        curio.run(client.transact, {"a/b": 3}, [delete_change("a/b")])
     assert caught.value.failed == ["a/b"]
 
 
@@ -125,12 +130,12 @@
         async def failing(node: int, envelope: pb.Envelope) -> None:
             numbers.append(peers.links[node].sock.fileno())
             await curio.sleep(0.05)  # the reader waits by now
-            raise PeerDown("no time left")
+            raise PeerUnavailableError("no time left")
 
         async def nothing(*_: object) -> None:
             pass
 
-        peers = Peers(make_world(Clock()), nothing, pb.Hello, nothing)  # type: ignore[arg-type]
+        peers = Peers(make_world(Clock()), nothing, pb.Gossip, nothing)  # type: ignore[arg-type]
         peers.send = failing  # type: ignore[method-assign]
         task = await curio.spawn(peers._keep_link, 1, address, daemon=True)
         await curio.sleep(0.2)
@@ -176,9 +181,9 @@
     other = FrameLink(client)
     take = client.recv
 
-    async def recv(most: int) -> bytes:
+    async def recv(limit: int) -> bytes:
         await curio.sleep(pause_s)
-        data: bytes = await take(most)
+        data: bytes = await take(limit)
         return data
 
     client.recv = recv
@@ -192,9 +197,9 @@
     async def drive() -> None:
         link, other = await slow_link(0.02)
         drain = await curio.spawn(link.drain, 0.2, daemon=True)
-        await link.post(bytes(2_000_000))
+        await link.enqueue(bytes(2_000_000))
         await curio.sleep(0.05)
-        with pytest.raises(LinkBusy):
+        with pytest.raises(LinkBusyError):
             await link.send(b"late", 0.05)
         began = clock()
         async with curio.timeout_after(20.0):
