--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -52,14 +52,17 @@
     rows: int
 
     def at(self, value: float) -> float:
+        """The line's value."""
         return self.base + self.slope * value
 
     def mark(self, value: float) -> str:
+        """How far a value lies outside of what was measured."""
         times = value / self.seen
         return "measured" if times <= 1.05 else f"extrapolated ×{times:.1f}"
 
 
 def fit(rows: list[Row], over: str, quantity: Callable[[Row], float]) -> Slope:
+    """The line through the rows, by least squares."""
     x = [float(row[over]) for row in rows]
     line = statistics.linear_regression(x, [quantity(row) for row in rows])
     return Slope(line.intercept, line.slope, max(x), len(rows))
@@ -248,11 +251,13 @@
 
 
 def table(head: list[str], rows: list[tuple[str, ...]]) -> list[str]:
+    """A Markdown table."""
     lines = ["| " + " | ".join(head) + " |", "| " + " | ".join("---" for _ in head) + " |"]
     return lines + ["| " + " | ".join(row) + " |" for row in rows]
 
 
 def rungs_table(m: Measured) -> list[str]:
+    """Every recorded rung."""
     rows = [
         (
             run, r["name"], f"{r['workers']}", f"{r['controllers']}", f"{r['asked_starts']:.0f}",
@@ -272,6 +277,7 @@
 
 
 def controllers_table(m: Measured) -> list[str]:
+    """The cost of more controllers at the same load."""
     first = m.controllers[0]
     rows = [
         (
@@ -291,6 +297,7 @@
 
 
 def troubles_table(m: Measured) -> list[str]:
+    """The recovery from each trouble."""
     rows = [
         (
             f"{t['kind']} at {t['at_s']:.0f} s", f"{r['workers']}", f"{t['running_before']}",
@@ -306,6 +313,7 @@
 
 
 def page_tables(m: Measured) -> dict[str, list[str]]:
+    """Every table of the page, by its name."""
     gap_rows = [
         (f"{reach:.2f}", name, limit, need, "**gap**" if reach < 1 else "", mark)
         for reach, name, limit, need, mark in gaps(m)
--- a/scripts/counts_proof.py
+++ b/scripts/counts_proof.py
@@ -53,6 +53,7 @@
             (folder / f"n-{node}.json").write_text(json.dumps(self.settings(node)))
 
     def settings(self, node: int) -> dict[str, Any]:
+        """The settings file of one controller."""
         hosts = [
             {"host_name": f"n-{i}", "zone": ZONES[i], "address": self.cluster[i]} for i in range(3)
         ]
@@ -76,12 +77,14 @@
         }
 
     def start(self, name: str, *command: str, **env: str) -> None:
+        """Starts a Python process whose output goes to a log in the folder."""
         log = (self.folder / f"{name}.log").open("ab")
         self.processes[name] = subprocess.Popen(
             [sys.executable, *command], cwd=ROOT, stdout=log, stderr=log, env=os.environ | env
         )
 
     def start_all(self) -> None:
+        """Starts every process of the site."""
         self.start("engine", "-m", "standins.engine", self.engine, str(self.folder / "sessions"))
         self.start("state", "-m", "standins.state", self.state)
         controllers = ",".join(f"n-{i}={a}" for i, a in enumerate(self.public))
@@ -95,11 +98,13 @@
             self.start_controller(node)
 
     def start_controller(self, node: int) -> None:
+        """Starts one controller."""
         settings, tuning = self.folder / f"n-{node}.json", self.folder / "counts.toml"
         command = ["run.py", "run", "--config", str(settings), "--tuning", str(tuning)]
         self.start(f"n-{node}", *command)
 
     def stop_all(self) -> None:
+        """Ends every process of the site."""
         for name in ("cloud", "n-0", "n-1", "n-2", "state", "engine"):
             process = self.processes.get(name)
             if process is not None:
@@ -109,6 +114,7 @@
                 process.wait()
 
     async def ask(self, address: str, method: str, path: str, body: Any = None) -> Reply | None:
+        """One HTTP request; None when there is no response."""
         data = None if body is None else msgspec.json.encode(body)
         try:
             return await self.http.call(address, method, path, data, 5.0)
@@ -128,11 +134,13 @@
         raise SystemExit(f"no answer: {method} {path}")
 
     def sessions(self) -> list[list[str]]:
+        """The fields of each line of the engine's log."""
         lines = (self.folder / "sessions").read_text().splitlines()
         return [line.split() for line in lines]
 
 
 def job(number: int, counted: bool) -> dict[str, Any]:
+    """The body of a submission, with or without a counted resource."""
     body = {
         "uid": f"j-{number}", "flock": "tariffs", "crew": "red", "shape": "sweep",
         "rank": "normal", "chores": 1, "cores": 1.0, "accelerators": 0.0, "ram_gb": 1.0,
@@ -154,11 +162,13 @@
         self.lowered: list[tuple[float, float, int]] = []
 
     async def run(self) -> None:
+        """Provokes every kind of trouble until cancelled."""
         async with curio.TaskGroup() as group:
             for kind in sorted(self.kinds):
                 await group.spawn(getattr(self, kind))
 
     async def controllers(self) -> None:
+        """Kills and restarts controllers."""
         while True:
             await curio.sleep(self.rng.uniform(3.0, 6.0))
             node = self.rng.randrange(3)
@@ -169,6 +179,7 @@
             self.site.start_controller(node)
 
     async def workers(self) -> None:
+        """Kills workers and cuts them off."""
         while True:
             await curio.sleep(self.rng.uniform(4.0, 9.0))
             live = [e for e in self.site.sessions() if e[1] == "open"][-3:]
@@ -185,6 +196,7 @@
                 self.told["workers cut off"] += 1
 
     async def state(self) -> None:
+        """Starts outages of the state service."""
         while True:
             await curio.sleep(self.rng.uniform(8.0, 15.0))
             seconds = self.rng.choice([1.0, 4.0, 12.0])  # also longer than a lease
@@ -193,6 +205,7 @@
             await curio.sleep(seconds)
 
     async def ceiling(self) -> None:
+        """Changes the resource's ceiling."""
         while True:
             await curio.sleep(self.rng.uniform(8.0, 12.0))
             held = await self.set(1)
@@ -259,6 +272,7 @@
 async def play(
     site: Site, jobs: int, kinds: set[str], seed: int, limit_s: float, counted: bool
 ) -> dict[str, Any]:
+    """Runs the jobs under troubles and judges the engine's log."""
     trouble = Trouble(site, kinds, seed)
     for number in range(jobs):
         await site.until({200, 201}, "POST", api.JOBS, body=job(number + 1, counted))
--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -99,9 +99,12 @@
 
 
 class CountingState(PlainState):
+    """A state service that counts what is written."""
+
     written = 0
 
     def apply(self, conditions: dict[str, int], changes: list[api.Change]) -> list[str]:
+        """Applies a transaction and counts its changes."""
         self.written += len(changes)
         return super().apply(conditions, changes)
 
--- a/scripts/overload_size.py
+++ b/scripts/overload_size.py
@@ -35,6 +35,7 @@
 
 
 def build(nodes: int, pairs: int, tasks: int, floors: bool) -> tuple[Controller, Clock]:
+    """A controller with that many peers, pairs of team and class, and tasks."""
     clock = Clock()
     context = make_world(clock, 1, ("a",) * nodes)
     context.tuning = Tuning(overload=OverloadSettings() if floors else None)
@@ -72,6 +73,8 @@
 
 
 def spent_ms(node: Controller, clock: Clock, do: str) -> float:
+    """Processor time of one call, in milliseconds."""
+
     async def once() -> float:
         began = time.process_time()
         if do == "plan":
--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -26,6 +26,7 @@
 
 
 def say(text: str) -> None:
+    """Prints a line at once."""
     click.echo(text)
     sys.stdout.flush()
 
@@ -87,6 +88,7 @@
 
 
 def write(path: Path | None, told: reports.Report) -> None:
+    """Writes the report as JSON, if a file was named."""
     if path is not None:
         path.write_bytes(msgspec.json.format(msgspec.json.encode(told), indent=1))
 
--- a/standins/agent.py
+++ b/standins/agent.py
@@ -85,6 +85,7 @@
         return self.execute(reply.commands)
 
     def execute(self, commands: list[api.Command]) -> Actions:
+        """Executes commands in order. A start of a known attempt has no effect."""
         actions = Actions()
         for command in commands:
             task = self.tasks.get(command.task)
@@ -115,6 +116,7 @@
         self.tasks[name].state = RUNNING
 
     def ended(self, name: str, error: str) -> None:
+        """A task has ended, with the cause that reports give."""
         task = self.tasks[name]
         task.state, task.why = EXITED, error
 
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -53,6 +53,7 @@
         self.http = HttpClient()
 
     async def start(self, kind: api.MachineType, machine: api.MachineInfo) -> None:
+        """Starts the machine's worker process on a port of its own."""
         machine.addr = f"127.0.0.1:{self.port + self.started}"
         self.started += 1
         command = [sys.executable, "-m", "standins.worker", machine.id, machine.addr, kind.name]
@@ -60,12 +61,14 @@
         self.running[machine.id] = subprocess.Popen(command)
 
     async def kill(self, name: str) -> None:
+        """Kills the machine's worker process."""
         process = self.running.pop(name, None)
         if process is not None:
             process.kill()
             process.wait()
 
     async def cut(self, machine: api.MachineInfo, seconds: float) -> None:
+        """Asks the worker to hold back all traffic for `seconds`."""
         body = msgspec.json.encode({"seconds": seconds})
         await self.http.call(machine.addr, "POST", "/cut", body, 2.0)
 
@@ -80,6 +83,8 @@
 
 
 class Cloud:
+    """The cloud's state and its HTTP interface."""
+
     def __init__(
         self,
         types: list[api.MachineType],
@@ -101,6 +106,7 @@
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
     async def handle(self, request: Request) -> Response:
+        """Handles one request, within the limit of calls."""
         post = request.method == "POST"
         if request.path in ("/kill", "/cut"):
             return await self.trouble(request)
@@ -120,6 +126,7 @@
         return error(400, "no such path")
 
     async def trouble(self, request: Request) -> Response:
+        """Kills or cuts off the machine that the request names."""
         body = msgspec.json.decode(request.body)
         info = self.machines.get(body["host"])
         if info is None:
@@ -132,6 +139,7 @@
         return answer()
 
     async def rent(self, asked: api.RentRequest) -> Response:
+        """Rents machines. A repeated request gets the same answer and rents nothing."""
         kind = next((t for t in self.types if t.name == asked.type), None)
         if kind is None or asked.zone not in kind.zones:
             return error(400, "no such type there")
@@ -147,6 +155,7 @@
         return answer(api.MachineNames(self.rented[asked.request]))
 
     async def start(self, kind: api.MachineType, zone: str, spot: bool) -> str:
+        """Starts one machine and returns its name."""
         name = f"vm-{len(self.began) + 1:06d}"
         self.began[name] = time.monotonic()
         machine = api.MachineInfo(name, kind.name, zone, spot, api.RUNNING)
@@ -155,6 +164,7 @@
         return name
 
     def listed(self, asked: dict[str, str]) -> Response:
+        """One page of the machine list, `list_lag_s` seconds late."""
         now = time.monotonic()
         for name in list(self.died):
             if now - self.died[name] > DEAD_SHOWN_S and name in self.machines:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -14,14 +14,18 @@
 
 
 class Engine:
+    """Counts open sessions and logs every change."""
+
     def __init__(self, path: Path) -> None:
         self.log = path.open("a", buffering=1)
         self.open = 0
 
     def note(self, what: str, who: str) -> None:
+        """Appends one line to the log."""
         self.log.write(f"{time.time():.3f} {what} {who} {self.open}\n")
 
     async def session(self, sock: curio.io.Socket, _: object) -> None:
+        """Serves one session, from its first line until the connection closes."""
         stream = sock.as_stream()
         who = (await stream.readline()).decode().strip()
         self.open += 1
--- a/standins/hollow.py
+++ b/standins/hollow.py
@@ -56,6 +56,8 @@
 
 
 class Start(msgspec.Struct):
+    """A request to start one machine."""
+
     name: str
     type: str
     zone: str
@@ -98,9 +100,11 @@
         self.last = 0.0
 
     def fits(self, _task: str, live: int) -> bool:
+        """Whether one more task fits beside the live ones."""
         return live < self.slots
 
     async def handle(self, request: Request) -> Response:
+        """Handles a direct command or a status query."""
         while self.dead:
             await curio.sleep(1.0)  # a machine without power is silent
         stats = self.host.stats
@@ -115,6 +119,7 @@
         return answer(self.agent.report())
 
     def act(self, actions: Actions) -> None:
+        """Begins and stops the tasks that commands named."""
         for task in actions.end:
             self.host.tell("off", task, self)
         now = time.monotonic()
@@ -140,6 +145,7 @@
         self.change(now)
 
     def done(self, name: str, attempt: int) -> None:
+        """A task has run for its whole time, unless it was stopped or restarted meanwhile."""
         task = self.agent.tasks.get(name)
         if self.dead or task is None or task.attempt != attempt or task.state != RUNNING:
             return
@@ -155,6 +161,7 @@
             self.report_at(max(now, self.last + CHANGES_S))
 
     def report_at(self, due: float) -> None:
+        """Schedules the next heartbeat."""
         self.due = due
         self.host.at(due, lambda: self.report(due))
 
@@ -165,6 +172,7 @@
             self.host.spawn(self.tell)
 
     async def tell(self) -> None:
+        """Sends one heartbeat and executes the commands of its answer."""
         config, stats = self.host.config, self.host.stats
         sent = self.last = time.monotonic()
         body, session = msgspec.json.encode(self.agent.report()), self.agent.session
@@ -205,6 +213,7 @@
         return MOVE_S if wait else self.host.rng.uniform(0.0, REDIRECT_S)
 
     def expire(self, now: float) -> None:
+        """Ends the session if its lease has expired."""
         for task in self.agent.expire(now, self.host.config.lease_s):
             self.host.tell("off", task, self)
             self.change(now)
@@ -242,13 +251,16 @@
     # --- timers
 
     def at(self, due: float, do: Callable[[], None]) -> None:
+        """Schedules a callback for a time of the steady clock, in seconds."""
         self.count += 1
         heapq.heappush(self.timers, (due, self.count, do))
 
     def spawn(self, do: Callable[[], Awaitable[None]]) -> None:
+        """Schedules a coroutine for the end of the present tick."""
         self.spawning.append(do)
 
     async def tick_loop(self) -> None:
+        """Runs due timers, expires leases and spawns coroutines, every TICK_S seconds."""
         looked = 0.0
         while True:
             began = time.monotonic()
@@ -269,15 +281,18 @@
     # --- what the checker is told
 
     def tell(self, what: str, task: str, machine: Machine) -> None:
+        """Queues one event for the checker."""
         self.lines.append(f"{time.monotonic():.6f} {what} {task} {machine.name}\n")
 
     def begins(self, task: str, machine: Machine) -> None:
+        """A task has begun. A host configured as broken reports it on a second machine too."""
         self.tell("on", task, machine)
         if self.config.broken and len(self.machines) > 1:
             other = next(m for m in self.machines.values() if m is not machine)
             self.tell("on", task, other)
 
     async def tell_loop(self) -> None:
+        """Sends queued events to the checker."""
         sock = await curio.open_connection(*split_address(self.config.checker))
         while True:
             await curio.sleep(0.05)
@@ -288,6 +303,7 @@
     # --- control
 
     async def handle(self, request: Request) -> Response:
+        """Handles a control request: statistics, start, kill or restart."""
         if request.path == "/stats":
             self.stats.machines = sum(not m.dead for m in self.machines.values())
             return answer(self.stats)
--- a/standins/hollow_cloud.py
+++ b/standins/hollow_cloud.py
@@ -18,6 +18,8 @@
 
 
 class CloudConfig(msgspec.Struct, forbid_unknown_fields=True):
+    """Settings of the cloud's process."""
+
     address: str
     types: list[api.MachineType]
     hosts: list[str]  # control addresses of the processes of hollow workers
@@ -37,6 +39,7 @@
         self.http = HttpClient()
 
     async def start(self, kind: api.MachineType, machine: api.MachineInfo) -> None:
+        """Starts the machine in the next process."""
         host = self.hosts[self.started % len(self.hosts)]
         self.started += 1
         self.place[machine.id] = host
@@ -45,15 +48,18 @@
         machine.addr = msgspec.json.decode(reply.body, type=list[str])[0]
 
     async def kill(self, name: str) -> None:
+        """Kills the machine in its process."""
         host = self.place.get(name)
         if host is not None:
             await self.http.call(host, "POST", "/kill", msgspec.json.encode([name]), CALL_S)
 
     async def cut(self, machine: api.MachineInfo, seconds: float) -> None:
+        """Not supported."""
         raise NotImplementedError("hollow machines are killed or restarted, not cut off")
 
 
 def main() -> None:
+    """Runs the cloud of a configuration file."""
     config = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=CloudConfig)
     launcher = HollowLauncher(config.hosts)
     cloud = Cloud(config.types, launcher, config.rps, config.list_lag_s, config.capacity)
--- a/standins/scale/checker.py
+++ b/standins/scale/checker.py
@@ -62,6 +62,7 @@
         heapq.heappush(self.waiting, (float(at), self.count, what, task, machine))
 
     def told_cancelled(self, job: str, at: float) -> None:
+        """A user was told that a job is cancelled."""
         if job not in self.cancelled:
             self.cancelled[job] = at
             heapq.heappush(self.due, (at + self.cancel_s, job))
@@ -93,6 +94,7 @@
         self.passed = max(self.passed, up_to)
 
     def begin(self, at: float, task: str, machine: str) -> None:
+        """A task began on a machine: checks ran_twice, quota and ran_cancelled."""
         job = task.split("/")[0]
         other = self.running.get(task)
         if other is not None and other.machine != machine:
@@ -115,6 +117,7 @@
                 self.fail(at, "ran_cancelled", task, f"begins on {machine}")
 
     def end(self, task: str, machine: str) -> None:
+        """A task is no longer on a machine."""
         self.here[machine].discard(task)
         place = self.running.get(task)
         if place is not None and place.machine == machine:
@@ -122,11 +125,13 @@
             self.used[workload.describe(task.split("/")[0]).team] -= 1
 
     def check_done(self, at: float, job: str, tasks: int) -> None:
+        """A user was told that a job is done: checks not_done."""
         missing = [i for i in range(tasks) if f"{job}/{i}" not in self.finished]
         if missing:
             self.fail(at, "not_done", f"{job}/{missing[0]}", f"{len(missing)} tasks not completed")
 
     def check_gone(self, now: float) -> None:
+        """Checks that tasks of cancelled jobs whose time is over are gone."""
         while self.due and self.due[0][0] < now:
             at, job = heapq.heappop(self.due)
             for task, place in self.running.items():
@@ -134,4 +139,5 @@
                     self.fail(at, "ran_cancelled", task, f"still on {place.machine}")
 
     def fail(self, at: float, rule: str, task: str, detail: str) -> None:
+        """Records a broken rule."""
         self.broken.append(Broken(at, rule, task, detail))
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -80,6 +80,8 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A whole plan file."""
+
     rungs: list[Rung]
     seconds: Seconds = 45.0  # of a rung, its warm-up included
     warmup_s: Annotated[float, Meta(ge=0, le=3600)] = 12.0
@@ -173,10 +175,12 @@
 
 
 def processes(plan: Plan, rung: Rung) -> int:
+    """Processes that a rung starts."""
     return rung.controllers + hosts(plan, rung) + 3
 
 
 def needed_mb(plan: Plan, rung: Rung) -> float:
+    """An estimate of the memory that a rung needs, in MB."""
     controllers = rung.controllers * (CONTROLLER_MB + CONTROLLER_WORKER_MB * rung.workers)
     workers = hosts(plan, rung) * HOST_MB + HOST_WORKER_MB * rung.workers
     return controllers + workers + OTHERS_MB
@@ -191,4 +195,5 @@
 
 
 def sockets() -> int:
+    """Sockets that one process may open."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -62,10 +62,13 @@
 
     @property
     def changes_a_start(self) -> float:
+        """Changes of the state service for each started task."""
         return self.state_changes / self.starts if self.starts else 0.0
 
 
 class Report(msgspec.Struct):
+    """All rungs of a run."""
+
     complete: bool = False
     plan: Any = None
     rows: list[Row] = []
@@ -150,4 +153,5 @@
 
 
 def failed(row: Row) -> bool:
+    """Whether a rung broke a rule or left a job unanswered."""
     return bool(row.broken or row.unanswered_jobs or row.malformed)
--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -59,6 +59,7 @@
     # --- what workers tell
 
     async def hear(self, sock: curio.io.Socket, _address: object) -> None:
+        """Reads the events of one process of workers."""
         rest = b""
         while data := await sock.recv(64 * 1024):
             *lines, rest = (rest + data).split(b"\n")
@@ -66,6 +67,7 @@
                 self.checker.hear(line.decode())
 
     async def judge_loop(self) -> None:
+        """Judges events every JUDGE_S seconds until a rule is broken."""
         while not self.checker.broken:
             await curio.sleep(JUDGE_S)
             self.checker.judge(time.monotonic() - HELD_BACK_S)
@@ -74,6 +76,7 @@
     # --- the run
 
     async def run(self) -> Row:
+        """Plays the rung and returns its figures."""
         address = split_address(self.site.checker)
         listener = await curio.spawn(curio.tcp_server, *address, self.hear, daemon=True)
         tasks = [listener]
@@ -118,6 +121,7 @@
         row.malformed = (await self.site.state_stats()).malformed
 
     async def progress_loop(self) -> None:
+        """Prints the progress of the rung every PROGRESS_S seconds."""
         began, before = time.monotonic(), 0
         while True:
             await curio.sleep(PROGRESS_S)
@@ -131,6 +135,7 @@
     # --- measuring
 
     async def snapshot(self) -> Snapshot:
+        """Reads every counter once."""
         own = usage(int(self.own_pid))
         cpu = {name: self.site.cpu_s(name) for name in self.site.processes}
         cpu["users"] = own.cpu_s if own is not None else 0.0
@@ -146,6 +151,7 @@
         )
 
     def row(self, first: Snapshot, last: Snapshot, began: float) -> Row:
+        """The rung's figures between two snapshots."""
         seconds = last.at - first.at
         workers = self.rung.workers
 
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -66,6 +66,7 @@
     # --- settings
 
     def controller_settings(self, number: int) -> dict[str, Any]:
+        """The settings file of one controller."""
         plan, limits = self.plan, self.plan.limits
         members = [
             {"host_name": f"n-{i}", "zone": "a", "address": address}
@@ -105,11 +106,13 @@
         }
 
     def write(self, name: str, value: Any) -> str:
+        """Writes a JSON file into the folder and returns its path."""
         path = self.folder / name
         path.write_bytes(msgspec.json.encode(value))
         return str(path)
 
     def host_config(self, number: int) -> HostConfig:
+        """The settings of one process of hollow workers."""
         plan = self.plan
         return HostConfig(
             control=self.hosts[number],
@@ -125,6 +128,7 @@
         )
 
     def cloud_config(self) -> CloudConfig:
+        """The settings of the cloud's process."""
         workers = self.rung.workers
         kind = api.MachineType(
             "hollow", float(self.plan.slots), 4.0 * self.plan.slots, ["a"], price=1.0, boot_s=1.0
@@ -142,12 +146,14 @@
     # --- processes
 
     def start(self, name: str, *command: str) -> None:
+        """Starts a Python process whose output goes to a log in the folder."""
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, *command], cwd=ROOT, stdout=log, stderr=log, env=self.environment
             )
 
     async def start_all(self) -> None:
+        """Starts all processes and waits until every controller is healthy."""
         limits = self.plan.limits
         options = [f"--rps={limits.rps}", f"--write-rps={limits.write_rps}"]
         options += [f"--value-kb={limits.value_kb}", f"--txn-ops={limits.txn_ops}"]
@@ -166,12 +172,14 @@
             await self.ready(address, api.HEALTH)
 
     def start_controller(self, number: int) -> None:
+        """Starts one controller."""
         command = ["run.py", "run", "--config", str(self.folder / f"n-{number}.json")]
         if self.plan.tuning:
             command += ["--tuning", str(Path(self.plan.tuning).resolve())]
         self.start(f"n-{number}", *command)
 
     def kill_controller(self, number: int) -> None:
+        """Kills one controller, without a signal that it could handle."""
         name = f"n-{number}"
         process = self.processes[name]
         before = self.usage(name)
@@ -181,6 +189,7 @@
             self.spent[name] = self.spent.get(name, 0.0) + before.cpu_s
 
     async def ready(self, address: str, path: str) -> None:
+        """Waits until an address answers 200; raises RuntimeError after READY_S seconds."""
         until = time.monotonic() + READY_S
         while time.monotonic() < until:
             self.check_alive()
@@ -191,6 +200,7 @@
         raise RuntimeError(f"{address} did not come up; see the logs in {self.folder}")
 
     def check_alive(self) -> None:
+        """Raises RuntimeError if a process ended that was not killed."""
         for name, process in self.processes.items():
             if process.poll() not in (None, -signal.SIGKILL):
                 raise RuntimeError(f"{name} ended by itself; see {self.folder}/{name}.log")
@@ -207,24 +217,29 @@
     async def ask(
         self, address: str, method: str, path: str, body: bytes | None = None
     ) -> Reply | None:
+        """One HTTP request; None when there is no response."""
         try:
             return await self.http.call(address, method, path, body, 10.0)
         except NoResponseError:
             return None
 
     async def told(self, address: str, kind: type[T]) -> T:
+        """The statistics of a process; raises RuntimeError when it does not answer."""
         reply = await self.ask(address, "GET", "/stats")
         if reply is None:
             raise RuntimeError(f"{address} does not answer")
         return msgspec.json.decode(reply.body, type=kind)
 
     async def state_stats(self) -> Stats:
+        """The statistics of the state service."""
         return await self.told(self.state, Stats)
 
     async def host_stats(self) -> list[HostStats]:
+        """The statistics of each process of hollow workers."""
         return [await self.told(address, HostStats) for address in self.hosts]
 
     def usage(self, name: str) -> Usage | None:
+        """What a process has used so far; None when it has ended."""
         process = self.processes.get(name)
         if process is None or process.poll() is not None:
             return None
@@ -236,4 +251,5 @@
         return self.spent.get(name, 0.0) + (now.cpu_s if now is not None else 0.0)
 
     def ports(self) -> set[int]:
+        """The ports whose traffic is measured."""
         return {split_address(a)[1] for a in (*self.public, *self.cluster, self.state)}
--- a/standins/scale/troubles.py
+++ b/standins/scale/troubles.py
@@ -20,6 +20,8 @@
 
 @dataclass
 class Sample:
+    """What ran at one moment."""
+
     at: float
     running: int
     starts: int
@@ -48,17 +50,20 @@
         self.began: list[tuple[Trouble, float]] = []
 
     async def sample_loop(self) -> None:
+        """Samples the running tasks every SAMPLE_S seconds."""
         while True:
             now = time.monotonic()
             self.samples.append(Sample(now, len(self.checker.running), self.checker.starts))
             await curio.sleep(SAMPLE_S)
 
     async def run(self, trouble: Trouble, began: float) -> None:
+        """Waits until a trouble is due and provokes it."""
         await curio.sleep(max(0.0, began + trouble.at_s - time.monotonic()))
         self.began.append((trouble, time.monotonic()))
         await getattr(self, trouble.kind)(trouble)
 
     async def controller(self, trouble: Trouble) -> None:
+        """Kills a controller and starts it again after `for_s` seconds."""
         number = self.rng.randrange(self.site.rung.controllers)
         self.site.kill_controller(number)
         await curio.sleep(trouble.for_s)
@@ -71,16 +76,19 @@
             await self.site.ask(self.site.cloud, "POST", "/kill", body)
 
     async def restarts(self, trouble: Trouble) -> None:
+        """Restarts workers at random, at a rate, until the end of the run."""
         while True:
             await curio.sleep(self.rng.expovariate(trouble.rate))
             name = f"vm-{self.rng.randrange(self.site.rung.workers) + 1:06d}"
             await self.tell_hosts("/restart", [name])
 
     async def state(self, trouble: Trouble) -> None:
+        """Starts an outage of the state service."""
         body = msgspec.json.encode({"seconds": trouble.for_s})
         await self.site.ask(self.site.state, "POST", "/out", body)
 
     async def tell_hosts(self, path: str, names: list[str]) -> None:
+        """Sends a list of machines to every process of hollow workers."""
         body = msgspec.json.encode(names)
         for address in self.site.hosts:
             await self.site.ask(address, "POST", path, body)
@@ -98,6 +106,7 @@
 
 
 def recovery(trouble: Trouble, at: float, origin: float, samples: list[Sample]) -> Recovery:
+    """The recovery from one trouble, from samples of running tasks."""
     before = [s.running for s in samples if at - BEFORE_S <= s.at < at]
     after = [s for s in samples if s.at >= at]
     level = sum(before) / len(before) if before else 0.0
--- a/standins/scale/users.py
+++ b/standins/scale/users.py
@@ -78,6 +78,7 @@
         return ones / (ones + arrays) if ones + arrays else 0.0
 
     def draw(self, kind: int) -> Submitted:
+        """A random job of a kind."""
         self.number += 1
         rng, plan = self.rng, self.plan
         tasks = 1 if kind == workload.ONE_TASK else SERVICE_REPLICAS
@@ -90,6 +91,7 @@
         return Submitted(name, kind, tasks, rank, time.monotonic())
 
     def body(self, job: Submitted) -> bytes:
+        """The job's submission."""
         described = workload.describe(job.id)
         service = described.service
         return msgspec.json.encode(
@@ -105,11 +107,13 @@
         )  # fmt: skip
 
     async def spawn(self, do: Callable[[Submitted], object], job: Submitted) -> None:
+        """Starts a task for one job."""
         await curio.spawn(do, job, daemon=True)
 
     async def ask(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> Reply | None:
+        """One request to a random controller; None when there is no response."""
         try:
             address = self.rng.choice(self.addresses)
             reply = await self.http.call(address, method, path, body, timeout_s)
@@ -120,6 +124,7 @@
         return reply
 
     async def submit(self, job: Submitted) -> None:
+        """Submits a job until it is accepted, then follows it."""
         body = self.body(job)
         while not job.accepted and not self.stopped:
             self.submissions += 1
@@ -159,6 +164,7 @@
                 await self.poll(job)
 
     async def poll(self, job: Submitted) -> None:
+        """Queries the job's status once."""
         self.polls += 1
         self.hear(job, await self.ask("GET", f"{api.JOBS}/{job.id}", None, POLL_ANSWER_S))
 
@@ -190,6 +196,7 @@
         job.state = told.state
 
     def fail(self, rule: str, job: Submitted, reply: Reply | None) -> None:
+        """Records a broken rule with the answer that broke it."""
         said = f"answered {reply.status} {reply.body[:120]!r}" if reply else "no answer"
         self.checker.fail(time.monotonic(), rule, job.id, said)
 
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -10,14 +10,17 @@
 
 
 def answer(body: object = None, status: int = 200) -> Response:
+    """A JSON response."""
     return Response(status, msgspec.json.encode({} if body is None else body))
 
 
 def error(status: int, text: str) -> Response:
+    """A JSON error response."""
     return answer({"error": text}, status)
 
 
 def query(request: Request) -> dict[str, str]:
+    """The query parameters of a request."""
     return dict(part.split("=", 1) for part in request.query.split("&") if "=" in part)
 
 
--- a/standins/state.py
+++ b/standins/state.py
@@ -41,6 +41,8 @@
 
 
 class State:
+    """The store, its leases and its HTTP interface."""
+
     def __init__(self, limits: StateLimits) -> None:
         self.limits = limits
         self.requests = Rate(limits.rps)
@@ -57,9 +59,11 @@
 
     @property
     def out(self) -> bool:
+        """Whether an outage is in progress."""
         return time.monotonic() < self.out_until
 
     async def handle(self, request: Request) -> Response:
+        """Handles one request, within the limit of requests."""
         path, post = request.path, request.method == "POST"
         if path == "/out" and post:
             self.begin_outage(msgspec.json.decode(request.body)["seconds"])
@@ -91,17 +95,20 @@
         return error(400, "no such path")
 
     def begin_outage(self, seconds: float) -> None:
+        """Answers every request with 503 for `seconds`."""
         self.out_until = time.monotonic() + seconds
         # After an outage every lease has its full time again.
         self.leases = {k: (self.out_until + ttl, ttl) for k, (_, ttl) in self.leases.items()}
 
     def lease(self, asked: api.LeaseRequest) -> Response:
+        """Grants a lease."""
         ttl = asked.ttl_ms / 1000
         lease = max(self.leases, default=0) + 1 + self.epoch
         self.leases[lease] = (time.monotonic() + ttl, ttl)
         return answer(api.LeaseGrant(lease))
 
     def renew(self, lease: int, post: bool) -> Response:
+        """Renews a lease; with `post` false, ends it."""
         if lease not in self.leases:
             return error(404, "no such lease")
         ttl = self.leases[lease][1] if post else 0.0
@@ -125,6 +132,7 @@
         return ""
 
     async def txn(self, body: bytes) -> Response:
+        """Executes a transaction if all its conditions hold."""
         txn = msgspec.json.decode(body, type=api.Transaction)
         fault = self.malformed(body, txn)
         if fault:
@@ -146,10 +154,12 @@
         return answer(api.TransactionResult(self.epoch))
 
     def version(self, key: str) -> int:
+        """The revision of a key's last change; 0 when it does not exist."""
         found = self.keys.get(key)
         return found.version if found is not None else 0
 
     async def apply(self, changes: list[api.Change]) -> None:
+        """Applies changes under one new revision and wakes the watches."""
         self.epoch += 1
         for change in changes:
             if change.put is not None:
@@ -161,6 +171,7 @@
         await event.set()
 
     def put(self, change: api.Change) -> None:
+        """Sets a key."""
         key = change.put or ""
         value = msgspec.Raw(msgspec.json.encode(change.value))
         self.stats.bytes += len(bytes(value))
@@ -175,6 +186,7 @@
         self.changes.append(api.Event(self.epoch, key, value))
 
     def drop(self, key: str) -> None:
+        """Deletes a key if it exists."""
         if self.keys.pop(key, None) is None:
             return
         del self.names[bisect.bisect_left(self.names, key)]
@@ -182,6 +194,7 @@
         self.changes.append(api.Event(self.epoch, delete=key))
 
     def listed(self, asked: dict[str, str]) -> Response:
+        """One page of the keys with a prefix, in key order."""
         prefix, after = asked.get("prefix", ""), asked.get("after", "")
         limit = min(MOST_ITEMS, int(asked.get("limit", MOST_ITEMS)))
         found: list[api.Entry] = []
@@ -199,6 +212,7 @@
         return answer(api.Entries(found, self.epoch, more))
 
     async def watch(self, asked: dict[str, str]) -> Response:
+        """Waits for changes of keys with a prefix after a revision."""
         prefix, after = asked.get("prefix", ""), int(asked.get("after", 0))
         until = time.monotonic() + int(asked.get("block_ms", 0)) / 1000
         while True:
@@ -232,6 +246,7 @@
 
 
 def main() -> None:
+    """Runs the state service of the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("address")
     for name in ("rps", "write-rps", "value-kb", "latency-ms"):
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -40,13 +40,16 @@
         self.http = HttpClient()
 
     def fits(self, _task: str, live: int) -> bool:
+        """Whether one more task fits beside the live ones."""
         return bool((live + 1) * self.args.task_cpus <= self.args.cpus)
 
     @property
     def cut(self) -> bool:
+        """Whether the machine is cut off."""
         return time.monotonic() < self.cut_until
 
     async def handle(self, request: Request) -> Response:
+        """Handles a direct command, a status query or a request to be cut off."""
         if request.path == "/cut":
             self.cut_until = time.monotonic() + msgspec.json.decode(request.body)["seconds"]
             return answer()
@@ -61,6 +64,7 @@
         return answer(self.agent.report())
 
     async def act(self, actions: Actions) -> None:
+        """Begins and stops the tasks that commands named."""
         for name in actions.begin:
             self.runs[name] = await curio.spawn(self.work, name, daemon=True)
         for name in actions.end:
@@ -69,6 +73,7 @@
             await self.news.set()
 
     async def stop(self, name: str) -> None:
+        """Cancels a running task."""
         run = self.runs.pop(name, None)
         if run is not None:
             await run.cancel()
@@ -96,6 +101,7 @@
         await self.news.set()
 
     async def reports(self) -> None:
+        """Sends heartbeats periodically and after every change."""
         a = self.args
         last = 0.0
         while True:
@@ -110,6 +116,7 @@
             await self.tell(last)
 
     async def tell(self, sent: float) -> None:
+        """Sends one heartbeat and executes the commands of its answer."""
         body, session = msgspec.json.encode(self.agent.report()), self.agent.session
         name = self.names[0]
         try:
@@ -133,6 +140,7 @@
         await self.news.set()
 
     async def lease(self) -> None:
+        """Stops all tasks when the lease expires."""
         while True:
             await curio.sleep(0.05)
             for name in self.agent.expire(time.monotonic(), self.args.lease_s):
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -12,16 +12,20 @@
 
 
 class Described(NamedTuple):
+    """What a job's id says of it."""
+
     kind: int
     team: int
     run_ds: int
 
     @property
     def service(self) -> bool:
+        """Whether the job is a service."""
         return self.kind == SERVICE
 
 
 def job_id(kind: int, team: int, run_s: float, number: int) -> str:
+    """The id of a job with these properties; `run_s` in seconds."""
     run_ds = FOR_EVER if kind == SERVICE else min(FOR_EVER - 1, max(1, round(run_s * 10)))
     return f"j-{kind}{team:03d}{run_ds:05d}{number:07d}"
 
