--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -350,11 +350,13 @@
 
 
 def load() -> dict[str, list[Row]]:
+    """The recorded rungs of every run."""
     found: dict[str, list[Row]] = json.loads(RUNGS.read_text())
     return found
 
 
 def record(report: Path, run: str) -> None:
+    """Adds a scale run's rows under a run's name."""
     runs = load() if RUNGS.exists() else {}
     runs.setdefault(run, []).extend(json.loads(report.read_text())["rows"])
     RUNGS.parent.mkdir(exist_ok=True)
@@ -366,6 +368,7 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Writes or checks the page, or records a run; returns the exit status."""
     if arguments[:1] == ["--record"]:
         record(Path(arguments[1]), arguments[2])
         return 0
--- a/scripts/overload_size.py
+++ b/scripts/overload_size.py
@@ -94,6 +94,7 @@
 
 
 def main() -> None:
+    """Prints one row for each size."""
     logging.disable(logging.CRITICAL)
     print("controllers pairs waiting floors plan_ms greeting_ms greeting_bytes")
     for nodes in (3, 5, 9):
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -144,17 +144,24 @@
         if trouble.at_s >= plan.seconds:
             lines.append(f"troubles[{number}].at_s: less than seconds")
     for number, rung in enumerate(plan.rungs):
-        where = f"rungs[{number}]"
-        wanted = needed_mb(plan, rung)
-        if wanted > memory * MEMORY_SHARE:
-            lines.append(f"{where}: about {wanted:.0f} MB, over half of {memory:.0f} MB")
-        per_host = min(rung.workers, plan.per_process) * HOST_WORKER_SOCKETS + SPARE_SOCKETS
-        reporting = CONTROLLER_WORKER_SOCKETS * rung.workers + SPARE_SOCKETS
-        if max(per_host, reporting) > most_sockets:
-            need = max(per_host, reporting)
-            lines.append(f"{where}: about {need} sockets in a process, over {most_sockets}")
-        if processes(plan, rung) > MOST_PROCESSES:
-            lines.append(f"{where}: {processes(plan, rung)} processes, over {MOST_PROCESSES}")
+        found = rung_beyond(plan, rung, memory, most_sockets)
+        lines += [f"rungs[{number}]: {line}" for line in found]
+    return lines
+
+
+def rung_beyond(plan: Plan, rung: Rung, memory: float, most_sockets: int) -> list[str]:
+    """What one rung asks that this machine may not give."""
+    lines = []
+    wanted = needed_mb(plan, rung)
+    if wanted > memory * MEMORY_SHARE:
+        lines.append(f"about {wanted:.0f} MB, over half of {memory:.0f} MB")
+    per_host = min(rung.workers, plan.per_process) * HOST_WORKER_SOCKETS + SPARE_SOCKETS
+    reporting = CONTROLLER_WORKER_SOCKETS * rung.workers + SPARE_SOCKETS
+    need = max(per_host, reporting)
+    if need > most_sockets:
+        lines.append(f"about {need} sockets in a process, over {most_sockets}")
+    if processes(plan, rung) > MOST_PROCESSES:
+        lines.append(f"{processes(plan, rung)} processes, over {MOST_PROCESSES}")
     return lines
 
 
--- a/standins/state.py
+++ b/standins/state.py
@@ -79,6 +79,10 @@
             return error(429, "too many requests")
         if self.limits.latency_ms:
             await curio.sleep(self.limits.latency_ms / 1000)
+        return await self.route(request, path, post)
+
+    async def route(self, request: Request, path: str, post: bool) -> Response:
+        """Handles a request that the limits and the outage let through."""
         if path == api.TXN and post:
             return await self.txn(request.body)
         if path == api.KV:
