--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -13,7 +13,12 @@
 from starlingdeck.cluster.membership import Membership, OwnershipHooks, ShardOwner
 from starlingdeck.cluster.peers import Peers
 from starlingdeck.context import ControllerContext
-from starlingdeck.controller.metrics_report import reachability_lines, starving_lines, waiting_tasks
+from starlingdeck.controller.metrics_report import (
+    connection_line,
+    reachability_lines,
+    starving_lines,
+    waiting_tasks,
+)
 from starlingdeck.jobs.admission import AdmissionController, DurablePlugin
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.mailbox import Mailbox
@@ -57,6 +62,10 @@
     return request.path == path or request.path.startswith(path + "/")
 
 
+def _is_worker_report(request: Request) -> bool:
+    return request.path == api.REPORT
+
+
 class Controller:
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
@@ -132,6 +141,13 @@
         self.deleted_machines: dict[str, float] = {}
         self.autoscaler: Autoscaler | None = None
         self.wake_requested = False
+        self.http_server = HttpServer(
+            split_address(s.public_addr),
+            self.serve,
+            int(limits.max_connections * 0.6),
+            context.tuning.stall_s,
+            _is_worker_report,
+        )
 
     def register_plugin(self, gate: DurablePlugin) -> None:
         """Put a further kind of limit in force, before the start."""
@@ -141,18 +157,11 @@
 
     async def run(self) -> None:
         s = self.context.settings
-        limits = s.settings.machine_limits
-        server = HttpServer(
-            split_address(s.public_addr),
-            self.serve,
-            int(limits.max_connections * 0.6),
-            self.context.tuning.stall_s,
-        )
         frames = FrameServer(
             split_address(s.cluster_listen), self.peers.serve, 4 * self.context.shard_count
         )
         loops: list[Callable[..., object]] = [
-            server.run,
+            self.http_server.run,
             self.membership.renew_loop,
             self.membership.watch_loop,
             self.membership.ownership_loop,
@@ -188,6 +197,7 @@
                 for line in self.overload.lines():
                     log.info("%s", line)
             for line in (
+                connection_line(self.http_server),
                 *reachability_lines(self.machines),
                 *starving_lines(self.context, self.writers, self.admission),
             ):
--- a/starlingdeck/controller/metrics_report.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -7,6 +7,17 @@
 from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.transport.server import HttpServer
+
+
+def connection_line(server: HttpServer) -> str:
+    """Open connections of users and workers, and what the connection limit did since the start."""
+    connections = server.connections
+    return (
+        f"connections: open={connections.open} limit={connections.limit} "
+        f"workers={connections.workers} refused={server.refused} evicted={server.evicted} "
+        f"closed_after_response={server.closed_after_response}"
+    )
 
 
 def reachability_lines(shards: Mapping[int, MachineShard]) -> Iterator[str]:
--- a/starlingdeck/transport/server.py
+++ b/starlingdeck/transport/server.py
@@ -1,5 +1,6 @@
 """A small HTTP/1.1 server on curio and h11, bounded in every direction."""
 
+import contextlib
 import functools
 import logging
 from collections.abc import Awaitable, Callable
@@ -9,6 +10,8 @@
 import h11
 from curio import socket
 
+from starlingdeck.transport.connections import Connection, ConnectionTable
+
 log = logging.getLogger(__name__)
 
 MAX_BODY = 64 * 1024
@@ -40,46 +43,84 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
+RequestPredicate = Callable[[Request], bool]
+
+
+def _is_never_from_worker(_: Request) -> bool:
+    return False
+
+
 class HttpServer:
-    """Serves one listening address. A fault on a connection ends that connection only."""
+    """Serves one listening address. A fault on a connection ends that connection only.
+
+    At the limit of open connections the idle connection that was idle longest is evicted for a
+    new one; the new one is refused when every connection is within a request. Workers'
+    connections are evicted first while they hold more than their share, and are closed with the
+    response above a high-water mark, so that they don't evict each other between reports.
+    """
 
     def __init__(
-        self, address: tuple[str, int], handler: Handler, max_connections: int, stall_s: float
+        self,
+        address: tuple[str, int],
+        handler: Handler,
+        max_connections: int,
+        stall_s: float,
+        is_from_worker: RequestPredicate = _is_never_from_worker,
     ) -> None:
         self.address = address
         self.handler = handler
-        self.max_connections = max_connections
         self.stall_s = stall_s
-        self.open = 0
+        self.is_from_worker = is_from_worker
+        self.connections = ConnectionTable(max_connections)
+        self.refused = 0
+        self.evicted = 0
+        self.closed_after_response = 0
 
     async def run(self) -> None:
+        """Accept connections until cancelled."""
         sock = listen(self.address)
         async with sock:
             while True:
                 client, _ = await sock.accept()
-                if self.open >= self.max_connections:
+                if self.connections.is_full() and not await self._evict_idle():
                     # Refuse at once rather than let sockets run out for workers and peers.
+                    self.refused += 1
                     await client.close()
                     continue
-                self.open += 1
-                await curio.spawn(self._serve, client, daemon=True)
-
-    async def _serve(self, client: curio.io.Socket) -> None:
+                connection = Connection(client)
+                self.connections.add(connection)
+                connection.task = await curio.spawn(self._serve, connection, daemon=True)
+
+    async def _evict_idle(self) -> bool:
+        """Close the idle connection that is to go first; False when there is none."""
+        victim = self.connections.pop_victim()
+        if victim is None or victim.task is None:
+            return False
+        self.evicted += 1
+        # The task is woken, not cancelled: it closes its socket itself, as one closed under a
+        # task that waits for it stays registered in curio.
+        victim.evicted = True
+        with contextlib.suppress(OSError):  # the client may have closed it already
+            await victim.socket.shutdown(socket.SHUT_RDWR)
+        await victim.task.wait()
+        return True
+
+    async def _serve(self, connection: Connection) -> None:
         try:
-            async with client:
-                await self._talk(client)
+            async with connection.socket:
+                await self._talk(connection)
         except (OSError, h11.ProtocolError, curio.TaskTimeout) as error:
             log.debug("connection ended: %r", error)
         except Exception:
             log.exception("a request broke its handler")
         finally:
-            self.open -= 1
+            self.connections.remove(connection)
 
-    async def _talk(self, client: curio.io.Socket) -> None:
-        conn = h11.Connection(h11.SERVER)
+    async def _talk(self, connection: Connection) -> None:
+        conn, client = h11.Connection(h11.SERVER), connection.socket
         while True:
             try:
-                request = await self._read(conn, client)
+                request = await self._read(conn, connection)
             except h11.RemoteProtocolError as error:
                 if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                     note = b'{"error":"malformed request"}'
@@ -90,14 +131,26 @@
             if isinstance(request, Response):
                 await self._send(conn, client, request, True)
                 return
+            self.connections.classify(connection, self.is_from_worker(request))
             response = await self.handler(request)
-            await self._send(conn, client, response, False)
+            await self._send(conn, client, response, self._closes_after_response(connection))
             if conn.our_state is h11.MUST_CLOSE or conn.their_state is h11.MUST_CLOSE:
                 return
             conn.start_next_cycle()
 
+    def _closes_after_response(self, connection: Connection) -> bool:
+        """Whether the response ends its connection to leave capacity for others.
+
+        A worker evicted between its reports takes that for a failure and reports to another
+        controller; one whose response says `Connection: close` connects to this one again.
+        """
+        if not (connection.from_worker and self.connections.is_above_high_water()):
+            return False
+        self.closed_after_response += 1
+        return True
+
     async def _read(
-        self, conn: h11.Connection, client: curio.io.Socket
+        self, conn: h11.Connection, connection: Connection
     ) -> Request | Response | None:
         head: h11.Request | None = None
         body = bytearray()
@@ -105,14 +158,9 @@
             event = conn.next_event()
             if event is h11.NEED_DATA:
                 if head is None and not conn.trailing_data[0]:
-                    conn.receive_data(await client.recv(READ_BYTES))
+                    conn.receive_data(await self._receive_first(connection))
                 else:
-                    # A half-sent request may not hold a socket for ever.
-                    async with curio.timeout_after(self.stall_s):
-                        if conn.they_are_waiting_for_100_continue:
-                            go_on = h11.InformationalResponse(status_code=100, headers=[])
-                            await client.sendall(conn.send(go_on) or b"")
-                        conn.receive_data(await client.recv(READ_BYTES))
+                    conn.receive_data(await self._receive_more(conn, connection.socket))
             elif isinstance(event, h11.Request):
                 head = event
                 length = dict(event.headers).get(b"content-length", b"0")
@@ -128,6 +176,22 @@
             else:
                 return None
 
+    async def _receive_first(self, connection: Connection) -> bytes:
+        """The first bytes of the next request; none when the connection ended or was evicted."""
+        self.connections.mark_idle(connection)
+        data: bytes = await connection.socket.recv(READ_BYTES)
+        self.connections.mark_busy(connection)
+        return b"" if connection.evicted else data
+
+    async def _receive_more(self, conn: h11.Connection, client: curio.io.Socket) -> bytes:
+        """More of a request that has begun. A half-sent one may not hold a socket for ever."""
+        async with curio.timeout_after(self.stall_s):
+            if conn.they_are_waiting_for_100_continue:
+                go_on = h11.InformationalResponse(status_code=100, headers=[])
+                await client.sendall(conn.send(go_on) or b"")
+            data: bytes = await client.recv(READ_BYTES)
+        return data
+
     async def _send(
         self, conn: h11.Connection, client: curio.io.Socket, response: Response, close: bool
     ) -> None:
