--- a/starlingdeck/admission/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -1,4 +1,4 @@
-"""Quota as a gate: which shards lack it for what waits, and how others pass theirs on."""
+"""The admission plugin of team quota, and the transfers of quota between shards."""
 
 import logging
 from collections.abc import Mapping, Sequence
@@ -6,9 +6,10 @@
 import curio
 import msgspec
 
-from starlingdeck.admission.quota import Pair, Quota
+from starlingdeck.admission.quota import Quota, ResourceAmount
+from starlingdeck.admission.quota_demand import QuotaDemand, TeamShard
 from starlingdeck.cluster.membership import Membership
-from starlingdeck.context import UNBOUNDED, ControllerContext
+from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.admission import WaitReason
 from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.job_shard import JobShard
@@ -19,13 +20,18 @@
     StateClient,
     StateError,
     TransactionConflictError,
+    put_change,
 )
-from starlingdeck.storage.state import put_change as put_key
 
 log = logging.getLogger(__name__)
 
+MIN_RETRY_S = 0.5  # before the state service is asked again; a random part is added
+MAX_RETRY_JITTER_S = 0.5
+
 
 class QuotaTransfer:
+    """Limits what each team runs at each shard; moves unused quota to the shards that lack it."""
+
     def __init__(
         self,
         context: ControllerContext,
@@ -40,124 +46,68 @@
         self.writers = writers
         self.wake = wake
         self.quota = Quota(context)
-        self.quota_needs: dict[tuple[int, int], Pair] = {}
-        self.sizes: dict[tuple[int, int], set[Pair]] = {}  # of the tasks that wait there
-        # What a hold's attempts of a team use: walked over once a plan, then added to as tasks are
-        # picked. What comes free meanwhile is left for the next plan. By hold, so that a shard
-        # taken over again in the middle of a plan is walked over anew.
-        self.using: dict[tuple[int, int], Pair] = {}  # gen, team
-
-    def limited(self, team: int) -> bool:
-        """Whether a team has any limit to keep."""
-        teams = self.context.settings.settings.teams
-        return team < len(teams) and (teams[team].cpus_max > 0 or teams[team].gpus_max > 0)
-
-    def used(self, shard: int, team: int) -> Pair:
-        """What a shard's attempts of a team may be using, counted until proven gone."""
-        cpus = gpus = 0.0
-        for job in self.writers[shard].shard.jobs.values():
-            if job.team == team:
-                cpus += job.active_attempts() * job.spec.cpus
-                gpus += job.active_attempts() * job.spec.gpus
-        return cpus, gpus
+        self.demand = QuotaDemand(context, self.quota, writers)
+
+    # --- admission plugin
+
+    async def begin_cycle(self, jobs: Sequence[Job]) -> None:
+        """Find which shards lack quota for their waiting tasks, and move some to them."""
+        for (team, shard), demand in self.demand.begin_cycle(jobs).items():
+            shortage = self.demand.record_shortage(team, shard, demand)
+            if shortage is not None:
+                await self.transfer_to(team, shard, shortage, self.smallest_task(team, shard))
 
     def headroom(self, job: Job) -> int:
         """For how many more tasks of a job its shard has quota."""
-        if not self.limited(job.team):
-            return UNBOUNDED
-        hold = (self.writers[job.shard].shard.epoch, job.team)
-        used = self.using.get(hold)
-        if used is None:
-            used = self.using[hold] = self.used(job.shard, job.team)
-        share = self.quota.share(job.team, job.shard)
-        spare = UNBOUNDED
-        for size, have, gone in zip((job.spec.cpus, job.spec.gpus), share, used, strict=True):
-            if size > 0:
-                spare = min(spare, int((have - gone) / size + 1e-9))
-        return max(0, spare)
+        return self.demand.headroom(job)
+
+    def on_requested(self, job: Job, tasks: int) -> None:
+        """Count that many more tasks of a job as used."""
+        self.demand.add_requested(job, tasks)
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
-        self.using = {}
+        """Why the job's next task must wait for quota; empty if it need not."""
+        self.demand.drop_cached_use()
         if self.headroom(job):
             return []
-        used = f"the limit of team {job.spec.team!r} is used"
-        return [WaitReason(used, "an end of its work, or a higher limit")]
-
-    def on_requested(self, job: Job, tasks: int) -> None:
-        writer = self.writers.get(job.shard)
-        hold = (writer.shard.epoch, job.team) if writer is not None else (0, job.team)
-        if hold in self.using:
-            cpus, gpus = self.using[hold]
-            self.using[hold] = (cpus + tasks * job.spec.cpus, gpus + tasks * job.spec.gpus)
+        reason = f"the limit of team {job.spec.team!r} is used"
+        return [WaitReason(reason, "an end of its work, or a higher limit")]
 
     def on_idle(self) -> None:
-        self.quota_needs, self.sizes = {}, {}
+        """No task waits: no shard lacks quota."""
+        self.demand.clear()
 
-    def smallest_task(self, team: int, shard: int) -> Pair:
-        """The smallest task that waits in a shard of ours for its team's quota; none: zeros."""
-        return min(self.sizes.get((team, shard), ()), default=(0.0, 0.0))
+    # --- transfers
 
-    async def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        """Which shards of ours lack quota for what waits; the others may pass some on."""
-        wants: dict[tuple[int, int], Pair] = {}
-        sizes: dict[tuple[int, int], set[Pair]] = {}
-        for job in jobs:
-            if not self.limited(job.team):
-                continue
-            old = wants.get((job.team, job.shard), (0.0, 0.0))
-            n = len(job.pending(1000))
-            if n:
-                sizes.setdefault((job.team, job.shard), set()).add((job.spec.cpus, job.spec.gpus))
-            wants[(job.team, job.shard)] = (
-                old[0] + n * job.spec.cpus,
-                old[1] + n * job.spec.gpus,
-            )
-        self.quota_needs, self.using, self.sizes = {}, {}, sizes
-        for (team, shard), want in wants.items():
-            used, share = self.used(shard, team), self.quota.share(team, shard)
-            short = tuple(w - (s - u) for w, s, u in zip(want, share, used, strict=True))
-            if max(short) > 1e-6:
-                need = (max(0.0, short[0]), max(0.0, short[1]))
-                self.quota_needs[(team, shard)] = need
-                await self.transfer_to(team, shard, need, self.smallest_task(team, shard))
-
-    def _kept(self, team: int, giver: int, taker: int, task: Pair) -> Pair | None:
-        """How much of its share a shard that lacks quota itself keeps, if it is to pass on a rest;
-        else None.
-
-        Each shard kept a rest in which none of its tasks fitted, and all waited while their team
-        was under its limit by more than one. The rests go to where the smallest task waits (of
-        shards alike, the lowest): that starts if any can, and none comes back, as no transfer
-        changes the order. The share stays at the largest waiting task's size that it holds: that
-        much comes together as the shard's own work ends, and was given to small tasks bit by bit.
+    @property
+    def quota_needs(self) -> Mapping[TeamShard, ResourceAmount]:
+        """By how much shards of this controller lack quota, for the gossip to its peers."""
+        return self.demand.shortages
+
+    def smallest_task(self, team: int, shard: int) -> ResourceAmount:
+        """The smallest task that waits at a shard for its team's quota; zeros if none does."""
+        return self.demand.smallest_task(team, shard)
+
+    async def transfer_to(
+        self, team: int, receiver: int, need: tuple[float, float], task: tuple[float, float]
+    ) -> None:
+        """Give quota that a shard of this controller can spare to `receiver`, any shard.
+
+        `need` is what the receiver lacks, `task` the smallest task that waits for it there. At
+        most one transfer is begun per call; it is written in the background.
         """
-        sizes = self.sizes.get((team, giver))
-        if not sizes or not any(task) or (task, taker) >= (min(sizes), giver):
-            return None
-        used, share = self.used(giver, team), self.quota.share(team, giver)
-        left = (share[0] - used[0] + 1e-9, share[1] - used[1] + 1e-9)
-        if any(size[0] <= left[0] and size[1] <= left[1] for size in sizes):
-            return None
-        held = [s for s in sizes if s[0] <= share[0] + 1e-9 and s[1] <= share[1] + 1e-9]
-        return max((s[0] for s in held), default=0.0), max((s[1] for s in held), default=0.0)
-
-    async def transfer_to(self, team: int, taker: int, want: Pair, task: Pair) -> None:
-        """Pass on quota that shards of ours don't use, keeping what their own jobs wait for and
-        can use. `task`: the smallest that waits for it at the taker."""
         if not self.membership.lease_is_valid() or team >= len(
             self.context.settings.settings.teams
         ):
             return
+        needed, smallest = ResourceAmount(*need), ResourceAmount(*task)
         for giver, writer in list(self.writers.items()):
             if not writer.shard.loaded:
                 continue
-            used = self.used(giver, team)
-            if (team, giver) in self.quota_needs:
-                kept = self._kept(team, giver, taker, task)
-                if kept is None:
-                    continue
-                used = (max(used[0], kept[0]), max(used[1], kept[1]))
-            after = self.quota.transfer(team, giver, taker, want, used)
+            withheld = self.demand.withheld_from(team, giver, receiver, smallest)
+            if withheld is None:
+                continue
+            after = self.quota.transfer(team, giver, receiver, needed, withheld)
             if after is not None:
                 await curio.spawn(
                     self._write_transfer, team, giver, writer.shard, after, daemon=True
@@ -165,7 +115,7 @@
                 return
 
     async def _write_transfer(
-        self, team: int, giver: int, shard: JobShard, after: list[Pair]
+        self, team: int, giver: int, shard: JobShard, after: list[ResourceAmount]
     ) -> None:
         key = records.quota_key(team)
         conditions = {
@@ -173,36 +123,39 @@
             records.shard_key(giver): shard.token,
         }
         try:
-            version = await self.state.transact(conditions, [put_key(key, after)])
+            version = await self.state.transact(conditions, [put_change(key, after)])
             self.quota.learn(team, after, version)
-            log.info("team %d: shard %d passed on quota: %s", team, giver, after)
+            shares = [tuple(share) for share in after]
+            log.info("quota transferred: team=%d giver=%d shares=%s", team, giver, shares)
         except (StateError, TransactionConflictError) as error:
-            log.info("team %d: quota not passed on: %r", team, error)
+            log.info("quota transfer failed: team=%d giver=%d error=%r", team, giver, error)
             # Until the key has been read again the transfer counts as made.
             await self._reread_quota(key)
             if isinstance(error, OutcomeUnknownError):
-                # It may still be executed: only a write after it, or its trace, ends that.
-                await self._settle_transfer(key, team)
+                # It may still be executed; only a later write of the key, or its trace, rules
+                # that out.
+                await self._invalidate_late_write(key, team)
         self.quota.settle(team, giver)
         await self.wake.set()
 
-    async def _settle_transfer(self, key: str, team: int) -> None:
-        """Rewrite the key as it is, so that a transfer on its way finds its condition gone."""
+    async def _invalidate_late_write(self, key: str, team: int) -> None:
+        """Rewrite the key unchanged: a transfer still on its way then fails its condition."""
         while True:
             try:
                 version = self.quota.versions.get(team, 0)
                 shares = self.quota.split(team)
-                stamp = await self.state.transact({key: version}, [put_key(key, shares)])
-                self.quota.learn(team, shares, stamp)
+                new_version = await self.state.transact({key: version}, [put_change(key, shares)])
+                self.quota.learn(team, shares, new_version)
                 return
             except TransactionConflictError:
                 await self._reread_quota(key)
                 return
             except StateError:
-                await curio.sleep(0.5 + 0.5 * self.context.rng.random())
+                await self._retry_wait()
 
     def on_key_changed(self, key: str, value: msgspec.Raw, version: int) -> None:
-        shares = msgspec.json.decode(value, type=list[Pair])
+        """Take over a team's shares from the value of its key; msgspec.DecodeError if invalid."""
+        shares = msgspec.json.decode(value, type=list[ResourceAmount])
         self.quota.learn(int(key[len(records.QUOTA) :]), shares, version)
 
     async def _reread_quota(self, key: str) -> None:
@@ -211,8 +164,11 @@
             try:
                 entry = await self.state.get(key)
             except StateError:
-                await curio.sleep(0.5 + 0.5 * self.context.rng.random())
+                await self._retry_wait()
                 continue
             if entry is not None:
                 self.on_key_changed(key, entry.value, entry.version)
             return
+
+    async def _retry_wait(self) -> None:
+        await curio.sleep(MIN_RETRY_S + MAX_RETRY_JITTER_S * self.context.rng.random())
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -36,7 +36,7 @@
     "state_takeover": int,
     "state_note": int,
     "state_relay_part": records.RelayPart,
-    "state_quota_split": list[quota.Pair],
+    "state_quota_split": list[quota.ResourceAmount],
     "state_machine_types": list[api.MachineType],
     "state_job": records.JobRecord,
     "state_chunk": records.Chunk,
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,65 +1,67 @@
-"""Quota shares under lost, late and repeated writes: use never passes the limit."""
+"""Quota shares under lost, late and repeated writes: use never exceeds the limit."""
 
 import random
 
 import pytest
 
-from starlingdeck.admission.quota import Quota
+from starlingdeck.admission.quota import ZERO, Quota, ResourceAmount
 from tests.support.builders import Clock, make_world
 
 LIMIT = 24.0  # team "blue" of tests.support.builders
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_use_never_passes_the_limit(seed: int) -> None:
+def test_use_never_exceeds_the_limit(seed: int) -> None:
     rng = random.Random(seed)
     context = make_world(Clock())
-    key: tuple[list[tuple[float, float]], int] = ([], 0)
-    late: list[tuple[list[tuple[float, float]], int]] = []
-    nodes = [Quota(context) for _ in range(3)]
+    stored: tuple[list[ResourceAmount], int] = ([], 0)  # value and version of the key
+    late: list[tuple[list[ResourceAmount], int]] = []  # writes applied after their sender gave up
+    controllers = [Quota(context) for _ in range(3)]
     used = [0.0] * 3
     unread: set[int] = set()
     for _ in range(400):
-        me = rng.randrange(3)
-        quota = nodes[me]
-        what = rng.choice(["use", "use", "stop", "give", "read", "late"])
-        if what == "use" and used[me] + 1 <= quota.share(0, me)[0] + 1e-9:
-            used[me] += 1
-        elif what == "stop":
-            used[me] = max(0.0, used[me] - 1)
-        elif what == "give":
-            want = (float(rng.randint(1, 12)), 0.0)
-            after = quota.transfer(0, me, (me + 1) % 3, want, (used[me], 0.0))
+        own = rng.randrange(3)
+        quota = controllers[own]
+        action = rng.choice(["use", "use", "stop", "give", "read", "late"])
+        if action == "use" and used[own] + 1 <= quota.share(0, own)[0] + 1e-9:
+            used[own] += 1
+        elif action == "stop":
+            used[own] = max(0.0, used[own] - 1)
+        elif action == "give":
+            need = ResourceAmount(float(rng.randint(1, 12)), 0.0)
+            after = quota.transfer(0, own, (own + 1) % 3, need, ResourceAmount(used[own], 0.0))
             if after is not None:
-                luck, based = rng.random(), quota.versions.get(0, 0)
-                if luck < 0.3:
-                    late.append((after, based))
-                elif based == key[1]:
-                    key = (after, key[1] + 1)
-                unread.add(me)
-        elif what == "read":
-            # A holder that isn't sure reads, and rewrites the key so that nothing late fits.
-            if me in unread and key[1]:
-                key = (key[0], key[1] + 1)
-            if key[1]:
-                quota.learn(0, key[0], key[1])
-                quota.settle(0, me)
-                unread.discard(me)
+                outcome, expected = rng.random(), quota.versions.get(0, 0)
+                if outcome < 0.3:
+                    late.append((after, expected))
+                elif expected == stored[1]:
+                    stored = (after, stored[1] + 1)
+                unread.add(own)
+        elif action == "read":
+            # After an unknown outcome it reads the key and rewrites it: no late write applies then.
+            if own in unread and stored[1]:
+                stored = (stored[0], stored[1] + 1)
+            if stored[1]:
+                quota.learn(0, stored[0], stored[1])
+                quota.settle(0, own)
+                unread.discard(own)
         elif late:
-            after, based = late.pop()
-            if based == key[1]:
-                key = (after, key[1] + 1)
+            after, expected = late.pop()
+            if expected == stored[1]:
+                stored = (after, stored[1] + 1)
         assert sum(used) <= LIMIT + 1e-6
-        assert not key[1] or abs(sum(c for c, _ in key[0]) - LIMIT) < 1e-6
+        assert not stored[1] or abs(sum(c for c, _ in stored[0]) - LIMIT) < 1e-6
 
 
-def test_a_service_of_nearly_the_whole_limit_gets_its_quota() -> None:
+def test_a_job_of_nearly_the_whole_limit_gets_its_quota() -> None:
     context = make_world(Clock())
     quota = Quota(context)
     for giver in (1, 2):
-        after = quota.transfer(0, giver, 0, (12.0, 0.0), (0.0, 0.0))
+        after = quota.transfer(0, giver, 0, ResourceAmount(12.0, 0.0), ZERO)
         assert after is not None
         quota.learn(0, after, giver)
         quota.settle(0, giver)
     assert quota.share(0, 0) == (24.0, quota.share(0, 0)[1])
-    assert quota.transfer(1, 1, 0, (12.0, 0.0), (0.0, 0.0)) is None  # no limit, nothing to move
+    assert (
+        quota.transfer(1, 1, 0, ResourceAmount(12.0, 0.0), ZERO) is None
+    )  # no limit, nothing to move
