--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -61,13 +61,15 @@
         from starlingdeck.counts.plugin import CountedResourcePlugin
         from starlingdeck.protocol.config import CountSettings
 
-        gate = CountedResourcePlugin(
+        plugin = CountedResourcePlugin(
             node.context, node.state, node.membership, node.writers, CountSettings()
         )
-        node.register_plugin(gate)
-        node.writers[0].durable_plugin = gate
+        node.register_plugin(plugin)
+        node.writers[0].durable_plugin = plugin
         for i in range(counts):
-            gate.store(node.context.resource_names.intern(f"c-{i}"), Ledger(3, (0, 0, 0)), 1)
+            plugin.store.update(
+                node.context.resource_names.intern(f"c-{i}"), Ledger(3, (0, 0, 0)), 1
+            )
     before_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     for i in range(jobs):
         needs = {f"c-{rng.randrange(counts)}": 1 for _ in range(1 + i % 2)} if counts else {}
@@ -109,17 +111,18 @@
 def turns(node: Controller, shard: JobShard) -> Iterator[tuple[str, int, int]]:
     """Starts of up to 3 tasks a job from nothing, then in the place of others that end."""
     state = CountingState(random.Random(1))
-    writer, gate = node.writers[0], node.admission.durable
+    writer, plugin = node.writers[0], node.admission.durable
     writer.state = PlainClient(state, 0.0)  # type: ignore[assignment]
     puts = [put_change(records.shard_key(0), 0)]
     for job in shard.jobs.values():
         puts.append(put_change(records.job_key(0, job.id), 0))
         job.key_versions[0] = 2
-    if gate is not None:
-        gate.state = writer.state  # type: ignore[attr-defined]
-        for count, found in gate.ledgers.items():  # type: ignore[attr-defined]
-            puts.append(put_change(gate.key(count), found))  # type: ignore[attr-defined]
-            gate.stamps[count] = 2  # type: ignore[attr-defined]
+    if plugin is not None:
+        store = plugin.store  # type: ignore[attr-defined]  # a CountedResourcePlugin
+        store.state = writer.state
+        for resource_id, ledger in store.ledgers.items():
+            puts.append(put_change(store.key(resource_id), ledger))
+            store.versions[resource_id] = 2
     state.apply({}, puts)
     shard.token = state.epoch
     zone, machine = node.context.zone_names.intern("a"), node.context.machine_names.intern("vm-0")
--- a/scripts/fuzz_counts.py
+++ b/scripts/fuzz_counts.py
@@ -13,11 +13,11 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 with atheris.instrument_imports(include=["starlingdeck"]):
-    from tests.support.fuzz_targets import one
+    from tests.support.fuzz_targets import decode
 
 
 def target(data: bytes) -> None:
-    one(data)
+    decode(data)
 
 
 atheris.Setup(sys.argv, target)
--- a/starlingdeck/counts/__init__.py
+++ b/starlingdeck/counts/__init__.py
@@ -1,1 +1,1 @@
-"""Counted resources: named numbers of units that tasks hold while they are on a machine."""
+"""Counted resources: units of a named resource that tasks hold, limited over the whole cluster."""
--- a/starlingdeck/counts/allocation.py
+++ b/starlingdeck/counts/allocation.py
@@ -1,10 +1,10 @@
-"""What one transaction of a job shard takes of the counts, and gives back."""
+"""The ledgers' part in a transaction of a job shard: units allocated to starts, freed by ends."""
 
 import logging
 from collections.abc import Callable
+from typing import NamedTuple
 
-from starlingdeck.counts import ledger
-from starlingdeck.counts.ledger import Ledger
+from starlingdeck.counts.ledger import Ledger, grant, max_units, with_units
 from starlingdeck.counts.ledger_store import LedgerStore
 from starlingdeck.jobs.job import Job, JobUpdate
 from starlingdeck.jobs.job_shard import JobShard
@@ -14,144 +14,181 @@
 
 log = logging.getLogger(__name__)
 
-WITHHELD_S = 1.0  # a start waits this long for its unit, then its room is let go
-MOST_FREED = 200  # ends remembered for the meters
+WITHHELD_S = 1.0  # how long a start waits for its units before its reservation is given up
+RETRY_S = 0.1  # before such a task is placed again
+MAX_RELEASE_TIMES = 200  # ends per resource remembered for the latency "unit idle"
+
+
+class _Savepoint(NamedTuple):
+    """The transaction's state before its last update was added."""
+
+    use: dict[int, int]
+    ledgers: dict[int, Ledger]
 
 
 class LedgerTransaction:
-    """What one transaction of a shard takes and gives back."""
+    """A `TransactionReservation`: keeps the units in use within those allocated to the shard.
+
+    Every ledger that a start depends on is a condition of the transaction, and is changed in it
+    if the shard's number must grow or can shrink.
+    """
 
     def __init__(
-        self, counts: LedgerStore, shard: JobShard, wanted: Callable[[int, int], bool]
+        self, store: LedgerStore, shard: JobShard, is_wanted: Callable[[int, int], bool]
     ) -> None:
-        self.counts = counts
+        self.store = store
         self.shard = shard
-        self.wanted = wanted  # whether tasks of a shard wait for units of a count
-        self.use: dict[int, int] = {}  # with what has been added
-        self.new: dict[int, Ledger] = {}
-        self.drafts: list[JobUpdate] = []
-        self.stamps: dict[int, int] = {}
-        self.changed: dict[int, Ledger] = {}
-        self.before: tuple[dict[int, int], dict[int, Ledger]] = ({}, {})
+        self.is_wanted = is_wanted  # whether tasks of a shard wait for units of a resource
+        self.updates: list[JobUpdate] = []
+        self._use: dict[int, int] = {}  # units in use by resource, with all updates
+        self._ledgers: dict[int, Ledger] = {}  # as they must be for the updates
+        self._savepoint = _Savepoint({}, {})
+        self._versions: dict[int, int] = {}  # of the ledgers, once the conditions are made
+        self._changed: dict[int, Ledger] = {}
 
-    def _use(self, count: int) -> int:
-        return self.use.get(count, self.shard.resource_use.get(count, 0))
+    def _used(self, resource: int) -> int:
+        return self._use.get(resource, self.shard.resource_use.get(resource, 0))
 
-    def _ledger(self, count: int) -> Ledger | None:
-        return self.new.get(count, self.counts.ledgers.get(count))
+    def _ledger(self, resource: int) -> Ledger | None:
+        return self._ledgers.get(resource, self.store.ledgers.get(resource))
 
     def admit(self, job: Job) -> None:
+        """Withhold the starts of a job for which there are no units now.
+
+        A start withheld for longer than `WITHHELD_S` is dropped, and its task placed again.
+        """
         job.withheld = frozenset()
         if not (job.resource_needs and job.pending_starts) or job.cancelled:
             return
-        # Only the first chunk is written: what ends in another frees nothing yet.
+        # Only the first chunk is written: ends in another one free nothing yet.
         chunk = min(t // TASKS_PER_CHUNK for t in (*job.pending_ends, *job.pending_starts))
         ends = sum(t in job.placements and t // TASKS_PER_CHUNK == chunk for t in job.pending_ends)
-        room = min(self._room(count, units, ends) for count, units in job.resource_needs)
-        now = self.counts.context.now()
-        over = list(job.pending_starts)[max(0, room) :]
-        for task in over:
+        startable = min(
+            self._startable(resource, units, ends) for resource, units in job.resource_needs
+        )
+        now = self.store.context.now()
+        withheld = list(job.pending_starts)[max(0, startable) :]
+        for task in withheld:
             if now - job.pending_starts[task].state_since > WITHHELD_S:
                 del job.pending_starts[task]
-                job.retry_at[task] = now + 0.1
-        job.withheld = frozenset(over) & job.pending_starts.keys()
+                job.retry_at[task] = now + RETRY_S
+        job.withheld = frozenset(withheld) & job.pending_starts.keys()
 
-    def _room(self, count: int, units: int, ends: int) -> int:
-        """How many tasks of so many units may start, beside as many that end."""
-        found = self._ledger(count)
-        if found is None or self.counts.is_uncertain(self.shard.shard, count):
+    def _startable(self, resource: int, units: int, ends: int) -> int:
+        """How many tasks of so many units may start while `ends` such tasks end."""
+        ledger = self._ledger(resource)
+        if ledger is None or self.store.is_uncertain(self.shard.shard, resource):
             return 0
-        left = ledger.cap(found, self.shard.shard) - self._use(count) + ends * units
-        return left // units
+        free = max_units(ledger, self.shard.shard) - self._used(resource) + ends * units
+        return free // units
 
     def add(self, update: JobUpdate) -> bool:
-        job = update.job
-        self.before = (dict(self.use), dict(self.new))
-        for count, units in job.resource_needs:
-            after = self._use(count) + units * (
-                len(update.pending_starts) - len(update.pending_ends)
-            )
-            found, key = self._ledger(count), (self.shard.shard, count)
+        """Add a job's update; False, and nothing added, if its starts don't get their units."""
+        self._savepoint = _Savepoint(dict(self._use), dict(self._ledgers))
+        more_tasks = len(update.pending_starts) - len(update.pending_ends)
+        for resource, units in update.job.resource_needs:
+            used = self._used(resource) + units * more_tasks
+            ledger = self._ledger(resource)
             if update.pending_starts:
-                granted = ledger.grant(found, self.shard.shard, after) if found else None
+                granted = grant(ledger, self.shard.shard, used) if ledger else None
                 if granted is None:
-                    self.drop_part()
+                    self._restore()
                     return False
-                self.new[count] = granted
-            elif (
-                found is not None
-                and found.held[self.shard.shard] > after
-                and not self.counts.is_uncertain(*key)
-                and (found.removed or found.total > found.ceiling or not self._in_want(count))
-            ):
-                # It goes back with the record of the end.
-                self.new[count] = ledger.hold(found, self.shard.shard, after)
-            self.use[count] = after
-        self.drafts.append(update)
+                self._ledgers[resource] = granted
+            elif ledger is not None and self._is_released(resource, ledger, used):
+                self._ledgers[resource] = with_units(ledger, self.shard.shard, used)
+            self._use[resource] = used
+        self.updates.append(update)
         return True
 
-    def _in_want(self, count: int) -> bool:
-        """Whether tasks of this shard wait for units of a count, or are about to start."""
-        if self.wanted(self.shard.shard, count):
+    def _is_released(self, resource: int, ledger: Ledger, used: int) -> bool:
+        """Whether units that the shard no longer uses are released together with the end."""
+        shard = self.shard.shard
+        if ledger.allocated[shard] <= used or self.store.is_uncertain(shard, resource):
+            return False
+        over_ceiling = ledger.total > ledger.ceiling
+        return ledger.removed or over_ceiling or not self._is_needed_here(resource)
+
+    def _is_needed_here(self, resource: int) -> bool:
+        """Whether tasks of this shard wait for units of a resource, or are about to start."""
+        if self.is_wanted(self.shard.shard, resource):
             return True
         jobs = self.shard.jobs
-        dirty = (jobs[i] for i in self.shard.dirty_jobs if i in jobs)
+        dirty = (jobs[index] for index in self.shard.dirty_jobs if index in jobs)
         return any(
-            job.pending_starts and count in dict(job.resource_needs)
+            job.pending_starts and resource in dict(job.resource_needs)
             for job in dirty
             if job.resource_needs
         )
 
-    def drop_part(self) -> None:
-        self.use, self.new = self.before
+    def _restore(self) -> None:
+        self._use, self._ledgers = self._savepoint
 
     def remove_last(self) -> None:
-        self.drafts.pop()
-        self.drop_part()
+        """Remove the update added last: the transaction has no room for it."""
+        self.updates.pop()
+        self._restore()
 
     def key_count(self) -> int:
-        return len(self.new)
+        """How many ledgers the transaction depends on so far."""
+        return len(self._ledgers)
 
     def conditions_and_changes(self) -> tuple[dict[str, int], list[api.Change]]:
-        counts = self.counts
-        self.stamps = {c: counts.stamps[c] for c in self.new}
-        self.changed = {c: new for c, new in self.new.items() if new != counts.ledgers[c]}
-        conditions = {counts.key(c): stamp for c, stamp in self.stamps.items()}
-        return conditions, [put_change(counts.key(c), new) for c, new in self.changed.items()]
+        """The versions that the ledgers must have, and their changes; nothing is added after."""
+        store = self.store
+        self._versions = {resource: store.versions[resource] for resource in self._ledgers}
+        self._changed = {
+            resource: new
+            for resource, new in self._ledgers.items()
+            if new != store.ledgers[resource]
+        }
+        conditions = {store.key(resource): version for resource, version in self._versions.items()}
+        return conditions, [put_change(store.key(r), new) for r, new in self._changed.items()]
 
     def on_committed(self, revision: int) -> None:
-        counts, names, meters = (
-            self.counts,
-            self.counts.context.resource_names,
-            self.counts.context.latencies,
-        )
-        for count, new in self.changed.items():
-            if new.total < counts.ledgers[count].total:
-                counts.freed_at.pop(count, None)
-            counts.store(count, new, revision)
-        now = counts.context.now()
-        for update in self.drafts:
-            for count, units in update.job.resource_needs:
-                freed = counts.freed_at.setdefault(count, [])
-                for task in update.pending_ends:
-                    proof, ended = (update.job.end_proofs or {}).get(task, ("", now))
-                    name = api.task_name(update.job.id, task)
-                    log.info("task %s: gives back %d %s (%s)", name, units, names[count], proof)
-                    freed.append(ended)
-                for task in update.pending_starts:
-                    name = api.task_name(update.job.id, task)
-                    log.info("task %s: takes %d %s", name, units, names[count])
-                    if freed:
-                        meters.record("unit idle", now - freed.pop(0))
-                del freed[:-MOST_FREED]
+        """The transaction was executed: record the ledgers, and log the units of each task."""
+        store = self.store
+        for resource, new in self._changed.items():
+            if new.total < store.ledgers[resource].total:
+                store.released_at.pop(resource, None)
+            store.update(resource, new, revision)
+        now = store.context.now()
+        for update in self.updates:
+            for resource, units in update.job.resource_needs:
+                released_at = store.released_at.setdefault(resource, [])
+                self._log_ends(update, resource, units, released_at, now)
+                self._log_starts(update, resource, units, released_at, now)
+                del released_at[:-MAX_RELEASE_TIMES]
             if update.job.end_proofs:
-                left = update.job.end_proofs.items()
-                update.job.end_proofs = {t: p for t, p in left if t not in update.pending_ends}
+                proofs = update.job.end_proofs.items()
+                update.job.end_proofs = {t: p for t, p in proofs if t not in update.pending_ends}
+
+    def _log_ends(
+        self, update: JobUpdate, resource: int, units: int, released_at: list[float], now: float
+    ) -> None:
+        name = self.store.context.resource_names[resource]
+        for index in update.pending_ends:
+            proof, ended_at = (update.job.end_proofs or {}).get(index, ("", now))
+            task = api.task_name(update.job.id, index)
+            log.info("units freed: task=%s resource=%s units=%d proof=%s", task, name, units, proof)
+            released_at.append(ended_at)
+
+    def _log_starts(
+        self, update: JobUpdate, resource: int, units: int, released_at: list[float], now: float
+    ) -> None:
+        name = self.store.context.resource_names[resource]
+        for index in update.pending_starts:
+            task = api.task_name(update.job.id, index)
+            log.info("units allocated: task=%s resource=%s units=%d", task, name, units)
+            if released_at:
+                self.store.context.latencies.record("unit idle", now - released_at.pop(0))
 
     async def on_conflict(self, failed: list[str]) -> bool:
-        return await self.counts.reread_failed(failed)
+        """Read the ledgers among the failed conditions again; True if there were any."""
+        return await self.store.reread_failed(failed)
 
     def on_unknown_outcome(self) -> None:
-        if self.stamps:
-            jobs = [d.job for d in self.drafts if d.job.resource_needs]
-            self.counts.mark_uncertain(self.shard, self.stamps, jobs)
+        """The transaction may still be executed."""
+        if self._versions:
+            jobs = [update.job for update in self.updates if update.job.resource_needs]
+            self.store.mark_uncertain(self.shard, self._versions, jobs)
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -1,13 +1,13 @@
-"""The operators' requests: list, show, set and history of counts, beside the protocol's paths."""
+"""The HTTP handler of counted resources: operators list, show and change them (docs/counts.md)."""
 
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from starlingdeck.api.job_api import error_response, json_response
-from starlingdeck.counts.ledger import Change, Ledger
-from starlingdeck.counts.ledger_store import LedgerStore
+from starlingdeck.counts.ledger import Ledger, LedgerChange
+from starlingdeck.counts.ledger_store import LedgerStore, TaskUnits
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.state import (
@@ -19,176 +19,213 @@
 )
 from starlingdeck.transport.server import Request, Response
 
-HISTORY_KEPT = 50
-HISTORY = "history"
-TRIES = 20
+HISTORY = "history"  # the path segment
+MAX_HISTORY = 50  # changes kept of each resource
+MAX_ATTEMPTS = 20  # to write a change while shards change the ledger
+MAX_TASKS = 1000  # shown of one resource
+REVISION_DIGITS = 8  # at the end of the key of a change
 
 
-class SetCount(Struct, omit_defaults=True):
-    """A change. `rev` is the one that the operator saw, 0 for a count to be made."""
+class SetCountRequest(Struct, omit_defaults=True):
+    """An operator's change of a resource; `revision` is the one seen, 0 to create it."""
 
     ceiling: Annotated[int, Meta(ge=0, le=api.MAX_UNITS)]
-    rev: Annotated[int, Meta(ge=0)]
-    preempt: bool | None = None  # as it was, if not given
+    revision: Annotated[int, Meta(ge=0)] = field(name="rev")
+    preempt: bool | None = None  # unchanged if not given
     removed: bool = False
-    stop: bool = False
-    by: Annotated[str, Meta(max_length=api.MAX_NAME_LENGTH)] = ""
+    preempt_excess: bool = field(default=False, name="stop")
+    author: Annotated[str, Meta(max_length=api.MAX_NAME_LENGTH)] = field(default="", name="by")
 
 
-class Holder(Struct):
-    """A task that holds units, and what is known of it."""
+class TaskInfo(Struct):
+    """A task that has units, and its last reported state."""
 
     task: str
     units: int
     machine: str
     attempt: int
     state: str
-    yields: bool = False
+    releasing: bool = field(default=False, name="yields")
 
 
 class CountInfo(Struct, omit_defaults=True):
+    """A counted resource as it is shown to operators."""
+
     name: str
     ceiling: int
-    held: tuple[int, ...]
-    stamp: int
+    allocated: tuple[int, ...] = field(name="held")
+    version: int = field(name="stamp")
     preempt: bool = False
     removed: bool = False
-    rev: int = 1
-    shards: list[int] = []  # whose tasks `holders` names
-    holders: list[Holder] = []
-
-
-SEEN = {v: k for k, v in api.STATE_CODES.items()} | {api.PENDING: "no report yet"}
-
-
-async def handle(counts: LedgerStore, request: Request) -> Response:
-    """Routes a request under api.COUNTS. 503 means that nothing is known to have changed; after
-    a change's 503 it must be looked whether it was made."""
-    name, _, verb = request.path[len(api.COUNTS) + 1 :].partition("/")
-    if name and not api.COUNT.fullmatch(name):
-        return error_response(404, "no such count")
-    if verb not in ("", HISTORY):
-        return error_response(404, "no such path")
-    if request.method not in (("GET", "POST") if name and not verb else ("GET",)):
-        return error_response(405, "use GET")
-    try:
-        if request.method == "POST":
-            return await change(counts, name, request.body)
-        if verb:
-            return await history(counts, name)
-        return await (show(counts, name) if name else show_all(counts))
-    except StateError as error:
-        return error_response(503, f"the state service can't be used now: {error}")
-    except msgspec.DecodeError as error:
-        return error_response(503, f"a record can't be read: {error}")
-
-
-async def _read(counts: LedgerStore, name: str) -> tuple[Ledger | None, int]:
-    entry = await counts.state.get(records.count_key(name), True)
-    if entry is None:
-        return None, 0
-    return msgspec.json.decode(entry.value, type=Ledger), entry.version
-
-
-def info(name: str, found: Ledger, stamp: int) -> CountInfo:
-    return CountInfo(
-        name, found.ceiling, found.held, stamp, found.preempt, found.removed, found.rev
-    )
+    revision: int = field(default=1, name="rev")
+    shards: list[int] = []  # whose tasks are shown
+    tasks: list[TaskInfo] = field(default_factory=list, name="holders")
 
 
-async def show_all(counts: LedgerStore) -> Response:
-    entries, _ = await counts.state.read(records.COUNTS)
-    found = [
-        info(e.key[len(records.COUNTS) :], msgspec.json.decode(e.value, type=Ledger), e.version)
-        for e in entries
-    ]
-    return json_response(200, {"counts": found})
-
-
-async def show(counts: LedgerStore, name: str) -> Response:
-    """One count, with the tasks that hold it at this controller's shards."""
-    found, stamp = await _read(counts, name)
-    if found is None:
-        return error_response(404, "no such count")
-    told = info(name, found, stamp)
-    told.shards = sorted(counts.writers)
-    count = counts.context.resource_names.intern(name)
-    for job, task, placement, units in counts.holders(count):
-        state = (
-            "ended, not written yet" if task in job.pending_ends else SEEN[placement.observed_state]
-        )
-        name_there = counts.context.machine_names[placement.machine]
-        told.holders.append(
-            Holder(
-                api.task_name(job.id, task),
-                units,
-                name_there,
-                placement.attempt,
-                state,
-                placement.releasing,
-            )
+class StoredLedger(Struct):
+    """A ledger as read from its key; None and version 0 if there is no such key."""
+
+    ledger: Ledger | None
+    version: int
+
+
+STATE_NAMES = {code: name for name, code in api.STATE_CODES.items()}
+STATE_NAMES |= {api.PENDING: "no report yet"}
+
+
+class CountsApi:
+    """Answers the requests under `api.COUNTS` from the state service."""
+
+    def __init__(self, store: LedgerStore) -> None:
+        self.store = store
+
+    async def handle(self, request: Request) -> Response:
+        """Route a request.
+
+        503 means that nothing is known to have changed, 504 that a change may have been made.
+        """
+        name, _, subpath = request.path[len(api.COUNTS) + 1 :].partition("/")
+        if name and not api.COUNT.fullmatch(name):
+            return error_response(404, "no such count")
+        if subpath not in ("", HISTORY):
+            return error_response(404, "no such path")
+        if request.method not in (("GET", "POST") if name and not subpath else ("GET",)):
+            return error_response(405, "use GET")
+        try:
+            if request.method == "POST":
+                return await self.change(name, request.body)
+            if subpath:
+                return await self.show_history(name)
+            return await (self.show(name) if name else self.show_all())
+        except StateError as error:
+            return error_response(503, f"the state service can't be used now: {error}")
+        except msgspec.DecodeError as error:
+            return error_response(503, f"a record can't be read: {error}")
+
+    async def _read(self, name: str) -> StoredLedger:
+        entry = await self.store.state.get(records.count_key(name), True)
+        if entry is None:
+            return StoredLedger(None, 0)
+        return StoredLedger(msgspec.json.decode(entry.value, type=Ledger), entry.version)
+
+    async def show_all(self) -> Response:
+        """All resources, without their tasks."""
+        entries, _ = await self.store.state.read(records.COUNTS)
+        counts = []
+        for entry in entries:
+            ledger = msgspec.json.decode(entry.value, type=Ledger)
+            counts.append(count_info(entry.key[len(records.COUNTS) :], ledger, entry.version))
+        return json_response(200, {"counts": counts})
+
+    async def show(self, name: str) -> Response:
+        """One resource, with the tasks of this controller's shards that have units of it."""
+        stored = await self._read(name)
+        if stored.ledger is None:
+            return error_response(404, "no such count")
+        info = count_info(name, stored.ledger, stored.version)
+        info.shards = sorted(self.store.writers)
+        resource = self.store.context.resource_names.intern(name)
+        info.tasks = [self._task_info(found) for found in self.store.tasks_with_units(resource)]
+        del info.tasks[MAX_TASKS:]
+        return json_response(200, info)
+
+    def _task_info(self, found: TaskUnits) -> TaskInfo:
+        job, placement = found.job, found.placement
+        if found.task in job.pending_ends:
+            state = "ended, not written yet"
+        else:
+            state = STATE_NAMES[placement.observed_state]
+        return TaskInfo(
+            task=api.task_name(job.id, found.task),
+            units=found.units,
+            machine=self.store.context.machine_names[placement.machine],
+            attempt=placement.attempt,
+            state=state,
+            releasing=placement.releasing,
         )
-    del told.holders[1000:]
-    return json_response(200, told)
-
-
-async def history(counts: LedgerStore, name: str) -> Response:
-    entries, _ = await counts.state.read(records.change_key(name, 0)[:-8])
-    found = [msgspec.json.decode(e.value, type=Change) for e in entries]
-    return json_response(200, {"changes": found}) if found else error_response(404, "no such count")
-
-
-async def change(counts: LedgerStore, name: str, body: bytes) -> Response:
-    """Set a count if it is still as the operator saw it; durable before it is answered."""
-    try:
-        wanted = msgspec.json.decode(body, type=SetCount)
-    except msgspec.DecodeError as error:
-        return error_response(400, str(error))
-    for _ in range(TRIES):
-        old, stamp = await _read(counts, name)
-        if wanted.rev != (old.rev if old is not None else 0):
-            return error_response(
-                409, f"count {name} has been changed by another operator: look again"
-            )
-        old = old or Ledger(0, (0,) * counts.context.shard_count, rev=0)
-        new, changes = changed(counts, name, old, wanted)
+
+    async def show_history(self, name: str) -> Response:
+        """The last changes of a resource by operators."""
+        prefix = records.change_key(name, 0)[:-REVISION_DIGITS]
+        entries, _ = await self.store.state.read(prefix)
+        changes = [msgspec.json.decode(entry.value, type=LedgerChange) for entry in entries]
+        if not changes:
+            return error_response(404, "no such count")
+        return json_response(200, {"changes": changes})
+
+    async def change(self, name: str, body: bytes) -> Response:
+        """Change a resource if it still has the revision that the operator saw.
+
+        The change is durable before it is answered.
+        """
         try:
-            version = await counts.state.transact({records.count_key(name): stamp}, changes, True)
-        except TransactionConflictError:
-            # Units were taken or came back meanwhile; that is nothing to the operator.
-            continue
-        except OutcomeUnknownError:
-            return error_response(504, "not known whether it was changed: look again")
-        counts.store(counts.context.resource_names.intern(name), new, version)
-        return json_response(201 if old.rev == 0 else 200, info(name, new, version))
-    return error_response(503, "the count is too busy: ask again")
-
-
-def changed(
-    counts: LedgerStore, name: str, old: Ledger, wanted: SetCount
-) -> tuple[Ledger, list[api.Change]]:
-    """The ledger as it is to be, and what is written for it."""
-    new = msgspec.structs.replace(
+            wanted = msgspec.json.decode(body, type=SetCountRequest)
+        except msgspec.DecodeError as error:
+            return error_response(400, str(error))
+        store = self.store
+        for _ in range(MAX_ATTEMPTS):
+            stored = await self._read(name)
+            old = stored.ledger or Ledger(0, (0,) * store.context.shard_count, revision=0)
+            if wanted.revision != old.revision:
+                return error_response(
+                    409, f"count {name} has been changed by another operator: look again"
+                )
+            new = changed_ledger(old, wanted)
+            changes = self._changes(name, new, wanted)
+            conditions = {records.count_key(name): stored.version}
+            try:
+                version = await store.state.transact(conditions, changes, True)
+            except TransactionConflictError:
+                # A shard allocated or released units meanwhile: no matter to the operator.
+                continue
+            except OutcomeUnknownError:
+                return error_response(504, "not known whether it was changed: look again")
+            store.update(store.context.resource_names.intern(name), new, version)
+            status = 201 if old.revision == 0 else 200
+            return json_response(status, count_info(name, new, version))
+        return error_response(503, "the count is too busy: ask again")
+
+    def _changes(self, name: str, new: Ledger, wanted: SetCountRequest) -> list[api.Change]:
+        """What is written for a change: the ledger, its history, and what is too old there."""
+        change = LedgerChange(
+            revision=new.revision,
+            at_ms=self.store.context.wall_clock_ms(),
+            ceiling=new.ceiling,
+            preempt=new.preempt,
+            removed=new.removed,
+            preempt_excess=new.preempt_excess,
+            author=wanted.author,
+        )
+        changes = [
+            put_change(records.count_key(name), new),
+            put_change(records.change_key(name, new.revision), change),
+        ]
+        if new.revision > MAX_HISTORY:
+            expired = records.change_key(name, new.revision - MAX_HISTORY)
+            changes.append(delete_change(expired))
+        return changes
+
+
+def count_info(name: str, ledger: Ledger, version: int) -> CountInfo:
+    """A resource as it is shown, without its tasks."""
+    return CountInfo(
+        name=name,
+        ceiling=ledger.ceiling,
+        allocated=ledger.allocated,
+        version=version,
+        preempt=ledger.preempt,
+        removed=ledger.removed,
+        revision=ledger.revision,
+    )
+
+
+def changed_ledger(old: Ledger, wanted: SetCountRequest) -> Ledger:
+    """The ledger after an operator's change."""
+    return msgspec.structs.replace(
         old,
         ceiling=wanted.ceiling,
         preempt=old.preempt if wanted.preempt is None else wanted.preempt,
         removed=wanted.removed,
-        stop=wanted.stop,
-        rev=old.rev + 1,
-    )
-    made = Change(
-        new.rev,
-        counts.context.wall_clock_ms(),
-        new.ceiling,
-        new.preempt,
-        new.removed,
-        new.stop,
-        wanted.by,
+        preempt_excess=wanted.preempt_excess,
+        revision=old.revision + 1,
     )
-    changes = [
-        put_change(records.count_key(name), new),
-        put_change(records.change_key(name, new.rev), made),
-    ]
-    if new.rev > HISTORY_KEPT:
-        changes.append(delete_change(records.change_key(name, new.rev - HISTORY_KEPT)))
-    return new, changes
--- a/starlingdeck/counts/ledger_store.py
+++ b/starlingdeck/counts/ledger_store.py
@@ -1,15 +1,15 @@
-"""The ledgers as this controller knows them, and the writes on them whose fate is open."""
+"""The ledgers as this controller knows them, and the writes on them whose outcome is unknown."""
 
 import logging
 from collections.abc import Iterator, Mapping, Sequence
+from typing import NamedTuple
 
 import curio
 import msgspec
 from msgspec import Struct, field
 
 from starlingdeck.context import ControllerContext
-from starlingdeck.counts import ledger
-from starlingdeck.counts.ledger import Ledger
+from starlingdeck.counts.ledger import Ledger, describe, is_valid
 from starlingdeck.jobs.job import Job, TaskPlacement
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.record_writer import RecordWriter
@@ -19,23 +19,32 @@
 
 log = logging.getLogger(__name__)
 
-CONFLICT_S = (0.005, 0.020)  # a ledger that another shard changed is read again after this
+CONFLICT_WAIT_S = (0.005, 0.020)  # before a ledger that another shard changed is read again
 
 
 class UncertainWrite(Struct):
-    """Writes of a shard that may be executed yet, while these ledgers have these stamps."""
+    """Writes of a shard that may still be executed while these ledgers have these versions."""
 
     shard: JobShard
-    stamps: dict[int, int] = field(default_factory=dict)
-    counts: set[int] = field(default_factory=set)
+    versions: dict[int, int] = field(default_factory=dict)  # by resource; not invalidated yet
+    resources: set[int] = field(default_factory=set)
     jobs: set[int] = field(default_factory=set)
 
 
+class TaskUnits(NamedTuple):
+    """A recorded task and how many units of a resource it has."""
+
+    job: Job
+    task: int
+    placement: TaskPlacement
+    units: int
+
+
 class LedgerStore:
-    """Ledgers are cached from the watch on their keys, one a declared count; a stale one costs a
-    conflict, never a unit too many."""
+    """Caches the ledgers from the watch on their keys.
 
-    prefix = records.COUNTS
+    A ledger out of date costs a transaction conflict, never a unit beyond the ceiling.
+    """
 
     def __init__(
         self, context: ControllerContext, state: StateClient, writers: Mapping[int, RecordWriter]
@@ -43,101 +52,121 @@
         self.context = context
         self.state = state
         self.writers = writers
-        self.ledgers: dict[int, Ledger] = {}
-        self.stamps: dict[int, int] = {}
-        self.uncertain_writes: dict[int, UncertainWrite] = {}
-        self.freed_at: dict[int, list[float]] = {}  # count -> when ends were proven, for the meters
-        self.fresh = False  # since the last plan: units of a ledger came free
+        self.ledgers: dict[int, Ledger] = {}  # by resource
+        self.versions: dict[int, int] = {}  # of the ledgers' keys
+        self.uncertain_writes: dict[int, UncertainWrite] = {}  # by shard
+        # resource -> when tasks with units were proven to have ended, for the latency "unit idle"
+        self.released_at: dict[int, list[float]] = {}
+        self.has_new_units = False  # since the last cycle units of a ledger became unallocated
 
     def on_key_changed(self, key: str, value: bytes, version: int) -> None:
-        name = key[len(self.prefix) :]
+        """Take over a ledger from the value of its key; ValueError if it is not valid."""
+        name = key[len(records.COUNTS) :]
         if not api.COUNT.fullmatch(name):
-            raise ValueError("no name of a count")
+            raise ValueError(f"key {key!r}: expected the name of a counted resource")
         new = msgspec.json.decode(value, type=Ledger)
-        if not ledger.is_valid(new, self.context.shard_count):
-            raise ValueError(f"a ledger that can't be: {new}")
-        self.store(self.context.resource_names.intern(name), new, version)
-
-    def store(self, count: int, new: Ledger, version: int) -> None:
-        """What a ledger says; an older reading changes nothing."""
-        if version <= self.stamps.get(count, 0):
+        shards = self.context.shard_count
+        if not is_valid(new, shards):
+            raise ValueError(
+                f"ledger {name}: expected {shards} numbers from 0 to {api.MAX_UNITS}, found {new}"
+            )
+        self.update(self.context.resource_names.intern(name), new, version)
+
+    def update(self, resource: int, new: Ledger, version: int) -> None:
+        """Record a ledger as it is in the state service; an older version changes nothing."""
+        if version <= self.versions.get(resource, 0):
             return
-        old = self.ledgers.get(count)
-        self.ledgers[count], self.stamps[count] = new, version
-        self.fresh |= old is not None and new.ceiling - new.total > old.ceiling - old.total
-        if old is None or old.rev != new.rev:
-            log.info("count %s: %s", self.context.resource_names[count], announce(new))
+        old = self.ledgers.get(resource)
+        self.ledgers[resource], self.versions[resource] = new, version
+        self.has_new_units |= old is not None and new.ceiling - new.total > old.ceiling - old.total
+        if old is None or old.revision != new.revision:
+            name = self.context.resource_names[resource]
+            log.info("counted resource changed: resource=%s %s", name, describe(new))
 
-    def key(self, count: int) -> str:
-        return records.count_key(self.context.resource_names[count])
+    def find(self, name: str) -> Ledger | None:
+        """The ledger of a resource by name.
+
+        Users may ask for any name; one without a ledger is not interned.
+        """
+        resource = self.context.resource_names.find(name)
+        return self.ledgers.get(resource) if resource is not None else None
+
+    def key(self, resource: int) -> str:
+        """The key of a resource's ledger."""
+        return records.count_key(self.context.resource_names[resource])
 
     async def reread(self, name: str) -> None:
+        """Read a resource's ledger from the state service; StateError if that fails."""
         entry = await self.state.get(records.count_key(name), True)
         if entry is not None:
             self.on_key_changed(entry.key, bytes(entry.value), entry.version)
 
-    # --- doubt
-
-    def is_uncertain(self, shard: int, count: int) -> bool:
-        doubt = self.uncertain_writes.get(shard)
-        return doubt is not None and count in doubt.counts
+    async def reread_failed(self, failed: Sequence[str]) -> bool:
+        """Read the ledgers among the failed conditions again; True if there were any."""
+        keys = [key for key in failed if key.startswith(records.COUNTS)]
+        if keys:
+            await curio.sleep(self.context.rng.uniform(*CONFLICT_WAIT_S))
+        for key in keys:
+            await self.reread(key[len(records.COUNTS) :])
+        return bool(keys)
+
+    # --- writes whose outcome is unknown
+
+    def is_uncertain(self, shard: int, resource: int) -> bool:
+        """Whether a write of a shard that depends on this ledger may still be executed."""
+        write = self.uncertain_writes.get(shard)
+        return write is not None and resource in write.resources
+
+    def mark_uncertain(
+        self, shard: JobShard, versions: Mapping[int, int], jobs: Sequence[Job]
+    ) -> None:
+        """Note that a write which depends on these ledgers may still be executed."""
+        write = self.uncertain_writes.get(shard.shard)
+        if write is None or write.shard is not shard:
+            write = self.uncertain_writes[shard.shard] = UncertainWrite(shard)
+        write.versions |= versions
+        write.resources |= versions.keys()
+        write.jobs |= {job.index for job in jobs}
 
     async def settle(self, shard: JobShard) -> None:
-        """After an unanswered write: change the ledgers it depends on, then read its jobs again.
+        """Invalidate the uncertain writes of a shard, then have its jobs read again.
 
-        Starts within what a shard holds leave the ledger as it is. A start or a release that is
-        applied minutes late would find its conditions true, and the unit gone to another task.
+        Every ledger that such a write depends on is changed to a new version. Without that a
+        start or a release within the units of a shard, which leaves the ledger as it is, could
+        be executed minutes late with all its conditions true, after another task got the unit.
         """
-        doubt = self.uncertain_writes.get(shard.shard)
-        if doubt is None:
+        write = self.uncertain_writes.get(shard.shard)
+        if write is None:
             return
-        if doubt.shard is shard:
-            for count, stamp in list(doubt.stamps.items()):
-                await self.reread(self.context.resource_names[count])
-                if self.stamps[count] <= stamp:
-                    conditions = {
-                        self.key(count): stamp,
-                        records.shard_key(shard.shard): shard.token,
-                    }
-                    same = self.ledgers[count]
-                    version = await self.state.transact(
-                        conditions, [put_change(self.key(count), same)], True
-                    )
-                    self.store(count, same, version)
-                del doubt.stamps[count]
-            for index in doubt.jobs & shard.jobs.keys():
+        if write.shard is shard:
+            for resource, version in list(write.versions.items()):
+                await self.reread(self.context.resource_names[resource])
+                if self.versions[resource] <= version:
+                    await self._rewrite(shard, resource, version)
+                del write.versions[resource]
+            for index in write.jobs & shard.jobs.keys():
                 shard.jobs[index].stale = True
         del self.uncertain_writes[shard.shard]
 
-    def mark_uncertain(self, shard: JobShard, stamps: dict[int, int], jobs: Sequence[Job]) -> None:
-        """A write that depends on these ledgers may be executed yet."""
-        found = self.uncertain_writes.get(shard.shard)
-        if found is None or found.shard is not shard:
-            found = self.uncertain_writes[shard.shard] = UncertainWrite(shard)
-        found.stamps |= stamps
-        found.counts |= stamps.keys()
-        found.jobs |= {job.index for job in jobs}
+    async def _rewrite(self, shard: JobShard, resource: int, version: int) -> None:
+        """Write a ledger unchanged, to give it a new version."""
+        conditions = {self.key(resource): version, records.shard_key(shard.shard): shard.token}
+        same = self.ledgers[resource]
+        changes = [put_change(self.key(resource), same)]
+        self.update(resource, same, await self.state.transact(conditions, changes, True))
 
-    async def reread_failed(self, failed: Sequence[str]) -> bool:
-        """Read ledgers again that another shard has changed; True if there were any."""
-        ours = [key for key in failed if key.startswith(self.prefix)]
-        if ours:
-            await curio.sleep(self.context.rng.uniform(*CONFLICT_S))
-        for key in ours:
-            await self.reread(key[len(self.prefix) :])
-        return bool(ours)
-
-    def holders(self, count: int) -> Iterator[tuple[Job, int, TaskPlacement, int]]:
-        """The recorded tasks here that hold units of a count, and how many."""
+    # --- the tasks with units
+
+    def used(self, shard: int, resource: int) -> int:
+        """Units in use by the recorded tasks of a shard; 0 for one of another controller."""
+        writer = self.writers.get(shard)
+        return writer.shard.resource_use.get(resource, 0) if writer is not None else 0
+
+    def tasks_with_units(self, resource: int) -> Iterator[TaskUnits]:
+        """The recorded tasks of this controller's shards that have units of a resource."""
         for writer in self.writers.values():
             for job in writer.shard.jobs.values():
-                units = dict(job.resource_needs).get(count, 0) if job.resource_needs else 0
+                units = dict(job.resource_needs).get(resource, 0) if job.resource_needs else 0
                 if units:
                     for task, placement in job.placements.items():
-                        yield job, task, placement, units
-
-
-def announce(found: Ledger) -> str:
-    if found.removed:
-        return f"{found.total} held, removed"
-    return f"{found.total} of {found.ceiling} held {list(found.held)}"
+                        yield TaskUnits(job, task, placement, units)
--- /dev/null
+++ b/starlingdeck/counts/unit_preemption.py
@@ -0,0 +1,159 @@
+"""Preempts running tasks for units: over a lowered ceiling, or for higher work that waits."""
+
+import logging
+from collections.abc import Iterable, Sequence
+from typing import NamedTuple
+
+from msgspec import Struct
+
+from starlingdeck.counts.ledger import Ledger
+from starlingdeck.counts.ledger_store import LedgerStore, TaskUnits
+from starlingdeck.counts.waiting_queue import (
+    GOSSIP_VALID_S,
+    MS_PER_S,
+    Waiter,
+    WaitingQueue,
+)
+from starlingdeck.machines.machine import may_preempt
+from starlingdeck.protocol import api
+
+log = logging.getLogger(__name__)
+
+AGREEMENT_S = 0.6  # before tasks are preempted; every peer has sent its gossip meanwhile
+
+
+class UnitUse(Struct, frozen=True):
+    """A task that has units, as a candidate for preemption."""
+
+    shard: int
+    job: str
+    task: int
+    team: int
+    guaranteed: bool
+    rank: int
+    started_ms: int  # 0 if not known
+    units: int
+    releasing: bool = False  # preempted already
+
+
+class PeerUses(NamedTuple):
+    """The tasks with units of a peer's shards, as its last gossip had them."""
+
+    received_at: float
+    uses: Sequence[tuple[int, UnitUse]]  # resource, use
+
+
+class RequiredUnits(NamedTuple):
+    """How many units preemption has to free, and for whom; None: for a lowered ceiling."""
+
+    units: int
+    waiter: Waiter | None
+
+
+def choose_victims(
+    uses: Iterable[UnitUse], units: int, waiter: Waiter | None = None
+) -> list[UnitUse]:
+    """Which tasks to preempt so that `units` units come free: lowest rank, youngest first.
+
+    Tasks that are releasing already count first. For a waiter only tasks that it may preempt
+    are chosen, and none if they would not free enough.
+    """
+    victims = []
+    for use in sorted(uses, key=lambda u: (not u.releasing, u.rank, -u.started_ms, u.job, u.task)):
+        if units <= 0:
+            break
+        if use.releasing or waiter is None or may_preempt(waiter, use, False):
+            units -= use.units
+            victims.append(use)
+    return victims if waiter is None or units <= 0 else []
+
+
+def _use_of(found: TaskUnits, now: float, now_ms: int) -> UnitUse:
+    job, placement = found.job, found.placement
+    started_ms = 0
+    # Not known of placements read from a record: those started long ago.
+    if placement.state_since > 0:
+        started_ms = int(now_ms - (now - placement.state_since) * MS_PER_S)
+    return UnitUse(
+        shard=job.shard,
+        job=job.id,
+        task=found.task,
+        team=job.team,
+        guaranteed=job.guaranteed,
+        rank=job.spec.rank,
+        started_ms=started_ms,
+        units=found.units,
+        releasing=placement.releasing,
+    )
+
+
+class UnitPreemption:
+    """Chooses victims over all shards, and preempts those at this controller's shards.
+
+    Each controller chooses for itself, from its own tasks and its peers' gossip.
+    """
+
+    def __init__(self, store: LedgerStore, queue: WaitingQueue) -> None:
+        self.context = store.context
+        self.writers = store.writers
+        self.store = store
+        self.queue = queue
+        self.required_since: dict[int, float] = {}  # resource -> since when units are required
+        self.by_peer: dict[int, PeerUses] = {}
+
+    def own_uses(self, resource: int) -> list[UnitUse]:
+        """The tasks of this controller's shards with units, those to preempt first in front."""
+        now, now_ms = self.context.now(), self.context.wall_clock_ms()
+        tasks = self.store.tasks_with_units(resource)
+        uses = [_use_of(found, now, now_ms) for found in tasks]
+        return sorted(uses, key=lambda u: (not u.releasing, u.rank, -u.started_ms))
+
+    def preempt(self) -> None:
+        """Preempt the tasks here that are to give up units, once the peers agree on them."""
+        now = self.context.now()
+        required: dict[int, RequiredUnits] = {}
+        for resource, ledger in self.store.ledgers.items():
+            if (needed := self._required(resource, ledger)) is not None:
+                required[resource] = needed
+        self.required_since = {r: self.required_since.get(r, now) for r in required}
+        for resource, needed in required.items():
+            if now - self.required_since[resource] >= AGREEMENT_S:
+                self._preempt_for(resource, needed, now)
+
+    def _required(self, resource: int, ledger: Ledger) -> RequiredUnits | None:
+        """The units that preemption has to free; None if it has none to free."""
+        excess = ledger.total - ledger.ceiling
+        if ledger.preempt_excess and excess > 0:
+            return RequiredUnits(excess, None)
+        if not ledger.preempt or ledger.removed:
+            return None
+        waiting = sorted(self.queue.first_waiters(resource), key=lambda w: (w.guaranteed, w.rank))
+        if waiting and excess + waiting[-1].units > 0:
+            return RequiredUnits(excess + waiting[-1].units, waiting[-1])
+        return None
+
+    def _preempt_for(self, resource: int, required: RequiredUnits, now: float) -> None:
+        uses = self.own_uses(resource)
+        for peer in self.by_peer.values():
+            if now - peer.received_at < GOSSIP_VALID_S:
+                uses += [u for r, u in peer.uses if r == resource and u.shard not in self.writers]
+        # A peer that can't be reached chooses for itself. The units of tasks that are not known
+        # here count as freed already, so that both sides of a partition don't free the same.
+        remaining = self.store.ledgers[resource].total - required.units
+        known = sum(use.units for use in uses)
+        for use in choose_victims(uses, known - remaining, required.waiter):
+            if use.shard in self.writers and not use.releasing:
+                self._preempt_task(use, resource)
+
+    def _preempt_task(self, use: UnitUse, resource: int) -> None:
+        shard = self.writers[use.shard].shard
+        index = self.context.job_names.find(use.job)
+        job = shard.jobs.get(index) if index is not None else None
+        if job is None or use.task not in job.placements:
+            return
+        placement = job.placements[use.task]
+        placement.releasing = True
+        placement.grace_s = job.grace_s
+        shard.republish_task(job, use.task)
+        name, task = self.context.resource_names[resource], api.task_name(job.id, use.task)
+        log.info("task releasing: task=%s reason=unit_preemption resource=%s", task, name)
--- /dev/null
+++ b/starlingdeck/counts/waiting_queue.py
@@ -0,0 +1,102 @@
+"""Which work waits for units of a counted resource, and in which order shards serve it."""
+
+from collections.abc import Iterator, Mapping
+
+from msgspec import Struct, field
+
+from starlingdeck.context import ControllerContext
+from starlingdeck.counts.ledger import ShardResource
+from starlingdeck.jobs.job import Job
+from starlingdeck.jobs.record_writer import RecordWriter
+
+GOSSIP_VALID_S = 2.0  # how long a peer's gossip on waiting and running work is used
+MS_PER_S = 1000
+
+
+class Waiter(Struct, frozen=True):
+    """The first task of a shard that waits for units of a resource."""
+
+    shard: int
+    job: str
+    team: int
+    guaranteed: bool
+    rank: int
+    submitted_ms: int
+    units: int  # that are missing
+    reserving: bool = False  # units that come free are reserved for it
+
+
+def waiter_of(job: Job, units: int, reserving: bool = False) -> Waiter:
+    """A job's next task as a waiter for that many units."""
+    return Waiter(
+        shard=job.shard,
+        job=job.id,
+        team=job.team,
+        guaranteed=job.guaranteed,
+        rank=job.spec.rank,
+        submitted_ms=job.submitted_ms,
+        units=units,
+        reserving=reserving,
+    )
+
+
+def outranks(one: Waiter, other: Waiter, turn_ms: float) -> bool:
+    """Whether `one` goes before `other`, which waits at another shard.
+
+    Guarantee first, then rank; among equals, the one submitted earlier by more than `turn_ms`:
+    strictly by submission, units would move between shards at every end of a task. A waiter
+    with a reservation goes by submission alone.
+    """
+    first, second = (one.guaranteed, one.rank), (other.guaranteed, other.rank)
+    if first != second:
+        return first > second
+    if one.reserving or other.reserving:
+        return (one.submitted_ms, one.job) < (other.submitted_ms, other.job)
+    return one.submitted_ms + turn_ms < other.submitted_ms
+
+
+class PeerWaiters(Struct):
+    """The first waiters of a peer's shards, as its last gossip had them."""
+
+    received_at: float
+    by_resource: dict[int, list[Waiter]] = field(default_factory=dict)
+
+
+class WaitingQueue:
+    """The first waiters of all shards: this controller's, and its peers' from their gossip."""
+
+    def __init__(
+        self, context: ControllerContext, writers: Mapping[int, RecordWriter], turn_s: float
+    ) -> None:
+        self.context = context
+        self.writers = writers
+        self.turn_ms = turn_s * MS_PER_S
+        self.own: dict[ShardResource, Waiter] = {}  # of the last complete scheduling cycle
+        self.by_peer: dict[int, PeerWaiters] = {}
+
+    def first_waiters(self, resource: int) -> Iterator[Waiter]:
+        """The first waiter of each shard that has one."""
+        now = self.context.now()
+        for peer in self.by_peer.values():
+            if now - peer.received_at < GOSSIP_VALID_S:
+                # The former owner of a shard that moved here may still report its waiters.
+                waiters = peer.by_resource.get(resource, ())
+                yield from (w for w in waiters if w.shard not in self.writers)
+        for shard in self.writers:
+            if (own := self.own.get((shard, resource))) is not None:
+                yield own
+
+    def ahead_of(self, waiter: Waiter, resource: int) -> list[Waiter]:
+        """The waiters of other shards that go before `waiter`."""
+        return [
+            other
+            for other in self.first_waiters(resource)
+            if other.shard != waiter.shard and outranks(other, waiter, self.turn_ms)
+        ]
+
+    def is_wanted_elsewhere(self, key: ShardResource) -> bool:
+        """Whether another shard's waiter goes before those of this shard, or this has none."""
+        shard, resource = key
+        own = self.own.get(key)
+        others = [w for w in self.first_waiters(resource) if w.shard != shard]
+        return any(own is None or outranks(other, own, self.turn_ms) for other in others)
--- a/tests/support/counted_resources.py
+++ b/tests/support/counted_resources.py
@@ -1,4 +1,4 @@
-"""A plain model of counts: what the records of all jobs hold, and what ledgers say of it."""
+"""A reference model of counted resources: the units in the records of all jobs, and the ledgers."""
 
 import random
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 class CountedState(PlainState):
-    """Looks at every change: a start may never bring a count over its ceiling."""
+    """Checks every change: a start may never bring a resource over its ceiling."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
@@ -33,7 +33,7 @@
         return failed
 
     def use(self) -> Counter[tuple[str, int]]:
-        """Units by count and shard, from the records alone."""
+        """Units in use by resource and shard, from the records alone."""
         found: Counter[tuple[str, int]] = Counter()
         specs = {}
         for key, (value, _) in self.keys.items():
@@ -55,24 +55,24 @@
     def check(self) -> None:
         total: Counter[str] = Counter()
         for (name, shard), units in self.use().items():
-            if units and units > self.ledger(name).held[shard]:
+            if units and units > self.ledger(name).allocated[shard]:
                 raise Broken(f"shard {shard} uses {units} of {name}: {self.ledger(name)}")
             total[name] += units
         for name, units in total.items():
             if units > self.used[name] and units > self.ledger(name).ceiling:
-                raise Broken(f"one too many of {name}: {units} of {self.ledger(name)}")
+                raise Broken(f"{name} is over its ceiling: {units} of {self.ledger(name)}")
         self.used = total
 
     def set(self, name: str, ceiling: int, shards: int, **fields: Any) -> None:
         """An operator's change."""
         key = records.count_key(name)
-        old = self.ledger(name) if key in self.keys else Ledger(0, (0,) * shards, rev=0)
+        old = self.ledger(name) if key in self.keys else Ledger(0, (0,) * shards, revision=0)
         fields = {"removed": False, **fields}
-        new = msgspec.structs.replace(old, ceiling=ceiling, rev=old.rev + 1, **fields)
+        new = msgspec.structs.replace(old, ceiling=ceiling, revision=old.revision + 1, **fields)
         assert not self.apply({}, [put_change(key, new)])
 
 
-def gate_of(
+def make_plugin(
     context: ControllerContext,
     client: PlainClient,
     writers: dict[int, RecordWriter],
@@ -87,10 +87,12 @@
     )
 
 
-def watch(
-    gate: CountedResourcePlugin, state: PlainState, luck: Callable[[], bool] = lambda: True
+def deliver_changes(
+    plugin: CountedResourcePlugin,
+    state: PlainState,
+    is_delivered: Callable[[], bool] = lambda: True,
 ) -> None:
-    """The ledgers' changes that the gate's controller hears of now."""
-    for key, (value, stamp) in state.keys.items():
-        if key.startswith(records.COUNTS) and luck():
-            gate.on_key_changed(key, value, stamp)
+    """Deliver the ledgers' changes to a plugin, as its controller's watch would."""
+    for key, (value, version) in state.keys.items():
+        if key.startswith(records.COUNTS) and is_delivered():
+            plugin.on_key_changed(key, value, version)
--- a/tests/test_counted_resources.py
+++ b/tests/test_counted_resources.py
@@ -1,4 +1,5 @@
-"""Counts under crashes, cuts, late writes and operators: never one unit too many, none lost."""
+"""Counted resources under crashes, partitions, late writes and operators' changes: never a unit
+over the ceiling, none lost."""
 
 import random
 from collections import Counter
@@ -18,7 +19,7 @@
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateError, put_change
 from tests.support.builders import Clock, make_world, spec
-from tests.support.counted_resources import CountedState, gate_of, watch
+from tests.support.counted_resources import CountedState, deliver_changes, make_plugin
 from tests.support.reference_model import (
     Broken,
     Model,
@@ -40,10 +41,10 @@
 
 
 class CountedModel(Model):
-    """The plain model, with jobs that need units of a count of 3."""
+    """The reference model, with jobs that need units of a resource with ceiling 3."""
 
     def __init__(self, seed: int, trouble: float) -> None:
-        self.gates: dict[int, CountedResourcePlugin] = {}
+        self.plugins: dict[int, CountedResourcePlugin] = {}
         super().__init__(seed, trouble)
         self.state: CountedState
         self.state.set("engine", 3, 2)
@@ -52,7 +53,7 @@
         if not isinstance(self.state, CountedState):
             self.state = CountedState(self.rng)
         node = super().fresh(number)
-        self.gates[number] = gate_of(node.world, node.client, node.jobs)
+        self.plugins[number] = make_plugin(node.world, node.client, node.jobs)
         return node
 
     def body(self, name: str) -> api.JobSpec:
@@ -93,39 +94,39 @@
         ]
         getattr(self, "do_" + self.rng.choice([*verbs, "work"]))()
         self.check_told()
-        self.counted()
+        self.run_plugins()
 
     def step(self) -> None:
         super().step()
-        self.counted()
+        self.run_plugins()
 
-    def counted(self) -> None:
-        """What the gates do beside the writers' work."""
+    def run_plugins(self) -> None:
+        """What the plugins do beside the writers' work."""
         for node in self.nodes:
             for writer in node.jobs.values():
-                writer.durable_plugin = self.gates[node.number]
-        gate = self.gates[self.rng.randrange(2)]
-        if not gate.state.cut:  # type: ignore[attr-defined]
-            watch(gate, self.state, lambda: self.rng.random() < 0.3)
+                writer.durable_plugin = self.plugins[node.number]
+        plugin = self.plugins[self.rng.randrange(2)]
+        if not plugin.store.state.cut:  # type: ignore[attr-defined]  # a PlainClient here
+            deliver_changes(plugin, self.state, lambda: self.rng.random() < 0.3)
         if self.rng.random() < 0.05:
             for node in self.nodes:
-                at_once(self.gates[node.number].begin_cycle([]))
+                at_once(self.plugins[node.number].begin_cycle([]))
                 for writer in node.jobs.values():
                     try:
                         if writer.shard.loaded and node.valid():
-                            at_once(self.gates[node.number].release(writer))
+                            at_once(self.plugins[node.number].releaser.release(writer))
                     except StateError:
                         continue
 
     def allowed(self, node: PlainNode, job: Job) -> int:
-        gate = self.gates[node.number]
-        at_once(gate.begin_cycle([job]))
-        # Now and then more is asked for than there is room for.
-        return 2 if self.rng.random() < 0.1 else min(2, gate.headroom(job))
+        plugin = self.plugins[node.number]
+        at_once(plugin.begin_cycle([job]))
+        # Sometimes more is asked for than there are units for.
+        return 2 if self.rng.random() < 0.1 else min(2, plugin.headroom(job))
 
 
 @pytest.mark.parametrize("first", range(0, 24, 8))
-def test_never_one_unit_too_many_whatever_is_lost_or_late(first: int) -> None:
+def test_units_never_exceed_the_ceiling_whatever_is_lost_or_late(first: int) -> None:
     starts = 0
     for seed in range(first, first + 8):
         model = CountedModel(seed, trouble=0.15)
@@ -136,7 +137,7 @@
 
 
 @pytest.mark.parametrize("seed", [3, 11])
-def test_every_job_ends_once_the_trouble_is_over_and_every_unit_comes_back(seed: int) -> None:
+def test_after_faults_every_job_ends_and_every_unit_is_released(seed: int) -> None:
     model = CountedModel(seed, trouble=0.15)
     for _ in range(1200):
         model.step()
@@ -150,8 +151,8 @@
     assert model.state.ledger("engine").total == 0
 
 
-class Books(RuleBasedStateMachine):
-    """Three controllers' writers and gates on one state service; tasks end when the rules say.
+class LedgerStateMachine(RuleBasedStateMachine):
+    """Three controllers' writers and plugins on one state service; tasks end when the rules say.
 
     What is recorded is compared with `CountedState`, a model of a few lines, at every change."""
 
@@ -160,43 +161,43 @@
         self.clock = Clock()
         self.state = CountedState(random.Random(5))
         self.clients = [PlainClient(self.state, 0.0) for _ in range(3)]
-        self.gates: dict[int, CountedResourcePlugin] = {}
+        self.plugins: dict[int, CountedResourcePlugin] = {}
         self.writers: dict[int, tuple[int, RecordWriter]] = {}  # shard -> node, writer
         self.jobs = 0
         self.ended: set[str] = set()
         for name, ceiling in (("engine", 3), ("seat", 4)):
             self.state.set(name, ceiling, 3)
         self.worlds = [make_world(self.clock, node=i) for i in range(3)]
-        self.held: list[dict[int, RecordWriter]] = [{} for _ in range(3)]
+        self.owned: list[dict[int, RecordWriter]] = [{} for _ in range(3)]
         for shard in range(3):
             self.restart(shard)
             self.take(shard, shard)
 
     @rule(node=st.integers(0, 2))
     def restart(self, node: int) -> None:
-        """It forgets what it knew; its shards' keys are dropped as its lease would be."""
+        """A controller loses its memory; its shards' keys go as with its lease."""
         for shard in [s for s, (n, _) in self.writers.items() if n == node]:
             del self.writers[shard]
             self.state.keys.pop(records.shard_key(shard))
         self.worlds[node] = make_world(self.clock, node=node)
-        self.held[node] = {}
-        self.gates[node] = gate_of(self.worlds[node], self.clients[node], self.held[node])
-        watch(self.gates[node], self.state)
+        self.owned[node] = {}
+        self.plugins[node] = make_plugin(self.worlds[node], self.clients[node], self.owned[node])
+        deliver_changes(self.plugins[node], self.state)
 
     @rule(shard=st.integers(0, 2), node=st.integers(0, 2))
     def take(self, shard: int, node: int) -> None:
-        """A shard changes hands; its former holder may not know."""
+        """A shard changes its owner; the former one may not know."""
         if self.clients[node].cut:
             return
         old = self.state.keys.get(records.shard_key(shard), (b"", 0))[1]
         change = put_change(records.shard_key(shard), records.ShardValue(node, 1))
         assert not self.state.apply({records.shard_key(shard): old}, [change])
         jobs = JobShard(self.worlds[node], shard, self.state.epoch, self.state.epoch)
-        gate = self.gates[node]
-        writer = RecordWriter(self.worlds[node], gate.state, jobs, gate)
+        plugin = self.plugins[node]
+        writer = RecordWriter(self.worlds[node], plugin.store.state, jobs, plugin)
         at_once(writer.load())
         self.writers[shard] = (node, writer)
-        self.held[node][shard] = writer
+        self.owned[node][shard] = writer
 
     @rule(shard=st.integers(0, 2), tasks=st.integers(1, 3), units=st.integers(0, 3),
           seats=st.integers(0, 2))  # fmt: skip
@@ -214,30 +215,30 @@
         writer.shard.jobs[job.index] = job
 
     def each(self) -> list[tuple[int, RecordWriter]]:
-        """Every writer that somebody still takes for its own, also former holders'."""
+        """The writers of all controllers, also of former owners that don't know it yet."""
         return [
             (n, writer)
             for n in range(3)
-            for writer in list(self.held[n].values())
+            for writer in list(self.owned[n].values())
             if writer.shard.loaded
         ]
 
     @rule(limit=st.integers(1, 9), greedy=st.booleans())
     def plan(self, limit: int, greedy: bool) -> None:
-        """Starts for what waits, as many as the gate says, or more."""
+        """Starts for what waits, as many as the plugin allows, or more."""
         for node, writer in self.each():
-            gate = self.gates[node]
-            at_once(gate.begin_cycle(list(writer.shard.jobs.values())))
+            plugin = self.plugins[node]
+            at_once(plugin.begin_cycle(list(writer.shard.jobs.values())))
             for job in writer.shard.jobs.values():
-                room = limit if greedy else min(limit, gate.headroom(job))
-                for task in job.pending(room):
+                tasks = limit if greedy else min(limit, plugin.headroom(job))
+                for task in job.pending(tasks):
                     number = self.worlds[node].machine_names.intern(f"vm-{task}")
                     attempt = job.attempts[task] + 1
                     zone = self.worlds[node].zone_names.intern("a")
                     job.pending_starts[task] = TaskPlacement(
                         number, 1, attempt, 0, zone, state_since=self.clock.at
                     )
-                    gate.on_requested(job, 1)
+                    plugin.on_requested(job, 1)
                     writer.shard.dirty_jobs.add(job.index)
 
     @rule(pick=st.integers(0, 50), done=st.booleans())
@@ -273,20 +274,20 @@
     def release(self) -> None:
         for node, writer in self.each():
             try:
-                at_once(self.gates[node].release(writer))
+                at_once(self.plugins[node].releaser.release(writer))
             except StateError:
                 continue
 
     @rule(node=st.integers(0, 2))
-    def hear(self, node: int) -> None:
+    def deliver(self, node: int) -> None:
         if not self.clients[node].cut:
-            watch(self.gates[node], self.state)
+            deliver_changes(self.plugins[node], self.state)
 
     @rule(node=st.integers(0, 2), to=st.integers(0, 2))
-    def greet(self, node: int, to: int) -> None:
-        gossip = pb.Gossip()
-        self.gates[node].add_to_gossip(gossip)
-        self.gates[to].receive_gossip(node, gossip)
+    def gossip(self, node: int, to: int) -> None:
+        message = pb.Gossip()
+        self.plugins[node].add_to_gossip(message)
+        self.plugins[to].receive_gossip(node, message)
 
     @rule(name=st.sampled_from(NAMES), ceiling=st.integers(0, 5), removed=st.booleans())
     def set(self, name: str, ceiling: int, removed: bool) -> None:
@@ -298,12 +299,12 @@
 
     @rule(pick=st.integers(0, 50))
     def late(self, pick: int) -> None:
-        """A write whose sender has long given up."""
+        """Execute a write whose sender gave up long ago."""
         if self.state.late:
             self.state.apply(*self.state.late.pop(pick % len(self.state.late)))
 
     @invariant()
-    def what_a_shard_knows_is_what_is_recorded(self) -> None:
+    def use_known_to_a_shard_is_the_use_recorded(self) -> None:
         used = self.state.use()
         for shard, (node, writer) in self.writers.items():
             if any(job.stale for job in writer.shard.jobs.values()) or self.state.late:
@@ -314,7 +315,7 @@
                 assert known == used[(name, shard)]
 
     def teardown(self) -> None:
-        """No more trouble: every job ends and every unit comes back, exactly once."""
+        """Without faults every job ends and every unit is released, exactly once."""
         for client in self.clients:
             client.cut, client.trouble = False, 0.0
         self.state.late.clear()
@@ -322,16 +323,16 @@
             self.state.set(name, ceiling, 3)
         for shard in range(3):
             self.take(shard, shard)
-        self.held = [{shard: self.writers[shard][1]} for shard in range(3)]
-        for node in range(3):
-            self.gates[node].writers = self.held[node]
+        for shard in range(3):  # the plugins use the same mappings
+            self.owned[shard].clear()
+            self.owned[shard][shard] = self.writers[shard][1]
         for _ in range(400):
             if not any(writer.shard.jobs for _, writer in self.each()):
                 break
             for node in range(3):
-                self.hear(node)
+                self.deliver(node)
                 for to in range(3):
-                    self.greet(node, to)
+                    self.gossip(node, to)
             self.plan(3, False)
             self.write(0.4)
             for pick in range(3):
@@ -342,14 +343,14 @@
         self.clock.at += 5.0
         for _ in range(3):
             for node in range(3):
-                self.hear(node)
+                self.deliver(node)
             self.clock.at += 5.0
             self.release()
         assert self.state.ledger("engine").total == self.state.ledger("seat").total == 0
 
 
-def test_books_agree_with_the_plain_model_at_every_change() -> None:
+def test_ledgers_agree_with_the_reference_model_at_every_change() -> None:
     run_state_machine_as_test(
-        Books,
+        LedgerStateMachine,
         settings=settings(derandomize=True, max_examples=80, stateful_step_count=40, deadline=None),
     )
--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -1,4 +1,4 @@
-"""Counts, one hard case at a time; and what operators see and do."""
+"""Counted resources: difficult cases one at a time, and the operators' HTTP requests."""
 
 from pathlib import Path
 from typing import Any, cast
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from starlingdeck.cli import main
-from starlingdeck.counts import ledger
-from starlingdeck.counts.ledger import UnitUse, Waiter
 from starlingdeck.counts.plugin import CountedResourcePlugin
+from starlingdeck.counts.unit_preemption import UnitUse, choose_victims
+from starlingdeck.counts.waiting_queue import Waiter
 from starlingdeck.jobs.job import Job, TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.machines.shard_snapshot import ShardSnapshot
@@ -24,33 +24,33 @@
 from starlingdeck.storage.state import OutcomeUnknownError, StateError
 from tests.support import fuzz_targets
 from tests.support.builders import job_body, spec
-from tests.support.counted_resources import CountedState, watch
+from tests.support.counted_resources import CountedState, deliver_changes
 from tests.support.reference_model import PlainClient, at_once
-from tests.test_counted_resources import Books
+from tests.test_counted_resources import LedgerStateMachine
 from tests.test_resource_bounds import Site
 
 ROOT = Path(__file__).resolve().parents[1]
 CORPUS = ROOT / "tests" / "corpus" / "counts"
 
 
-class Desk(Books):
-    """One shard's books, played by hand."""
+class SingleShard(LedgerStateMachine):
+    """Shard 0 and its ledgers, driven step by step."""
 
     def __init__(self, ceiling: int, **fields: Any) -> None:
         super().__init__()
         self.state.set("engine", ceiling, 3, **fields)
-        self.hear(0)
+        self.deliver(0)
 
     @property
-    def gate(self) -> CountedResourcePlugin:
-        return self.gates[0]
+    def plugin(self) -> CountedResourcePlugin:
+        return self.plugins[0]
 
     @property
     def shard(self) -> JobShard:
         return self.writers[0][1].shard
 
     def job(self, units: int = 1, tasks: int = 1, **fields: Any) -> Job:
-        """One more job; `fields` are as its spec would have them."""
+        """Submit one more job; `fields` replace those of its spec."""
         self.submit(0, tasks, units, 0)
         job = list(self.shard.jobs.values())[-1]
         job.spec = msgspec.structs.replace(job.spec, **fields)
@@ -69,14 +69,14 @@
         job.pending_starts[task] = placement
         self.shard.dirty_jobs.add(job.index)
 
-    def room(self, *jobs: Job) -> list[int]:
-        """What a plan allows each, in this order, and takes."""
-        at_once(self.gate.begin_cycle(jobs))
+    def headroom(self, *jobs: Job) -> list[int]:
+        """Run a cycle: the headroom of each job, in this order, which it then uses."""
+        at_once(self.plugin.begin_cycle(jobs))
         found = []
         for job in jobs:
-            room = min(self.gate.headroom(job), len(job.pending(9)))
-            self.gate.on_requested(job, room)
-            found.append(room)
+            tasks = min(self.plugin.headroom(job), len(job.pending(9)))
+            self.plugin.on_requested(job, tasks)
+            found.append(tasks)
         return found
 
     def flush(self) -> None:
@@ -89,212 +89,212 @@
         return self.state.ledger("engine").total
 
 
-def idle_unit(desk: Desk) -> tuple[Job, Job]:
-    """Two jobs that wait, and a unit that their shard holds and does not use."""
-    first, second, third = (desk.job() for _ in range(3))
-    desk.start(first)
-    desk.flush()
-    desk.room(second, third)
-    desk.finish(first)
-    desk.flush()
-    assert desk.total() == 1 and not desk.shard.resource_use[0]
+def idle_unit(site: SingleShard) -> tuple[Job, Job]:
+    """Two jobs that wait, and a unit that is allocated to their shard and not in use."""
+    first, second, third = (site.job() for _ in range(3))
+    site.start(first)
+    site.flush()
+    site.headroom(second, third)
+    site.finish(first)
+    site.flush()
+    assert site.total() == 1 and not site.shard.resource_use[0]
     return second, third
 
 
-def test_a_late_start_within_what_its_shard_holds_finds_the_unit_gone() -> None:
-    """It leaves the ledger as it is, so that of another start only the job's own record, the
-    token and the ledger's stamp could tell; all three were as before."""
-    desk = Desk(1)
-    second, third = idle_unit(desk)
-    desk.start(second)
-    desk.clients[0].trouble = 2.0  # applied later, answered never
+def test_a_late_start_within_the_units_of_its_shard_fails_after_another_start() -> None:
+    """It leaves the ledger as it is: only the job's own record, the token and the ledger's version
+    could show that another task had started, and all three were as before."""
+    site = SingleShard(1)
+    second, third = idle_unit(site)
+    site.start(second)
+    site.clients[0].trouble = 2.0  # applied later, answered never
     with pytest.raises(OutcomeUnknownError):
-        desk.flush()
-    desk.clients[0].trouble = 0.0
+        site.flush()
+    site.clients[0].trouble = 0.0
     second.pending_starts.clear()
-    desk.start(third)
-    desk.flush()
+    site.start(third)
+    site.flush()
     assert third.placements
-    assert len(desk.state.late) == 1 and desk.state.apply(*desk.state.late.pop())
+    assert len(site.state.late) == 1 and site.state.apply(*site.state.late.pop())
 
 
-def test_a_start_that_was_recorded_unheard_is_seen_before_the_next() -> None:
-    desk = Desk(1)
-    second, third = idle_unit(desk)
-    desk.start(second)
-    desk.clients[0].trouble = 2.0
+def test_a_start_recorded_without_an_answer_is_read_before_the_next() -> None:
+    site = SingleShard(1)
+    second, third = idle_unit(site)
+    site.start(second)
+    site.clients[0].trouble = 2.0
     with pytest.raises(OutcomeUnknownError):
-        desk.flush()
-    desk.clients[0].trouble = 0.0
-    (late,) = desk.state.late
+        site.flush()
+    site.clients[0].trouble = 0.0
+    (late,) = site.state.late
     second.pending_starts.clear()
-    desk.start(third)
-    reread = desk.gate.reread
+    site.start(third)
+    reread = site.plugin.store.reread
 
     async def applied_first(name: str) -> None:
-        assert not desk.state.apply(*late)
-        desk.gate.reread = reread  # type: ignore[method-assign]
+        assert not site.state.apply(*late)
+        site.plugin.store.reread = reread  # type: ignore[method-assign]  # the test is in between
         await reread(name)
 
-    desk.gate.reread = applied_first  # type: ignore[method-assign]
-    desk.flush()
-    again = desk.shard.jobs[second.index]
+    site.plugin.store.reread = applied_first  # type: ignore[method-assign]  # the test is in between
+    site.flush()
+    again = site.shard.jobs[second.index]
     assert again.placements and not third.placements and third.withheld
 
 
 def test_a_late_release_takes_no_unit_from_a_task() -> None:
-    desk = Desk(1)
-    second, _ = idle_unit(desk)
-    desk.release()
-    desk.clock.at += 1.0
-    desk.clients[0].trouble = 2.0
+    site = SingleShard(1)
+    second, _ = idle_unit(site)
+    site.release()
+    site.clock.at += 1.0
+    site.clients[0].trouble = 2.0
     with pytest.raises(OutcomeUnknownError):
-        at_once(desk.gate.release(desk.writers[0][1]))
-    desk.clients[0].trouble = 0.0
-    desk.start(second)
-    desk.flush()
-    assert second.placements and desk.state.apply(*desk.state.late.pop())
-
-
-def test_a_unit_passes_from_task_to_task_at_no_change_of_its_own() -> None:
-    """The end and the next start are written as they would be without a count."""
-    desk = Desk(1)
-    first, second = desk.job(), desk.job()
-    desk.start(first)
-    desk.flush()
-    at = desk.state.keys[records.count_key("engine")][1]
-    desk.room(second)
-    desk.finish(first)
-    desk.start(second)
-    desk.flush()
-    assert second.placements and desk.state.keys[records.count_key("engine")][1] == at
-
-
-def test_units_of_several_counts_are_taken_together_or_not_at_all() -> None:
-    desk = Desk(1)
-    desk.state.set("seat", 0, 3)
-    desk.hear(0)
-    desk.submit(0, 1, 1, 1)
-    (job,) = desk.shard.jobs.values()
-    assert desk.room(job) == [0]
-    desk.start(job)
-    desk.flush()
-    assert not job.placements and desk.total() == 0 and job.withheld
-    desk.clock.at += 2.0
-    desk.flush()
-    assert not job.pending_starts and job.retry_at[0] > desk.clock.at
-    whys = [w.reason for w in desk.gate.wait_reasons(job)]
+        at_once(site.plugin.releaser.release(site.writers[0][1]))
+    site.clients[0].trouble = 0.0
+    site.start(second)
+    site.flush()
+    assert second.placements and site.state.apply(*site.state.late.pop())
+
+
+def test_a_unit_moves_from_task_to_task_without_a_change_of_its_ledger() -> None:
+    """The end and the next start are written as they would be without the resource."""
+    site = SingleShard(1)
+    first, second = site.job(), site.job()
+    site.start(first)
+    site.flush()
+    at = site.state.keys[records.count_key("engine")][1]
+    site.headroom(second)
+    site.finish(first)
+    site.start(second)
+    site.flush()
+    assert second.placements and site.state.keys[records.count_key("engine")][1] == at
+
+
+def test_units_of_several_resources_are_allocated_together_or_not_at_all() -> None:
+    site = SingleShard(1)
+    site.state.set("seat", 0, 3)
+    site.deliver(0)
+    site.submit(0, 1, 1, 1)
+    (job,) = site.shard.jobs.values()
+    assert site.headroom(job) == [0]
+    site.start(job)
+    site.flush()
+    assert not job.placements and site.total() == 0 and job.withheld
+    site.clock.at += 2.0
+    site.flush()
+    assert not job.pending_starts and job.retry_at[0] > site.clock.at
+    whys = [w.reason for w in site.plugin.wait_reasons(job)]
     assert whys == ["1 of seat needed, its ceiling is 0"]
 
 
-def test_small_ones_do_not_pass_a_task_of_many_units_for_ever() -> None:
-    desk = Desk(3)
-    running, large = desk.job(), desk.job(units=3)
-    desk.start(running)
-    desk.flush()
-    small = [desk.job() for _ in range(3)]
-    assert desk.room(large, *small) == [0, 0, 0, 0]
-    desk.clock.at += desk.gate.settings.reserve_s + 1
-    assert desk.room(large, *small) == [0, 1, 1, 0]  # their turn
-    desk.clock.at += desk.gate.settings.reserve_s
-    assert desk.room(large, *small) == [0, 0, 0, 0]
-    desk.finish(running)
-    assert desk.room(large, *small) == [1, 0, 0, 0]
-
-
-def test_a_free_unit_is_left_to_better_work_elsewhere_for_a_while() -> None:
-    desk = Desk(1)
-    job = desk.job()
-    rival = pb.Gossip()
-    rival.resource_waiters.add(
-        resource="engine", shard=1, job="j-9", rank=3, submitted_ms=desk.clock.wall_ms(), units=1
+def test_small_tasks_do_not_starve_a_task_of_many_units() -> None:
+    site = SingleShard(3)
+    running, large = site.job(), site.job(units=3)
+    site.start(running)
+    site.flush()
+    small = [site.job() for _ in range(3)]
+    assert site.headroom(large, *small) == [0, 0, 0, 0]
+    site.clock.at += site.plugin.settings.reserve_s + 1
+    assert site.headroom(large, *small) == [0, 1, 1, 0]  # their turn
+    site.clock.at += site.plugin.settings.reserve_s
+    assert site.headroom(large, *small) == [0, 0, 0, 0]
+    site.finish(running)
+    assert site.headroom(large, *small) == [1, 0, 0, 0]
+
+
+def test_a_free_unit_is_deferred_to_higher_work_elsewhere_for_a_limited_time() -> None:
+    site = SingleShard(1)
+    job = site.job()
+    gossip = pb.Gossip()
+    gossip.resource_waiters.add(
+        resource="engine", shard=1, job="j-9", rank=3, submitted_ms=site.clock.wall_ms(), units=1
     )
-    desk.gate.receive_gossip(1, rival)
-    assert desk.room(job) == [0]
-    desk.clock.at += 0.5
-    assert desk.room(job) == [0]
-    desk.clock.at += 0.6
-    assert desk.room(job) == [1]
-    desk.clock.at += 3.0  # a peer not heard of for long holds up nobody
-    assert desk.room(job) == [1]
-
-
-def test_a_unit_that_better_work_waits_for_elsewhere_is_given_back_at_once() -> None:
-    desk = Desk(1)
-    second, third = idle_unit(desk)
-    rival = pb.Gossip()
-    rival.resource_waiters.add(resource="engine", shard=1, job="j-9", rank=3, units=1)
-    desk.gate.receive_gossip(1, rival)
-    desk.room(second, third)
-    desk.room(second, third)
-    at_once(desk.gate.release(desk.writers[0][1]))
-    assert desk.total() == 0
-
-
-def test_a_lowered_ceiling_stops_nothing_unless_it_is_set_so() -> None:
-    desk = Desk(3)
-    low, old, young = desk.job(priority="idle"), desk.job(), desk.job()
+    site.plugin.receive_gossip(1, gossip)
+    assert site.headroom(job) == [0]
+    site.clock.at += 0.5
+    assert site.headroom(job) == [0]
+    site.clock.at += 0.6
+    assert site.headroom(job) == [1]
+    site.clock.at += 3.0  # gossip that is too old defers nothing
+    assert site.headroom(job) == [1]
+
+
+def test_a_unit_that_higher_work_elsewhere_waits_for_is_released_at_once() -> None:
+    site = SingleShard(1)
+    second, third = idle_unit(site)
+    gossip = pb.Gossip()
+    gossip.resource_waiters.add(resource="engine", shard=1, job="j-9", rank=3, units=1)
+    site.plugin.receive_gossip(1, gossip)
+    site.headroom(second, third)
+    site.headroom(second, third)
+    at_once(site.plugin.releaser.release(site.writers[0][1]))
+    assert site.total() == 0
+
+
+def test_a_lowered_ceiling_preempts_nothing_unless_requested() -> None:
+    site = SingleShard(3)
+    low, old, young = site.job(priority="idle"), site.job(), site.job()
     for job in (low, old, young):
-        desk.clock.at += 1.0
-        desk.start(job)
-        desk.flush()
-    waiting = desk.job()
-    desk.state.set("engine", 1, 3)
-    desk.hear(0)
-    desk.gate.stop_some()
-    desk.clock.at += 1.0
-    desk.gate.stop_some()
+        site.clock.at += 1.0
+        site.start(job)
+        site.flush()
+    waiting = site.job()
+    site.state.set("engine", 1, 3)
+    site.deliver(0)
+    site.plugin.preemption.preempt()
+    site.clock.at += 1.0
+    site.plugin.preemption.preempt()
     assert not any(job.placements[0].releasing for job in (low, old, young))
-    desk.finish(low)
-    assert desk.room(waiting) == [0]
-    desk.start(waiting)
-    desk.flush()
-    assert not waiting.placements and desk.total() == 2
-    desk.state.set("engine", 1, 3, stop=True)
-    desk.hear(0)
-    desk.gate.stop_some()
-    desk.clock.at += 1.0
-    desk.gate.stop_some()
+    site.finish(low)
+    assert site.headroom(waiting) == [0]
+    site.start(waiting)
+    site.flush()
+    assert not waiting.placements and site.total() == 2
+    site.state.set("engine", 1, 3, preempt_excess=True)
+    site.deliver(0)
+    site.plugin.preemption.preempt()
+    site.clock.at += 1.0
+    site.plugin.preemption.preempt()
     assert (old.placements[0].releasing, young.placements[0].releasing) == (False, True)
-    message = desk.shard.desired_state_message(0, 1, True)
+    message = site.shard.desired_state_message(0, 1, True)
     assert [item.stop for item in message.tasks] == [
         item.job == next(i for i, j in enumerate(message.jobs) if j.id == young.id)
         for item in message.tasks
     ]
 
 
-def test_both_sides_of_a_cut_stop_no_more_than_is_over() -> None:
-    desk = Desk(3)
-    here = [desk.job() for _ in range(2)]
+def test_both_sides_of_a_partition_preempt_no_more_than_the_excess() -> None:
+    site = SingleShard(3)
+    here = [site.job() for _ in range(2)]
     for job in here:
-        desk.start(job)
-        desk.flush()
-    desk.submit(1, 1, 1, 0)
-    desk.hear(1)
-    (there,) = desk.writers[1][1].shard.jobs.values()
-    there.pending_starts[0] = TaskPlacement(0, 1, 1, 0, desk.worlds[1].zone_names.intern("a"))
-    desk.worlds[1].machine_names.intern("vm-1")
-    desk.writers[1][1].shard.dirty_jobs.add(there.index)
-    desk.write(0.0)
-    assert desk.total() == 3
-    desk.state.set("engine", 1, 3, stop=True)
+        site.start(job)
+        site.flush()
+    site.submit(1, 1, 1, 0)
+    site.deliver(1)
+    (there,) = site.writers[1][1].shard.jobs.values()
+    there.pending_starts[0] = TaskPlacement(0, 1, 1, 0, site.worlds[1].zone_names.intern("a"))
+    site.worlds[1].machine_names.intern("vm-1")
+    site.writers[1][1].shard.dirty_jobs.add(there.index)
+    site.write(0.0)
+    assert site.total() == 3
+    site.state.set("engine", 1, 3, preempt_excess=True)
     for node in (0, 1):
-        desk.hear(node)
-        desk.gates[node].stop_some()
-    desk.clock.at += 1.0
+        site.deliver(node)
+        site.plugins[node].preemption.preempt()
+    site.clock.at += 1.0
     for node in (0, 1):
-        desk.gates[node].stop_some()
+        site.plugins[node].preemption.preempt()
     assert (
         sum(job.placements[0].releasing for job in here) == 1 and not there.placements[0].releasing
     )
 
 
-def view(seen: bool, proof: str, desk: Desk) -> pb.Snapshot:
-    """How the machine of attempt 1 of the first task is shown, with or without a proof."""
-    sent = desk.shard.outboxes[0].seq
+def snapshot_with(seen: bool, proof: str, site: SingleShard) -> pb.Snapshot:
+    """A snapshot of the machine of the first task's attempt 1, with or without proof of its end."""
+    sent = site.shard.outboxes[0].seq
     found = pb.Snapshot(shard=0, epoch=1, seq=1, valid=proof != "not valid", full=True)
     found.acks.add(
-        shard=0, token=desk.shard.base_token, seq=sent if proof != "list on its way" else 0
+        shard=0, token=site.shard.base_token, seq=sent if proof != "list on its way" else 0
     )
     if proof == "gone":
         found.lost_machines.append("vm-1")
@@ -325,33 +325,33 @@
         (False, "start on its way", False),
     ],
 )
-def test_a_unit_comes_back_once_and_only_by_proof(seen: bool, proof: str, frees: bool) -> None:
-    desk = Desk(1)
-    job = desk.job()
-    desk.start(job)
-    desk.flush()
-    desk.shard.desired_state_message(0, 1, True)
-    snapshot = ShardSnapshot(desk.worlds[0], 0, 1)
-    snapshot.apply(view(seen, proof, desk))
+def test_a_unit_is_released_once_and_only_by_proof(seen: bool, proof: str, frees: bool) -> None:
+    site = SingleShard(1)
+    job = site.job()
+    site.start(job)
+    site.flush()
+    site.shard.desired_state_message(0, 1, True)
+    snapshot = ShardSnapshot(site.worlds[0], 0, 1)
+    snapshot.apply(snapshot_with(seen, proof, site))
     for _ in range(2):
-        desk.shard.apply_snapshot(snapshot, None)
-        desk.flush()
-        desk.clock.at += 1.0
-        at_once(desk.gate.release(desk.writers[0][1]))
-    assert desk.total() == (0 if frees else 1) and desk.shard.resource_use[0] == desk.total()
+        site.shard.apply_snapshot(snapshot, None)
+        site.flush()
+        site.clock.at += 1.0
+        at_once(site.plugin.releaser.release(site.writers[0][1]))
+    assert site.total() == (0 if frees else 1) and site.shard.resource_use[0] == site.total()
     assert bool(job.placements) is not frees
 
 
-def test_higher_work_stops_lower_work_for_a_unit_only_where_it_is_switched_on() -> None:
+def test_higher_work_preempts_lower_work_for_a_unit_only_where_enabled() -> None:
     for preempt in (False, True):
-        desk = Desk(1, preempt=preempt)
-        low, high = desk.job(), desk.job(priority="prod")
-        desk.start(low)
-        desk.flush()
+        site = SingleShard(1, preempt=preempt)
+        low, high = site.job(), site.job(priority="prod")
+        site.start(low)
+        site.flush()
         for _ in range(3):
-            desk.room(high)
-            desk.clock.at += 1.0
-            desk.gate.stop_some()
+            site.headroom(high)
+            site.clock.at += 1.0
+            site.plugin.preemption.preempt()
         assert low.placements[0].releasing is preempt
 
 
@@ -375,20 +375,20 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(USES, st.integers(-1, 8))
-def test_no_more_is_stopped_than_is_needed(uses: list[UnitUse], excess: int) -> None:
-    chosen = ledger.victims(uses, excess)
+def test_no_more_is_preempted_than_is_needed(uses: list[UnitUse], excess: int) -> None:
+    chosen = choose_victims(uses, excess)
     freed = [u.units for u in chosen]
     assert sum(freed) >= min(excess, sum(u.units for u in uses))
     assert not chosen or sum(freed[:-1]) < excess
-    fresh = [u for u in chosen if not u.yields]
-    kept = [u for u in uses if u not in chosen and not u.yields]
+    fresh = [u for u in chosen if not u.releasing]
+    kept = [u for u in uses if u not in chosen and not u.releasing]
     assert all(u.rank <= k.rank for u in fresh for k in kept)
     new = Waiter(0, "j-2", 0, False, 2, 0, excess)
-    assert all(u.yields or u.rank < 2 for u in ledger.victims(uses, excess, new))
+    assert all(u.releasing or u.rank < 2 for u in choose_victims(uses, excess, new))
 
 
 class CountedSite(Site):
-    """A whole controller that keeps counts."""
+    """A whole controller with counted resources."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -399,21 +399,21 @@
     async def start(self) -> None:
         await super().start()
         node = self.node
-        self.gate = CountedResourcePlugin(
+        self.plugin = CountedResourcePlugin(
             node.context, node.state, node.membership, node.writers, self.settings
         )
-        node.register_plugin(self.gate)
+        node.register_plugin(self.plugin)
         for writer in node.writers.values():
-            writer.durable_plugin = self.gate
-        watch(self.gate, self.state)
-        await self.gate.declare()
+            writer.durable_plugin = self.plugin
+        deliver_changes(self.plugin, self.state)
+        await self.plugin.declaration.declare()
 
     async def go_round(self, times: int) -> None:
         for _ in range(times):
             await super().go_round(1)
-            watch(self.gate, self.state)
+            deliver_changes(self.plugin, self.state)
             for writer in self.node.writers.values():
-                await self.gate.release(writer)
+                await self.plugin.releaser.release(writer)
 
     async def post(self, name: str, **fields: Any) -> tuple[int, Any]:
         return await self.ask("POST", f"{api.COUNTS}/{name}", msgspec.json.encode(fields))
@@ -422,7 +422,7 @@
         return sum(t.state != "exited" for w in self.workers.values() for t in w.tasks.values())
 
 
-def test_a_controller_holds_tasks_back_and_a_restart_forgets_no_unit() -> None:
+def test_a_controller_withholds_tasks_and_a_restart_loses_no_unit() -> None:
     async def drive() -> None:
         site = CountedSite()
         await site.start()
@@ -437,7 +437,7 @@
         assert limit == 2
         assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
         assert cast(CountedState, site.state).ledger("engine").total == 0
-        assert not any(site.gate.is_uncertain(0, c) for c in site.gate.ledgers)
+        assert not any(site.plugin.store.is_uncertain(0, c) for c in site.plugin.store.ledgers)
 
     curio.run(drive)
 
@@ -458,18 +458,18 @@
         (["engine"], 400, "counts"),
     ],
 )
-def test_the_door_names_the_field_that_it_refuses(counts: Any, status: int, named: str) -> None:
+def test_a_rejected_submission_names_its_field(counts: Any, status: int, named: str) -> None:
     async def drive() -> None:
         site = CountedSite()
         await site.start()
         body = msgspec.json.encode(job_body("j-7", counts=counts))
-        code, told = await site.ask("POST", api.JOBS, body)
-        assert code == status and named in told.get("error", "")
+        code, reply = await site.ask("POST", api.JOBS, body)
+        assert code == status and named in reply.get("error", "")
 
     curio.run(drive)
 
 
-def test_each_replica_of_a_daemon_holds_its_own_units() -> None:
+def test_each_replica_of_a_daemon_has_its_own_units() -> None:
     async def drive() -> None:
         site = CountedSite()
         await site.start()
@@ -484,7 +484,7 @@
     curio.run(drive)
 
 
-def test_names_that_users_make_up_are_not_kept() -> None:
+def test_unknown_resource_names_are_not_interned() -> None:
     async def drive() -> None:
         site = CountedSite()
         await site.start()
@@ -496,14 +496,14 @@
     curio.run(drive)
 
 
-def test_without_the_section_no_count_is_known() -> None:
+def test_without_the_section_no_resource_is_known() -> None:
     async def drive() -> None:
         site = Site()
         await site.start()
         await site.go_round(1)
         assert await site.submit(counts={"engine": 1}) == 422
         assert await site.submit(counts={}) == 201
-        # Taken while counts were on, it waits now.
+        # Accepted while counted resources were enabled, it waits now.
         job = new_job(site.node.context, spec("j-2", counts={"engine": 1}), 0, 0)
         assert site.node.admission.headroom(job) == 0 and site.node.admission.wait_reasons(job)
         writer = site.node.writers[0]
@@ -516,7 +516,7 @@
     curio.run(drive)
 
 
-def test_two_operators_do_not_overwrite_each_other_unseen() -> None:
+def test_a_change_on_an_outdated_revision_is_rejected() -> None:
     async def drive() -> None:
         site = CountedSite()
         await site.start()
@@ -524,10 +524,10 @@
         assert (await site.post("engine", ceiling=1, rev=1, by="bor"))[0] == 409
         assert (await site.post("seat", ceiling=4, rev=0))[0] == 201
         assert (await site.post("seat", ceiling=-4, rev=1))[0] == 400
-        _, told = await site.ask("GET", api.COUNTS)
-        assert {c["name"]: c["ceiling"] for c in told["counts"]} == {"engine": 5, "seat": 4}
-        _, told = await site.ask("GET", f"{api.COUNTS}/engine/history")
-        assert [(c["ceiling"], c.get("by")) for c in told["changes"]] == [
+        _, reply = await site.ask("GET", api.COUNTS)
+        assert {c["name"]: c["ceiling"] for c in reply["counts"]} == {"engine": 5, "seat": 4}
+        _, reply = await site.ask("GET", f"{api.COUNTS}/engine/history")
+        assert [(c["ceiling"], c.get("by")) for c in reply["changes"]] == [
             (2, "declared"),
             (5, "ana"),
         ]
@@ -539,7 +539,7 @@
     curio.run(drive)
 
 
-def test_what_waits_for_a_removed_count_waits_on_and_says_so() -> None:
+def test_jobs_that_wait_for_a_removed_resource_keep_waiting_and_show_it() -> None:
     async def drive() -> None:
         site = CountedSite()
         await site.start()
@@ -548,8 +548,8 @@
         await site.post("engine", ceiling=0, rev=2, removed=True)
         assert await site.submit(uid="j-2", chores=1, counts={"engine": 1}) == 422
         await site.go_round(20)
-        _, told = await site.ask("GET", f"{api.JOBS}/j-1")
-        assert told["status"] == api.QUEUED and told["waits"] == ["count engine was removed"]
+        _, reply = await site.ask("GET", f"{api.JOBS}/j-1")
+        assert reply["status"] == api.QUEUED and reply["waits"] == ["count engine was removed"]
         await site.post("engine", ceiling=1, rev=3)
         await site.go_round(40)
         assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
@@ -557,20 +557,25 @@
     curio.run(drive)
 
 
-def test_what_is_durable_holds_over_another_file(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_stored_ledger_has_precedence_over_the_declaration(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async def drive() -> None:
         site = CountedSite()
         await site.start()
         site.settings = CountSettings({"engine": DeclaredCount(7)})
         with caplog.at_level("INFO"):
             await site.start()
-        assert site.gate.ledgers[site.node.context.resource_names.intern("engine")].ceiling == 2
-        assert "declared with ceiling 7" in caplog.text
+        assert (
+            site.plugin.store.ledgers[site.node.context.resource_names.intern("engine")].ceiling
+            == 2
+        )
+        assert "declared_ceiling=7" in caplog.text
 
     curio.run(drive)
 
 
-def test_the_file_is_checked_and_every_fault_told(tmp_path: Path) -> None:
+def test_every_error_of_the_tuning_file_is_reported(tmp_path: Path) -> None:
     assert load_tuning(ROOT / "deploy" / "counts.toml").counts is not None
     bad = tmp_path / "bad.toml"
     bad.write_text(
@@ -579,15 +584,15 @@
     )
     with pytest.raises(ConfigError) as error:
         load_tuning(bad)
-    told = "\n".join(error.value.lines)
+    report = "\n".join(error.value.lines)
     for name in ("patience_s", "odd", "a.ceiling", "b c.ceiling: missing", "b c.preempt", "b c:"):
-        assert name in told, (name, told)
+        assert name in report, (name, report)
     result = CliRunner().invoke(main, ["counts", "list", "--server", "127.0.0.1:1"])
     assert result.exit_code == 1
 
 
-BELIEVED = {
-    "hello": "hello 1 1",
+EXPECTED_OUTCOMES = {
+    "gossip": "gossip 1 1",
     "job": "job [0, 1]",
     "job-null": "job []",
     "ledger": "ledger",
@@ -597,19 +602,19 @@
 
 
 @pytest.mark.parametrize("path", sorted(CORPUS.iterdir()), ids=lambda path: path.name)
-def test_what_can_not_be_is_not_believed(path: Path) -> None:
+def test_invalid_data_is_rejected(path: Path) -> None:
     """The fuzzer's corpus, without the fuzzer: scripts/fuzz_counts.py."""
-    outcome = fuzz_targets.one(path.read_bytes())
-    assert outcome == BELIEVED.get(path.name, outcome)
-    assert path.name in BELIEVED or outcome.endswith(("Error", "FieldFault"))
+    outcome = fuzz_targets.decode(path.read_bytes())
+    assert outcome == EXPECTED_OUTCOMES.get(path.name, outcome)
+    assert path.name in EXPECTED_OUTCOMES or outcome.endswith(("Error", "FieldFault"))
 
 
-def test_a_client_that_is_cut_changes_nothing() -> None:
-    desk = Desk(1)
-    job = desk.job()
-    desk.start(job)
-    assert isinstance(desk.clients[0], PlainClient)
-    desk.clients[0].cut = True
+def test_an_unreachable_state_service_changes_nothing() -> None:
+    site = SingleShard(1)
+    job = site.job()
+    site.start(job)
+    assert isinstance(site.clients[0], PlainClient)
+    site.clients[0].cut = True
     with pytest.raises(StateError):
-        desk.flush()
-    assert not job.placements and desk.total() == 0 and not desk.gate.uncertain_writes
+        site.flush()
+    assert not job.placements and site.total() == 0 and not site.plugin.store.uncertain_writes
