--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -381,8 +381,8 @@
     assert sum(freed) >= min(excess, sum(u.units for u in uses))
     assert not chosen or sum(freed[:-1]) < excess
     fresh = [u for u in chosen if not u.releasing]
-    kept = [u for u in uses if u not in chosen and not u.releasing]
-    assert all(u.rank <= k.rank for u in fresh for k in kept)
+    remaining = [u for u in uses if u not in chosen and not u.releasing]
+    assert all(u.rank <= k.rank for u in fresh for k in remaining)
     new = Waiter(0, "j-2", 0, False, 2, 0, excess)
     assert all(u.releasing or u.rank < 2 for u in choose_victims(uses, excess, new))
 
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -1,4 +1,4 @@
-"""Shares under overload: the arithmetic, and what several controllers make of it."""
+"""Fair shares under overload: the arithmetic, and several controllers together."""
 
 import random
 
@@ -16,20 +16,20 @@
     total,
 )
 from starlingdeck.fairness.fair_share import compute_fair_shares, max_min_shares, water_fill
-from starlingdeck.fairness.minimum_share import SLACK, WorkItem
+from starlingdeck.fairness.minimum_share import PROTECTION_SLACK, WorkItem
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import OverloadSettings
 from tests.support.overload_cluster import Events, Flood, array
 
 AMOUNTS = st.floats(0, 3, allow_nan=False)
 PAIRS = st.tuples(st.integers(0, 2), st.sampled_from(["a", "b", "c"]))
-HOUSE = (100.0, 0.0, 400.0)
+CAPACITY = (100.0, 0.0, 400.0)
 
 
 def part_of(shard: int, loads: dict[TeamClass, float], seq: int = 1, token: int = 1) -> ShardDemand:
-    """A part whose work takes so many cpus, half of it waiting."""
+    """A shard's part whose work takes so many cpus, half of it waiting."""
     sizes = {p: ClassDemand((n / 2, 0.0, n), (n / 2, 0.0, n)) for p, n in loads.items()}
-    return ShardDemand(shard, token, seq, HOUSE, sizes, overloaded=True)
+    return ShardDemand(shard, token, seq, CAPACITY, sizes, overloaded=True)
 
 
 PARTS = st.dictionaries(PAIRS, st.floats(0, 1000, allow_nan=False), max_size=6)
@@ -37,7 +37,7 @@
 
 @given(st.dictionaries(st.integers(0, 9), AMOUNTS, max_size=8), AMOUNTS)
 def test_filling_is_max_min(wanted: dict[int, float], capacity: float) -> None:
-    """Against a slow plain model: a level that rises until all is given out."""
+    """Compared with a slow reference: a level that rises until all is assigned."""
     shares = water_fill(wanted, capacity)
     low, high = 0.0, 4.0
     for _ in range(60):
@@ -50,27 +50,27 @@
 
 
 @given(st.lists(PARTS, min_size=2, max_size=5), st.randoms(use_true_random=False))
-def test_shards_with_any_mixture_of_pictures_promise_no_more_than_there_is(
+def test_shards_with_different_snapshots_guarantee_no_more_than_the_capacity(
     loads: list[dict[TeamClass, float]], rng: random.Random
 ) -> None:
-    """Late and lost messages, and both sides of a cut: each shard reckons from parts of its own
-    choice and age, its own among them."""
+    """Late and lost messages, and both sides of a partition: each shard computes from parts of
+    random choice and age, its own among them."""
     shards = len(loads)
-    promised = 0.0
+    guaranteed = 0.0
     for own in range(shards):
-        seen = {own: part_of(own, loads[own])}
+        known = {own: part_of(own, loads[own])}
         for other in range(shards):
             if other != own and rng.random() < 0.7:
                 old = loads[rng.randrange(shards)]
-                seen[other] = part_of(other, old)
-        shares = compute_fair_shares(seen, shards, 1.0)
+                known[other] = part_of(other, old)
+        shares = compute_fair_shares(known, shards, 1.0)
         in_cpus = sum(shares.split[own].values()) * shares.capacity[0]
-        promised += in_cpus
-    assert promised <= shards * HOUSE[0] + 1e-6
+        guaranteed += in_cpus
+    assert guaranteed <= shards * CAPACITY[0] + 1e-6
 
 
 @given(st.lists(PARTS, min_size=1, max_size=4), st.floats(0, 1))
-def test_the_same_picture_gives_everybody_the_same_floors(
+def test_the_same_snapshot_gives_the_same_minimum_shares(
     loads: list[dict[TeamClass, float]], floor: float
 ) -> None:
     parts = [part_of(n, own) for n, own in enumerate(loads)]
@@ -83,7 +83,7 @@
         assert due <= floor * wanted / one.capacity[0] + 1e-9 or one.capacity[2] < wanted * 2
 
 
-def test_made_up_names_of_classes_are_no_claims_against_another_team() -> None:
+def test_many_classes_of_one_team_take_no_share_of_another() -> None:
     honest = {(0, "x"): 1.0}
     hostile = {(1, f"c-{i}"): 1.0 for i in range(1000)}
     shares = max_min_shares(honest | hostile)
@@ -94,68 +94,73 @@
     assert total(x.running for x in small.values()) == total(x.running for x in loads.values())
 
 
-def test_a_part_is_replaced_by_newer_ones_only_and_forgotten_in_time() -> None:
-    picture = DemandSnapshot()
-    assert picture.update(part_of(0, {}, seq=5, token=3), 10.0)
-    assert not picture.update(part_of(0, {}, seq=5, token=3), 11.0)  # twice
-    assert not picture.update(part_of(0, {}, seq=4, token=3), 11.0)  # late
-    assert not picture.update(part_of(0, {}, seq=99, token=2), 11.0)  # a former holder's
-    assert picture.update(part_of(0, {}, seq=1, token=4), 12.0)  # its successor's
-    assert picture.known(31.9, 20.0) and not picture.known(32.1, 20.0)
+def test_a_part_is_replaced_by_newer_ones_only_and_expires() -> None:
+    snapshot = DemandSnapshot()
+    assert snapshot.update(part_of(0, {}, seq=5, token=3), 10.0)
+    assert not snapshot.update(part_of(0, {}, seq=5, token=3), 11.0)  # twice
+    assert not snapshot.update(part_of(0, {}, seq=4, token=3), 11.0)  # late
+    assert not snapshot.update(part_of(0, {}, seq=99, token=2), 11.0)  # a former owner's
+    assert snapshot.update(part_of(0, {}, seq=1, token=4), 12.0)  # its successor's
+    assert snapshot.known(31.9, 20.0) and not snapshot.known(32.1, 20.0)
 
 
 WORKS = st.lists(
     st.builds(
         WorkItem,
-        key=st.integers(0, 99),
-        pair=st.sampled_from([(0, "a"), (1, "b")]),
-        at_ms=st.integers(0, 9),
+        job=st.integers(0, 99),
+        team_class=st.sampled_from([(0, "a"), (1, "b")]),
+        submitted_ms=st.integers(0, 9),
         share=st.floats(0.001, 0.2),
         running=st.integers(0, 9),
         waiting=st.integers(0, 9),
-        kept=st.integers(0, 9),
+        protected=st.integers(0, 9),
         late=st.booleans(),
     ),
     max_size=8,
-    unique_by=lambda w: w.key,
+    unique_by=lambda w: w.job,
 )
 
 
 @given(WORKS, st.floats(0, 0.5))
-def test_a_shard_spends_its_own_part_and_no_more_than_a_task_beyond(
+def test_a_shard_exceeds_its_share_by_no_more_than_a_task(
     works: list[WorkItem], due: float
 ) -> None:
-    by_key = {w.key: w for w in works}
-    kept = minimum_share.protected_work(works, lambda pair: due)
+    by_job = {w.job: w for w in works}
+    protected = minimum_share.protected_work(works, lambda pair: due)
     first = dict(minimum_share.below_share(works, lambda pair: due))
-    for pair in {w.pair for w in works}:
-        own = [w for w in works if w.pair == pair]
+    for pair in {w.team_class for w in works}:
+        own = [w for w in works if w.team_class == pair]
         task = max(w.share for w in own)
-        held = sum(kept.get(w.key, 0) * w.share for w in own)
-        assert held <= max(due, due * SLACK if any(w.kept for w in own) else 0) + task + 1e-6
+        in_use = sum(protected.get(w.job, 0) * w.share for w in own)
+        assert (
+            in_use
+            <= max(due, due * PROTECTION_SLACK if any(w.protected for w in own) else 0)
+            + task
+            + 1e-6
+        )
         running = sum(w.running * w.share for w in own)
-        sooner = sum(first.get(w.key, 0) * w.share for w in own)
+        sooner = sum(first.get(w.job, 0) * w.share for w in own)
         assert sooner <= max(0.0, due - running) + 2 * task + 1e-6
-        # A pair below its part with work to do starts some of it, however little its part is.
+        # A class below its share with waiting work starts some of it, however small its share is.
         if running < due - 1e-6 and any(w.waiting for w in own):
             assert sooner > 0
-    assert all(0 < n <= by_key[k].running for k, n in kept.items())
-    assert all(0 < n <= by_key[k].waiting for k, n in first.items())
+    assert all(0 < n <= by_job[k].running for k, n in protected.items())
+    assert all(0 < n <= by_job[k].waiting for k, n in first.items())
 
 
-def test_late_work_has_a_quarter_and_what_is_kept_stays_so() -> None:
+def test_late_work_gets_a_quarter_and_protected_tasks_stay_protected() -> None:
     fresh = [WorkItem(i, (0, "a"), 100 + i, 0.01, 0, 10) for i in range(4)]
     late = WorkItem(9, (0, "a"), 1, 0.01, 0, 40, late=True)
     found = dict(minimum_share.below_share([*fresh, late], lambda pair: 0.2))
     assert found[9] == 5 and sum(found.values()) == 20
-    old = WorkItem(1, (0, "a"), 1, 0.01, 10, 0, kept=10)
+    old = WorkItem(1, (0, "a"), 1, 0.01, 10, 0, protected=10)
     assert minimum_share.protected_work([old], lambda pair: 0.08) == {
         1: 10
     }  # within half as much again
     assert minimum_share.protected_work([old], lambda pair: 0.04) == {1: 6}
 
 
-# --- several controllers, in simulated time
+# --- several controllers in simulated time
 
 
 def high(second: int, rng: random.Random) -> list[api.JobSpec]:
@@ -180,7 +185,7 @@
     context.crash(1)
 
 
-def cut(context: Flood) -> None:
+def partition(context: Flood) -> None:
     context.cuts = {(0, 1), (1, 2)}
 
 
@@ -191,49 +196,49 @@
 TROUBLES: dict[str, tuple[Events, float, int]] = {
     "none": ({}, 0.0, 3),
     "a controller crashes in the flood": ({30.0: crash}, 0.0, 3),
-    "one is cut off from both others for 30 s": ({25.0: cut, 55.0: heal}, 0.0, 3),
-    "a third of the greetings is lost, a third late": ({}, 0.33, 3),
-    "crash and cut, five controllers": ({25.0: cut, 40.0: crash, 60.0: heal}, 0.1, 5),
+    "one is partitioned from both others for 30 s": ({25.0: partition, 55.0: heal}, 0.0, 3),
+    "a third of the gossip is lost, a third late": ({}, 0.33, 3),
+    "crash and partition, five controllers": ({25.0: partition, 40.0: crash, 60.0: heal}, 0.1, 5),
 }
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
-def test_a_flood_of_higher_rank_leaves_others_their_floor(trouble: str) -> None:
-    """Without floors low work stood still: the bits of room that came free were too small for it,
-    and what ran was stopped for the flood."""
+def test_a_flood_of_higher_rank_leaves_others_their_minimum_share(trouble: str) -> None:
+    """Without minimum shares low work stood still: the capacity that came free was too little for a
+    task of it, and what ran was preempted for the flood."""
     events, lost, nodes = TROUBLES[trouble]
     context = Flood(1, flood, ON, nodes=nodes, lost=lost)
     context.play(100, events)
-    began, all_ = context.served("low", 1000 + 80)
-    assert began >= 0.5 * all_
-    began, all_ = context.served("high", 1000 + 80)
-    assert began >= 0.5 * all_
+    began, submitted = context.served("low", 1000 + 80)
+    assert began >= 0.5 * submitted
+    began, submitted = context.served("high", 1000 + 80)
+    assert began >= 0.5 * submitted
 
 
-def test_what_floors_change_and_what_they_cost() -> None:
-    """Paired with the order by rank alone: who starves, what is stopped, and all that is done."""
-    plain, fair_ = Flood(1, flood, None), Flood(1, flood, ON)
-    for context in (plain, fair_):
+def test_effect_and_cost_of_minimum_shares() -> None:
+    """Compared with the order by rank alone: starvation, preemptions and total goodput."""
+    plain, fair = Flood(1, flood, None), Flood(1, flood, ON)
+    for context in (plain, fair):
         context.play(100)
-    began, all_ = plain.served("low", 1000 + 80)
-    assert began < 0.5 * all_
-    assert fair_.goodput["low"] > 3 * plain.goodput["low"]
-    assert sum(fair_.goodput.values()) > 0.9 * sum(plain.goodput.values())
-    # Hardly anything is stopped but what ran before the overload was seen.
-    assert sum(fair_.stopped.values()) <= sum(plain.stopped.values()) + 5
+    began, submitted = plain.served("low", 1000 + 80)
+    assert began < 0.5 * submitted
+    assert fair.goodput["low"] > 3 * plain.goodput["low"]
+    assert sum(fair.goodput.values()) > 0.9 * sum(plain.goodput.values())
+    # Hardly anything is preempted but what ran before the overload was detected.
+    assert sum(fair.stopped.values()) <= sum(plain.stopped.values()) + 5
 
 
 def test_without_overload_nothing_changes() -> None:
     def quiet(second: int, rng: random.Random) -> list[api.JobSpec]:
         return low(second, 5) + (high(second, rng)[:1] if second % 2 else [])
 
-    plain, fair_ = Flood(3, quiet, None), Flood(3, quiet, ON)
-    for context in (plain, fair_):
+    plain, fair = Flood(3, quiet, None), Flood(3, quiet, ON)
+    for context in (plain, fair):
         context.play(60)
-    assert plain.started == fair_.started and len(plain.started) > 30
+    assert plain.started == fair.started and len(plain.started) > 30
 
 
-def test_controllers_with_the_same_picture_agree_and_it_ends() -> None:
+def test_controllers_with_the_same_snapshot_agree_and_the_overload_ends() -> None:
     def burst(second: int, rng: random.Random) -> list[api.JobSpec]:
         return flood(second, rng) if second < 40 else []
 
@@ -242,8 +247,8 @@
 
     def agree(now: Flood) -> None:
         shares = [n.overload.shares for n in now.nodes if n.overload is not None]
-        by_marks = {s.signals: s for s in shares}
-        seen.append(all(by_marks[s.signals] == s for s in shares))
+        by_signals = {s.signals: s for s in shares}
+        seen.append(all(by_signals[s.signals] == s for s in shares))
         assert all(s.overload for s in shares)
 
     def over(now: Flood) -> None:
@@ -261,18 +266,18 @@
     assert seen == [True, True]
 
 
-def test_one_huge_job_of_a_class_gets_its_floor_at_one_controller() -> None:
+def test_one_huge_job_gets_its_minimum_share_at_one_controller() -> None:
     def huge(second: int, rng: random.Random) -> list[api.JobSpec]:
         return high(second, rng) + (low(0, tasks=300) if second == 10 else [])
 
     context = Flood(4, huge, ON)
     context.play(100)
-    # 90 s of a floor of a quarter of 112 cpus, or a third at most, less 10 s until it is seen.
+    # A minimum share of a quarter to a third of 112 cpus for 90 s, less 10 s until detection.
     assert context.goodput["low"] > 0.5 * 80 * 112 / 4
 
 
-def test_a_flood_of_one_class_leaves_other_teams_and_later_classes_theirs() -> None:
-    """Everything of the upper rank; one team's flood, and another that comes later."""
+def test_a_flood_of_one_class_leaves_other_teams_and_later_classes_their_share() -> None:
+    """All work has the higher rank: one team's flood, and another team's class that comes later."""
 
     def both(second: int, rng: random.Random) -> list[api.JobSpec]:
         late = [array(second * 10 + 7, "svc", "urgent", "blue", 2, 4.0, 10.0)]
@@ -280,5 +285,5 @@
 
     context = Flood(5, both, ON)
     context.play(100)
-    began, all_ = context.served("svc", 1000 + 85)
-    assert began >= 0.8 * all_
+    began, submitted = context.served("svc", 1000 + 85)
+    assert began >= 0.8 * submitted
