--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -127,7 +127,7 @@
         state.written = starts = 0
         for job in shard.jobs.values():
             for task, placement in job.placements.items():
-                shard._end_attempt(job, task, placement, api.W_DONE, "exit done")
+                shard.end_attempt(job, task, placement, api.W_DONE, "exit done")
         at_once(node.admission.begin_cycle(list(shard.jobs.values())))
         for job in shard.jobs.values():
             found = job.pending(min(3, node.admission.headroom(job)))
--- a/starlingdeck/counts/allocation.py
+++ b/starlingdeck/counts/allocation.py
@@ -6,8 +6,9 @@
 from starlingdeck.counts import ledger
 from starlingdeck.counts.ledger import Ledger
 from starlingdeck.counts.ledger_store import LedgerStore
-from starlingdeck.jobs.job import Job, JobUpdate
+from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.job_update import JobUpdate
 from starlingdeck.protocol import api
 from starlingdeck.storage.records import TASKS_PER_CHUNK
 from starlingdeck.storage.state import put_change
--- a/starlingdeck/jobs/admission.py
+++ b/starlingdeck/jobs/admission.py
@@ -10,8 +10,9 @@
 from msgspec import Struct
 
 from starlingdeck.context import UNBOUNDED
-from starlingdeck.jobs.job import Job, JobUpdate
+from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.job_update import JobUpdate
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.transport.server import Request, Response
--- /dev/null
+++ b/starlingdeck/jobs/attempt_evaluation.py
@@ -0,0 +1,192 @@
+"""Which recorded attempts are over, by the snapshots that machine shards publish.
+
+An attempt ends only by proof: its task exited, its machine's lease has expired or its machine is
+gone, the machine has a newer session, or its owner has applied our desired state without it.
+"""
+
+import logging
+from typing import TYPE_CHECKING
+
+from starlingdeck.interning import split_key, task_key
+from starlingdeck.jobs.job import EndProof, Job, TaskPlacement
+from starlingdeck.jobs.outbox import Outbox
+from starlingdeck.machines.shard_snapshot import ShardSnapshot
+from starlingdeck.metrics import counters
+from starlingdeck.protocol import api
+from starlingdeck.protocol import peer_pb2 as pb
+
+if TYPE_CHECKING:
+    from starlingdeck.jobs.job_shard import JobShard
+
+log = logging.getLogger(__name__)
+
+PROOF_MACHINE_GONE = "machine_gone"
+PROOF_NEWER_SESSION = "newer_session"
+PROOF_LEASE_EXPIRED = "lease_expired"
+PROOF_NOT_STARTED = "not_started"
+
+MAX_BACKOFF_S = 60.0  # of a job that fails on whatever machine it runs
+BACKOFF_BASE_S = 2.0
+MAX_BACKOFF_DOUBLINGS = 6
+BUSY_RETRY_S = 1.0  # after a machine was busy, or for an unknown cause
+NO_ROOM_RETRY_S = 0.2  # after a machine had no capacity left
+
+
+class AttemptEvaluator:
+    """Evaluates the attempts of one job shard."""
+
+    def __init__(self, shard: "JobShard") -> None:
+        self.shard = shard
+        self.context = shard.context
+
+    def apply_snapshot(self, snapshot: ShardSnapshot, touched: set[int] | None) -> bool:
+        """Evaluate the attempts that a snapshot may say something new about.
+
+        These are the ones on the machines `touched` (None: on all), on machines proven gone, and
+        those whose first publication the owner has just applied. True if anything changed.
+        """
+        shard = self.shard
+        outbox = shard.outboxes[snapshot.shard]
+        token, seq = snapshot.applied_seqs.get(shard.shard, (0, 0))
+        # Only the owner that our desired state was made for may say that something is absent.
+        current = outbox.epoch == snapshot.epoch
+        if current and token == shard.base_token:
+            outbox.acked_seq = max(outbox.acked_seq, seq)
+        by_machine = shard.tasks_by_machine
+        machines = set(by_machine) if touched is None else touched & by_machine.keys()
+        machines |= snapshot.lost_machines & by_machine.keys()
+        keys = {key for machine in machines for key in by_machine[machine]}
+        if current and outbox.unacked and outbox.unacked[0][0] <= outbox.acked_seq:
+            keys.update(key for first, key in outbox.unacked if first <= outbox.acked_seq)
+            outbox.unacked = [item for item in outbox.unacked if item[0] > outbox.acked_seq]
+        changed = False
+        for key in keys:
+            index, task = split_key(key)
+            job = shard.jobs.get(index)
+            placement = job.placements.get(task) if job is not None else None
+            if job is None or placement is None or placement.shard != snapshot.shard:
+                continue
+            if task in job.pending_ends:
+                continue
+            try:
+                changed |= self._evaluate_attempt(snapshot, outbox, current, job, task, placement)
+            except Exception as error:  # one job's fault must not stop the evaluation of others
+                self.context.quarantine_failed("job", job.id, error)
+        return changed
+
+    def _evaluate_attempt(
+        self,
+        snapshot: ShardSnapshot,
+        outbox: Outbox,
+        current: bool,
+        job: Job,
+        task: int,
+        placement: TaskPlacement,
+    ) -> bool:
+        """Whether the snapshot says anything new about an attempt; ends it if that is a proof."""
+        changed, proof, cause = False, "", api.W_NONE
+        machine = snapshot.machines.get(placement.machine)
+        if placement.machine in snapshot.lost_machines and current and snapshot.owner_valid:
+            proof = PROOF_MACHINE_GONE
+        elif machine is None:
+            return False
+        elif machine.session > placement.session:
+            proof = PROOF_NEWER_SESSION
+        elif (
+            machine.lost
+            and placement.session == machine.session
+            and current
+            and snapshot.owner_valid
+        ):
+            proof = PROOF_LEASE_EXPIRED
+        elif (
+            observed := snapshot.task(placement.machine, job.id, task, placement.attempt)
+        ) is not None:
+            placement.descheduled = observed.descheduled
+            key = task_key(job.index, task)
+            descheduled = self.shard.descheduled
+            (descheduled.add if observed.descheduled else descheduled.discard)(key)
+            if observed.state != placement.observed_state:
+                self._change_observed_state(job, placement, observed)
+                changed = True
+            if observed.state == api.EXITED:
+                cause = observed.cause
+                proof = f"exit_{api.CAUSE_NAMES.get(cause, 'unnamed')}"
+        elif (
+            current
+            and snapshot.owner_valid
+            and machine.fenced
+            and machine.session == placement.session
+            and placement.published_epoch == snapshot.epoch
+            and 0 < placement.published_seq <= outbox.acked_seq
+        ):
+            proof = PROOF_NOT_STARTED
+        if proof:
+            self.end_attempt(job, task, placement, cause, proof)
+        return changed or bool(proof)
+
+    def _change_observed_state(
+        self, job: Job, placement: TaskPlacement, observed: pb.ObservedTask
+    ) -> None:
+        # Placements read from a record have no `state_since`: those began long ago.
+        if observed.state == api.ON and placement.attempt == 1 and placement.state_since > 0:
+            waited_s = (self.context.wall_clock_ms() - job.submitted_ms) / 1000
+            self.context.latencies.record(f"wait {job.spec.priority}", waited_s)
+        placement.observed_state, placement.state_since = observed.state, self.context.now()
+
+    def end_attempt(
+        self, job: Job, task: int, placement: TaskPlacement, cause: int, proof: str
+    ) -> None:
+        """An attempt is proven over: have that written, and decide when the task is retried."""
+        shard, now = self.shard, self.context.now()
+        if job.spec.service:
+            shard.replicas_waiting = True
+            cause = api.W_ERROR if cause == api.W_DONE else cause
+        job.pending_ends[task] = cause
+        if job.resource_needs:
+            job.end_proofs = (job.end_proofs or {}) | {task: EndProof(proof, now)}
+            shard.units_released = True
+        shard.dirty_jobs.add(job.index)
+        target = placement.target
+        moves = target is not None and cause != api.W_DONE and not job.cancelled
+        if moves and target is not None and now < target.reserved_until:
+            # The source has confirmed the stop: the reserved target takes the task.
+            job.pending_starts[task] = target
+        log.info(
+            "task freed: task=%s attempt=%d machine=%s proof=%s",
+            api.task_name(job.id, task),
+            placement.attempt,
+            self.context.machine_names[placement.machine],
+            proof,
+        )
+        if cause == api.W_STOPPED and not (
+            job.cancelled or target or placement.releasing or placement.descheduled
+        ):
+            self.context.counters.increment(job.spec.team, job.spec.cls, counters.STOPPED)
+        self._schedule_retry(job, task, placement, cause)
+
+    def _schedule_retry(self, job: Job, task: int, placement: TaskPlacement, cause: int) -> None:
+        now = self.context.now()
+        if cause == api.W_ERROR:
+            self._record_failure(job, task, placement, now)
+        elif cause == api.W_DONE:
+            job.errors = 0
+            job.failed_on.clear()
+        elif cause == api.W_NO_ROOM:
+            job.retry_at[task] = now + NO_ROOM_RETRY_S
+        elif cause in (api.W_BUSY, api.W_UNKNOWN):
+            job.retry_at[task] = now + BUSY_RETRY_S
+
+    def _record_failure(self, job: Job, task: int, placement: TaskPlacement, now: float) -> None:
+        evidence_before = job.failure_evidence
+        job.failed_on.add(placement.machine)
+        job.avoided_machines.setdefault(task, set()).add(placement.machine)
+        suspect = len(job.failed_on) >= self.context.tuning.suspect_machines
+        if suspect and now >= job.backoff_until:
+            # It fails wherever it runs: retry seldom, so that it doesn't use up the fleet. Errors
+            # that arrive together count as one: counted singly they delayed it a minute at once.
+            job.errors += 1
+            delay_s = BACKOFF_BASE_S * 2 ** min(job.errors, MAX_BACKOFF_DOUBLINGS)
+            job.backoff_until = now + min(MAX_BACKOFF_S, delay_s)
+        if evidence_before != job.failure_evidence:
+            self.shard.republish_job(job)
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -12,8 +12,9 @@
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.commit_log import Prepared
-from starlingdeck.jobs.job import MIN_URGENT_RANK, Job, JobUpdate
+from starlingdeck.jobs.job import MIN_URGENT_RANK, Job
 from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.job_update import JobUpdate
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import GroupCommitSettings
 from starlingdeck.storage import records
@@ -77,7 +78,7 @@
             or not (job.pending_ends or job.pending_starts)
         ):
             return False
-        if self.shard.terminal_state_of(job):
+        if self.shard.drafter.terminal_state_of(job):
             return False
         # Without any room the ends go on by records, and the starts wait.
         return not job.pending_ends or self.shard.commit_log.bytes_free() >= LEAST_BYTES
@@ -133,7 +134,9 @@
                 break
             try:
                 # The record's own key is a condition as well.
-                part = self.shard.draft_log_change(job, starting, max(1, left - 1), MOST_TASKS)
+                part = self.shard.drafter.draft_log_change(
+                    job, starting, max(1, left - 1), MOST_TASKS
+                )
             except Exception as error:
                 self.context.quarantine_failed("job", job.id, error)
                 continue
--- /dev/null
+++ b/starlingdeck/jobs/job_records.py
@@ -0,0 +1,104 @@
+"""Conversion between a job in memory and its records in the state service."""
+
+from collections import Counter
+from collections.abc import Iterable
+
+from starlingdeck.cluster.sharding import shard_of_machine
+from starlingdeck.context import ControllerContext
+from starlingdeck.jobs.job import DONE, PLACED, Job, TaskPlacement, new_job
+from starlingdeck.protocol import api
+from starlingdeck.storage import records
+from starlingdeck.storage.records import (
+    LOG_START,
+    TASKS_PER_CHUNK,
+    Chunk,
+    JobRecord,
+    PlacementRecord,
+    Position,
+)
+
+
+def load_job(
+    context: ControllerContext, shard: int, main: JobRecord, chunks: dict[int, Chunk]
+) -> Job:
+    """A job as the state service has it; `chunks` are those beyond the first."""
+    job = new_job(context, main.spec, shard, main.at_ms)
+    job.cancelled = main.cancelled
+    for number, chunk in {0: main.chunk, **chunks}.items():
+        _load_chunk(context, job, number, chunk)
+    return job
+
+
+def _load_chunk(context: ControllerContext, job: Job, number: int, chunk: Chunk) -> None:
+    first = number * TASKS_PER_CHUNK
+    for offset in records.unpack_done(chunk.done):
+        job.task_states[first + offset] = DONE
+        job.completed += 1
+    for offset, attempts in enumerate(chunk.tries):
+        job.attempts[first + offset] = attempts
+    for task, attempt, machine, session, zone in chunk.on:
+        job.task_states[task] = PLACED
+        job.placements[task] = TaskPlacement(
+            machine=context.machine_names.intern(machine),
+            session=session,
+            attempt=attempt,
+            shard=shard_of_machine(machine, zone, context.shard_zones),
+            zone=context.zone_names.intern(zone),
+        )
+
+
+def encode_placement(
+    context: ControllerContext, task: int, placement: TaskPlacement
+) -> PlacementRecord:
+    """An attempt as records and the commit log store it."""
+    machine, zone = context.machine_names[placement.machine], context.zone_names[placement.zone]
+    return (task, placement.attempt, machine, placement.session, zone)
+
+
+def encode_chunk(
+    context: ControllerContext,
+    job: Job,
+    number: int,
+    ends: dict[int, int],
+    starts: dict[int, TaskPlacement],
+    upto: Position = LOG_START,
+) -> Chunk:
+    """Chunk `number` as it will be once `ends` and `starts` are applied.
+
+    It includes every commit of the log up to the position `upto`.
+    """
+    first = number * TASKS_PER_CHUNK
+    last = min(first + TASKS_PER_CHUNK, job.spec.tasks)
+    done = int(records.pack_done(job.task_states, first, DONE) or "0", 16)
+    for task, cause in ends.items():
+        if first <= task < last and cause == api.W_DONE:
+            done |= 1 << (task - first)
+    attempts = job.attempts[first:last]
+    placements = {
+        task: placement
+        for task, placement in job.placements.items()
+        if first <= task < last and task not in ends
+    }
+    for task, placement in starts.items():
+        if first <= task < last:
+            placements[task] = placement
+            attempts[task - first] = placement.attempt
+    return Chunk(
+        records.pack_tries(attempts, 0),
+        f"{done:x}" if done else "",
+        [encode_placement(context, task, placement) for task, placement in placements.items()],
+        upto,
+    )
+
+
+def densest_chunks(tasks: Iterable[int], limit: int) -> list[int]:
+    """The chunks to write first: those with the most changes, and always the lowest.
+
+    By number alone, the ends of an array's early tasks, one to a chunk, kept its starts, a hundred
+    to a chunk, waiting until their reservations had expired.
+    """
+    counts = Counter(task // TASKS_PER_CHUNK for task in tasks)
+    chosen = sorted(counts, key=lambda chunk: (-counts[chunk], chunk))[:limit]
+    if counts and (lowest := min(counts)) not in chosen:
+        chosen[-1] = lowest
+    return sorted(chosen)
--- /dev/null
+++ b/starlingdeck/jobs/job_update.py
@@ -0,0 +1,19 @@
+"""One job's part of a transaction."""
+
+from msgspec import Struct, field
+
+from starlingdeck.jobs.job import Job, TaskPlacement
+from starlingdeck.protocol import api
+
+
+class JobUpdate(Struct, kw_only=True):
+    """One job's part of a transaction, and what to apply in memory once it is durable."""
+
+    job: Job
+    conditions: dict[str, int]  # key -> version that it must have
+    changes: list[api.Change] = field(default_factory=list)
+    pending_ends: dict[int, int] = field(default_factory=dict)  # task -> cause of its end
+    pending_starts: dict[int, TaskPlacement] = field(default_factory=dict)
+    terminal_state: str = ""  # the state in which this update finishes the job, if it does
+    cancel: bool = False
+    chunks: list[int] = field(default_factory=list)  # chunks of the record that are rewritten
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -6,7 +6,8 @@
 import msgspec
 
 from starlingdeck.context import ControllerContext
-from starlingdeck.jobs.job import Job, load_job
+from starlingdeck.jobs.job import Job
+from starlingdeck.jobs.job_records import load_job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
--- a/starlingdeck/jobs/record_writer.py
+++ b/starlingdeck/jobs/record_writer.py
@@ -8,9 +8,11 @@
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.admission import DurablePlugin, TransactionReservation
 from starlingdeck.jobs.group_commit import GroupCommit
-from starlingdeck.jobs.job import MIN_URGENT_RANK, Job, JobUpdate
-from starlingdeck.jobs.job_shard import RESERVED_VALUE_BYTES, JobShard
+from starlingdeck.jobs.job import MIN_URGENT_RANK, Job
+from starlingdeck.jobs.job_shard import JobShard
+from starlingdeck.jobs.job_update import JobUpdate
 from starlingdeck.jobs.loader import Loader
+from starlingdeck.jobs.update_drafter import RESERVED_VALUE_BYTES
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.state import (
@@ -119,7 +121,7 @@
         if room < 1:
             return False
         if self.group_commit.checkpoint_due():
-            updates = self._within_bytes(self.shard.draft_checkpoints(room))
+            updates = self._within_bytes(self.shard.drafter.draft_checkpoints(room))
             if updates:
                 return await self._write(updates, False)
         if keys := self.group_commit.leftover(room):
--- /dev/null
+++ b/starlingdeck/jobs/update_applier.py
@@ -0,0 +1,106 @@
+"""Applies updates to a job shard in memory once they are durable."""
+
+import logging
+from typing import TYPE_CHECKING
+
+from starlingdeck.jobs.job import DONE, PENDING, PLACED, Job
+from starlingdeck.jobs.job_update import JobUpdate
+from starlingdeck.metrics import counters
+from starlingdeck.protocol import api
+from starlingdeck.storage import records
+
+if TYPE_CHECKING:
+    from starlingdeck.jobs.job_shard import JobShard
+
+log = logging.getLogger(__name__)
+
+
+class UpdateApplier:
+    """Applies the updates of one job shard."""
+
+    def __init__(self, shard: "JobShard") -> None:
+        self.shard = shard
+        self.context = shard.context
+
+    def apply(self, update: JobUpdate, revision: int) -> None:
+        """An update is durable: `revision` is the version of the keys that it wrote."""
+        if update.terminal_state:
+            self._finish_job(update)
+            return
+        self._record_chunks(update, revision)
+        if update.cancel:
+            self._cancel(update.job)
+        self._apply_ends(update)
+        self._apply_starts(update)
+
+    def _finish_job(self, update: JobUpdate) -> None:
+        job, shard = update.job, self.shard
+        shard.remove(job.index)
+        job.terminal_state = update.terminal_state
+        event = counters.DONE if update.terminal_state == api.DONE else counters.CANCELLED
+        self.context.counters.increment(job.spec.team, job.spec.cls, event)
+        job.completed += sum(1 for cause in update.pending_ends.values() if cause == api.W_DONE)
+        shard.record_terminal_state(job.id, update.terminal_state, job.completed)
+        shard.dirty_jobs.discard(job.index)
+        shard.commit_log.forget(job.index, job.id, records.chunks_of(job.spec.tasks))
+        shard.schedule_key_deletion(
+            records.chunk_key(shard.shard, job.id, number) for number in job.key_versions if number
+        )
+        log.info("job finished: job=%s state=%s", job.id, update.terminal_state)
+
+    def _record_chunks(self, update: JobUpdate, revision: int) -> None:
+        """Note which chunks of the record hold everything that is durable."""
+        job, commit_log = update.job, self.shard.commit_log
+        for number in update.chunks:
+            job.key_versions[number] = revision
+            commit_log.covered((job.index, number), commit_log.durable)
+        if update.chunks:
+            commit_log.trim(job.index, job.id)
+        if 0 in update.chunks:
+            # Writes of unknown outcome were on an older version: they can't be executed any more.
+            job.outcome_unknown = False
+            job.uncertain_chunks.clear()
+        job.uncertain_chunks.difference_update(update.chunks)
+
+    def _cancel(self, job: Job) -> None:
+        job.cancelled = True
+        job.pending_starts.clear()
+        self.shard.dirty_jobs.add(job.index)
+        for task in job.placements:
+            self.shard.republish_task(job, task)
+        log.info("job cancelled: job=%s tasks_to_stop=%d", job.id, len(job.placements))
+
+    def _apply_ends(self, update: JobUpdate) -> None:
+        job = update.job
+        for task, cause in update.pending_ends.items():
+            if task in job.placements:
+                self.shard.remove_placement(job, task)
+            if job.pending_ends.get(task) == cause:
+                del job.pending_ends[task]
+            if cause == api.W_DONE:
+                job.task_states[task] = DONE
+                job.completed += 1
+                if job.completed == 1:  # the first success changes its failure evidence
+                    self.shard.republish_job(job)
+            else:
+                job.task_states[task] = PENDING
+                job.first_pending = min(job.first_pending, task)
+
+    def _apply_starts(self, update: JobUpdate) -> None:
+        job = update.job
+        if update.pending_starts:
+            started = len(update.pending_starts)
+            self.context.counters.increment(job.spec.team, job.spec.cls, counters.STARTED, started)
+        for task, placement in update.pending_starts.items():
+            if job.pending_starts.get(task) is placement:
+                del job.pending_starts[task]
+            job.placements[task] = placement
+            job.task_states[task] = PLACED
+            job.attempts[task] = placement.attempt
+            self.shard.add_placement(job, task, placement)
+            log.info(
+                "task placed: task=%s attempt=%d machine=%s",
+                api.task_name(job.id, task),
+                placement.attempt,
+                self.context.machine_names[placement.machine],
+            )
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -12,8 +12,8 @@
 from starlingdeck.context import ControllerContext
 from starlingdeck.interning import split_key
 from starlingdeck.jobs.admission import AdmissionController
+from starlingdeck.jobs.desired_state import job_message
 from starlingdeck.jobs.job import MIN_URGENT_RANK, Job, TaskPlacement
-from starlingdeck.jobs.job_shard import job_message
 from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines import scoring
 from starlingdeck.machines.scoring import Candidate
--- a/tests/support/reference_model.py
+++ b/tests/support/reference_model.py
@@ -13,8 +13,9 @@
 
 from starlingdeck.cluster.sharding import shard_of_job, shard_of_machine
 from starlingdeck.context import ControllerContext
+from starlingdeck.jobs.desired_state import job_message
 from starlingdeck.jobs.job import Job, TaskPlacement, new_job
-from starlingdeck.jobs.job_shard import JobShard, job_message
+from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.machines.shard_snapshot import ShardSnapshot, apply_snapshot_message
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -16,10 +16,12 @@
 from starlingdeck.jobs import group_commit
 from starlingdeck.jobs.commit_log import CommitLog
 from starlingdeck.jobs.group_commit import GroupCommit
-from starlingdeck.jobs.job import Job, TaskPlacement, encode_chunk, new_job
+from starlingdeck.jobs.job import Job, TaskPlacement, new_job
+from starlingdeck.jobs.job_records import encode_chunk
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.loader import Loader
 from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.jobs.update_drafter import UpdateDrafter
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import Tuning
 from starlingdeck.storage import commit_log as stored
@@ -396,7 +398,7 @@
     holder.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
     holder.start(TASKS_PER_CHUNK, machine="vm-1")
     holder.flush()
-    part = holder.shard._rewrite(holder.job(), [1], {}, {})
+    part = holder.shard.drafter.rewrite(holder.job(), [1], {}, {})
     holder.client.fates = ["late"]
     with pytest.raises(OutcomeUnknownError):
         curio.run(holder.writer._write, [part], False)
@@ -423,7 +425,7 @@
     holder.end(0, name=OTHER, error=api.W_ERROR)
     holder.flush()
     older, newer = holder.log_keys()
-    rewritten = holder.shard._rewrite(holder.job(OTHER), [0], {}, {})
+    rewritten = holder.shard.drafter.rewrite(holder.job(OTHER), [0], {}, {})
     assert curio.run(holder.writer._write, [rewritten], False)
     dirty = [bool(slot.dirty) for _, slot in sorted(holder.shard.commit_log.slots.items())]
     assert dirty == [True, False]
@@ -455,7 +457,7 @@
         holder.flush(1)
     running = len(holder.seen()[0])
     assert 32 < running < TASKS_PER_CHUNK
-    checkpoint = holder.shard._rewrite(holder.job(), [0], {}, {})
+    checkpoint = holder.shard.drafter.rewrite(holder.job(), [0], {}, {})
     assert curio.run(holder.writer._write, [checkpoint], False)
     curio.run(holder.writer.cancel, holder.job())
     assert holder.job().cancelled and len(succeed(holder).seen()[0]) == running
@@ -636,7 +638,7 @@
     def without(*args: Any) -> Chunk:
         return encode_chunk(*args[:5])
 
-    monkeypatch.setattr("starlingdeck.jobs.job_shard.encode_chunk", without)
+    monkeypatch.setattr("starlingdeck.jobs.update_drafter.encode_chunk", without)
 
 
 def replay_passed_over(monkeypatch: Patch) -> None:
@@ -657,7 +659,7 @@
 
 
 def records_not_bounded(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(JobShard, "_keep_to_value", lambda self, *rest: None)
+    monkeypatch.setattr(UpdateDrafter, "_keep_to_value", lambda self, *rest: None)
 
 
 def no_slots_reserved(monkeypatch: Patch) -> None:
--- a/tests/test_counted_resources.py
+++ b/tests/test_counted_resources.py
@@ -248,7 +248,7 @@
         if found:
             writer, job, task = found[pick % len(found)]
             error = api.W_DONE if done else api.W_STOPPED
-            writer.shard._end_attempt(job, task, job.placements[task], error, "exit")
+            writer.shard.end_attempt(job, task, job.placements[task], error, "exit")
 
     @rule(pick=st.integers(0, 50))
     def cancel(self, pick: int) -> None:
--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -83,7 +83,7 @@
         at_once(self.writers[0][1].flush())
 
     def finish(self, job: Job, task: int = 0) -> None:
-        self.shard._end_attempt(job, task, job.placements[task], api.W_DONE, "exit done")
+        self.shard.end_attempt(job, task, job.placements[task], api.W_DONE, "exit done")
 
     def total(self) -> int:
         return self.state.ledger("engine").total
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -25,7 +25,7 @@
 from starlingdeck.admission import quota
 from starlingdeck.counts import http_api, ledger
 from starlingdeck.jobs.commit_log import CommitLog
-from starlingdeck.jobs.job import encode_chunk, load_job
+from starlingdeck.jobs.job_records import encode_chunk, load_job
 from starlingdeck.protocol import api, config, peer_pb2
 from starlingdeck.storage import commit_log, records
 from tests.support.builders import Clock, make_world
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -7,7 +7,8 @@
 
 from starlingdeck.api import job_api
 from starlingdeck.cluster import peers
-from starlingdeck.jobs.job import PLACED, TaskPlacement, encode_chunk, load_job, new_job
+from starlingdeck.jobs.job import PLACED, TaskPlacement, new_job
+from starlingdeck.jobs.job_records import encode_chunk, load_job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.metrics.latency import LatencyHistograms
 from starlingdeck.protocol import api
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,7 +1,7 @@
 """The machine owner's part: reservations and preemption."""
 
+from starlingdeck.jobs.desired_state import job_message
 from starlingdeck.jobs.job import new_job
-from starlingdeck.jobs.job_shard import job_message
 from starlingdeck.machines.desired_state import DELETED_RETENTION_S, PRUNE_INTERVAL_S
 from starlingdeck.machines.machine import JobInfo, may_preempt
 from starlingdeck.machines.machine_shard import MAX_PROBES, MachineShard
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -11,7 +11,8 @@
 from starlingdeck.cluster.sharding import shard_of_job, shard_of_machine
 from starlingdeck.context import ControllerContext
 from starlingdeck.controller.controller import Controller
-from starlingdeck.jobs.job import Job, TaskPlacement, densest_chunks, new_job
+from starlingdeck.jobs.job import Job, TaskPlacement, new_job
+from starlingdeck.jobs.job_records import densest_chunks
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.machines.failure_attribution import FINE, FailureAttribution
 from starlingdeck.machines.machine_shard import MachineShard
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -14,8 +14,9 @@
 from starlingdeck.cluster.sharding import shard_of_job
 from starlingdeck.controller.controller import Controller
 from starlingdeck.interning import task_key
+from starlingdeck.jobs.desired_state import job_message
 from starlingdeck.jobs.job import Job, TaskPlacement, new_job
-from starlingdeck.jobs.job_shard import JobShard, job_message
+from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.machines.shard_snapshot import ShardSnapshot, apply_snapshot_message
 from starlingdeck.protocol import api
@@ -71,7 +72,7 @@
     )
     jobs.adopt(job)
     machines.apply_desired_state(
-        jobs.desired_state_message(1, 77, echo_ms=snapshots[1].watermark_ms(2000.0))
+        jobs.desired_state_message(1, 77, watermark_ms=snapshots[1].watermark_ms(2000.0))
     )
     return machines, jobs, job, snapshots
 
@@ -124,7 +125,7 @@
     jobs.adopt(job)
     first = jobs.desired_state_message(1, 77)
     assert first.full and len(first.tasks) == 200 and machines.apply_desired_state(first)
-    jobs._remove_placement(job, 7)
+    jobs.remove_placement(job, 7)
     second = jobs.desired_state_message(1, 77)
     assert not second.full and (len(second.tasks), len(second.removed)) == (0, 1)
     lost = jobs.desired_state_message(1, 77)
