--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -777,7 +777,7 @@
                 shard.dirty_jobs,
                 shard.tasks_by_machine,
                 shard.pending_cancellations,
-                writer.since,
+                writer.batches.since,
             )
             assert (
                 not any(kept) and len(shard.terminal_states) == len(shard.terminal_completed) <= 20
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -7,7 +7,8 @@
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.job import Job, TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.record_writer import BATCHING_WAIT_S, RecordWriter
+from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.jobs.write_batch import BATCHING_WAIT_S
 from starlingdeck.machines.scoring import Candidate
 from starlingdeck.protocol import api
 from starlingdeck.scheduling import scheduler
@@ -126,11 +127,11 @@
         shard.adopt(one)
     context.machine_names.intern("vm-0")
     context.zone_names.intern("a")
-    assert [d.job for d in writer._batch()[0]] == [high]
+    assert [d.job for d in writer.batches.select()[0]] == [high]
     high.pending_starts.clear()
     high.placements[0] = TaskPlacement(0, 1, 1, 0, 0)
     high.pending_ends[0] = api.W_ERROR
-    assert [d.job for d in writer._batch()[0]] == [high, low]
+    assert [d.job for d in writer.batches.select()[0]] == [high, low]
 
 
 def test_what_is_written_is_chosen_when_the_budget_has_room() -> None:
@@ -186,12 +187,12 @@
     context.zone_names.intern("a")
     service.reserving[1] = 0
     shard.adopt(service)
-    assert writer._batch()[0] == []
+    assert writer.batches.select()[0] == []
     clock.at += 2 * BATCHING_WAIT_S
-    assert [list(d.pending_starts) for d in writer._batch()[0]] == [[0]]
+    assert [list(d.pending_starts) for d in writer.batches.select()[0]] == [[0]]
     service.pending_starts[1] = TaskPlacement(0, 1, 1, 0, 0, state_since=clock.at)
     del service.reserving[1]
-    assert [list(d.pending_starts) for d in writer._batch()[0]] == [[0, 1]]
+    assert [list(d.pending_starts) for d in writer.batches.select()[0]] == [[0, 1]]
 
 
 def test_room_is_asked_for_where_the_least_work_is_lost() -> None:
@@ -260,17 +261,17 @@
     for one in ended:
         one.placements[0] = TaskPlacement(0, 1, 1, 0, 0)
         one.pending_ends[0] = api.W_DONE
-    writer.spent[flood.team] = 50.0
+    writer.batches.spent[flood.team] = 50.0
     seen: list[list[Job]] = []
     for _ in range(8):
         clock.at += 0.4
         flood.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
         shard.dirty_jobs.add(flood.index)
-        batch, _, urgent = writer._batch()
+        batch, _, urgent = writer.batches.select()
         assert urgent
         seen.append([d.job for d in batch])
         for update in batch:  # as if written; its next start and the next ends are there at once
-            del writer.since[update.job.index]
+            del writer.batches.since[update.job.index]
     assert seen == [*[[flood]] * 3, [ended[1], ended[0], flood]] * 2
 
 
