--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -17,7 +17,7 @@
 ANSWER = re.compile(r"answer (\w+): (\d+), p50/p90/p99 [\d.]+/[\d.]+/([\d.]+) ms")
 FIRST = re.compile(r"machine (\S+): first report")
 TAKEN = re.compile(r"shard (\d+): taken over")
-READ = re.compile(r"shard (\d+): (\d+) unfinished jobs read")
+READ = re.compile(r"shard jobs loaded: shard=(\d+) unfinished_jobs=(\d+)")
 GONE = "returned to the cloud: "
 SHOWN = 10  # kinds of task a minute
 
--- a/starlingdeck/jobs/admission.py
+++ b/starlingdeck/jobs/admission.py
@@ -1,7 +1,7 @@
-"""What may hold a task back before it is placed: one question, whatever the limit is.
+"""Admission: how many of a job's tasks may be placed, whatever kind of limit applies.
 
-Each kind of limit is a gate. A gate says how many more of a job's tasks may start and why the
-next one may not. A gate with a durable side also joins the transactions that start and end tasks.
+Each kind of limit is a plugin. It says how many more of a job's tasks may start, and why the next
+one may not. A durable plugin also takes part in the transactions that start and end tasks.
 """
 
 from collections.abc import Sequence
@@ -29,32 +29,32 @@
     """One kind of limit."""
 
     async def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        """A plan begins; these jobs have tasks to place, in no order."""
+        """A scheduling cycle begins; these jobs have tasks to place, in no order."""
 
     def headroom(self, job: Job) -> int:
-        """For how many more of the job's tasks there is room. Asked in the order of the plan."""
+        """How many more of the job's tasks may start; called in scheduling order."""
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Machines are being asked for that many more of the job's tasks."""
+        """Reservations are being requested for that many more of the job's tasks."""
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
-        """Every reason that holds now; empty if the next task may start."""
+        """Every reason that applies now; empty if the next task may start."""
 
     def on_idle(self) -> None:
-        """Nothing waits."""
+        """No task waits for placement."""
 
 
 class TransactionReservation(Protocol):
-    """What one transaction of a job shard takes and gives back."""
+    """What one transaction of a job shard takes from a plugin's limits and gives back."""
 
     def admit(self, job: Job) -> None:
-        """Withhold those of the job's starts that there is no room for now."""
+        """Withhold those of the job's starts that the limits don't allow now."""
 
     def add(self, update: JobUpdate) -> bool:
-        """Take up a job's part; False if its starts can't come in."""
+        """Take up a job's update; False if its starts aren't allowed."""
 
     def remove_last(self) -> None:
-        """Take the last part out again: the transaction has no room for it."""
+        """Take the last update out again: the transaction has no room for it."""
 
     def key_count(self) -> int:
         """Keys so far, beside those of the jobs: each is a condition, and may be a change."""
@@ -62,90 +62,105 @@
     def conditions_and_changes(self) -> tuple[dict[str, int], list[api.Change]]:
         """Conditions and changes; after this nothing is added."""
 
-    def on_committed(self, revision: int) -> None: ...
+    def on_committed(self, revision: int) -> None:
+        """The transaction is durable: `revision` is the version of the keys that it wrote."""
 
     async def on_conflict(self, failed: list[str]) -> bool:
-        """The transaction met a conflict; True if it was (also) ours, and may be tried again."""
+        """The transaction met a conflict; True if it was (also) ours, and may be retried."""
 
     def on_unknown_outcome(self) -> None:
-        """No answer: the transaction may be executed yet."""
+        """The transaction was not answered: it may still be executed."""
 
 
 class DurablePlugin(AdmissionPlugin, Protocol):
-    """A gate whose grants are written together with the starts and ends they are for."""
+    """A plugin whose grants are written together with the starts and ends they are for."""
 
-    def is_due(self) -> bool:
-        """Whether something came free that is too dear to lie idle until the next plan."""
-
-    prefix: str  # of its keys; the cluster's watch brings their changes
+    prefix: str  # of its keys; the cluster's watch reports their changes
     path: str  # of the operators' requests that it answers
 
-    def on_key_changed(self, key: str, value: bytes, version: int) -> None: ...
+    def is_due(self) -> bool:
+        """Whether something was released that is too scarce to wait for the next cycle."""
+
+    def on_key_changed(self, key: str, value: bytes, version: int) -> None:
+        """One of its keys has changed, by the cluster's watch."""
 
-    def begin_transaction(self, shard: JobShard) -> TransactionReservation: ...
+    def begin_transaction(self, shard: JobShard) -> TransactionReservation:
+        """A transaction of this shard is about to be put together."""
 
     async def settle(self, shard: JobShard) -> None:
-        """End the doubt that unanswered transactions left; marks the jobs to be read again."""
+        """Find out what became of unanswered transactions; marks the jobs to be read again."""
 
     async def rejection_reason(self, spec: api.JobSpec) -> str:
-        """Why a job can never run, or nothing."""
+        """Why a job can never run; "" if it can."""
 
-    def add_to_gossip(self, gossip: pb.Gossip) -> None: ...
+    def add_to_gossip(self, gossip: pb.Gossip) -> None:
+        """Add to a gossip message what other controllers' plugins need."""
 
-    def receive_gossip(self, sender: int, gossip: pb.Gossip) -> None: ...
+    def receive_gossip(self, sender: int, gossip: pb.Gossip) -> None:
+        """Take in what another controller's plugin added to its gossip."""
 
-    async def serve(self, request: Request) -> Response: ...
+    async def serve(self, request: Request) -> Response:
+        """Answer an operator's request under `path`."""
 
-    async def run(self) -> None: ...
+    async def run(self) -> None:
+        """The plugin's own loop, for as long as the controller runs."""
 
     def lines(self) -> list[str]:
-        """For the log, once a minute."""
+        """Lines for the log, once a minute."""
 
 
 class AdmissionController:
-    """All gates in one."""
+    """All admission plugins together."""
 
-    def __init__(self, gates: list[AdmissionPlugin]) -> None:
-        self.plugins = gates
-        self.durable: DurablePlugin | None = None  # asked of jobs with needs only
+    def __init__(self, plugins: list[AdmissionPlugin]) -> None:
+        self.plugins = plugins
+        self.durable: DurablePlugin | None = None  # applies only to jobs with resource needs
 
-    def register(self, gate: DurablePlugin) -> None:
-        self.durable = gate
+    def register(self, plugin: DurablePlugin) -> None:
+        """Add the durable plugin."""
+        self.durable = plugin
 
     def _all(self) -> list[AdmissionPlugin]:
         return self.plugins if self.durable is None else [*self.plugins, self.durable]
 
     async def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        for gate in self._all():
-            await gate.begin_cycle(jobs)
+        """A scheduling cycle begins; these jobs have tasks to place, in no order."""
+        for plugin in self._all():
+            await plugin.begin_cycle(jobs)
 
     def headroom(self, job: Job) -> int:
-        room = UNBOUNDED
-        for gate in self.plugins:
-            room = min(room, gate.headroom(job))
+        """How many more of the job's tasks may start by all limits; in scheduling order."""
+        headroom = UNBOUNDED
+        for plugin in self.plugins:
+            headroom = min(headroom, plugin.headroom(job))
         if job.resource_needs:
-            room = min(room, self.durable.headroom(job)) if self.durable is not None else 0
-        return room
+            if self.durable is None:
+                return 0
+            headroom = min(headroom, self.durable.headroom(job))
+        return headroom
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        for gate in self._all() if tasks else ():
-            gate.on_requested(job, tasks)
+        """Reservations are being requested for that many more of the job's tasks."""
+        for plugin in self._all() if tasks else ():
+            plugin.on_requested(job, tasks)
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
-        """Every reason that holds now; empty if the next task may start."""
+        """Every reason that applies now; empty if the next task may start."""
         if job.resource_needs and self.durable is None:
             return [WaitReason("counts are switched off here", "a controller that keeps them")]
-        return [error for gate in self._all() for error in gate.wait_reasons(job)]
+        return [reason for plugin in self._all() for reason in plugin.wait_reasons(job)]
 
     def is_due(self) -> bool:
+        """Whether something was released that is too scarce to wait for the next cycle."""
         return self.durable is not None and self.durable.is_due()
 
     async def rejection_reason(self, spec: api.JobSpec) -> str:
-        """Why a job can never run, or nothing."""
+        """Why a job can never run; "" if it can."""
         if self.durable is not None:
             return await self.durable.rejection_reason(spec)
         return "counts: none are kept here" if any((spec.counts or {}).values()) else ""
 
     def on_idle(self) -> None:
-        for gate in self._all():
-            gate.on_idle()
+        """No task waits for placement."""
+        for plugin in self._all():
+            plugin.on_idle()
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -1,17 +1,18 @@
-"""Makes the starts and ends of all of a shard's jobs durable together, by its commit log.
+"""Group commit: the starts and ends of all of a shard's jobs, written together to its commit log.
 
-One key is written a commit, whatever the number of jobs. Each commit stands on the shard's key, on
-the versions of the records of its jobs, and on its own key as the commit before left it.
+One key is written a commit, whatever the number of jobs. Each commit is conditional on the shard's
+key, on the versions of the records of its jobs, and on its own key as the previous commit left it.
 """
 
 import logging
+from typing import NamedTuple
 
 import curio
 import msgspec
 from msgspec import Struct
 
 from starlingdeck.context import ControllerContext
-from starlingdeck.jobs.commit_log import Prepared
+from starlingdeck.jobs.commit_log import PreparedCommit
 from starlingdeck.jobs.job import MIN_URGENT_RANK, Job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.job_update import JobUpdate
@@ -29,29 +30,33 @@
 
 log = logging.getLogger(__name__)
 
-MOST_TASKS = 150  # of one job in a commit: they have to fit into one value
-LEAST_BYTES = 1024  # of a commit: with less room a job's part may not fit
-CONDITIONS = 4  # times the changes that a transaction may hold
+MAX_TASKS_PER_CHANGE = 150  # of one job in a commit: they have to fit into one value
+MIN_COMMIT_BYTES = 1024  # with less free, a job's part may not fit
+CONDITIONS_PER_CHANGE = 4  # a transaction's limit of conditions, in terms of its limit of changes
+MAX_APPLY_S = 0.005  # (start) of applying a commit without yielding to other tasks
 
-STRETCH_S = 0.005  # (start) of applying a commit before others get their turn
 
-Doubts = tuple[Job, set[int]]  # chunks of a job in which a commit under way ends tasks
+class UncertainChunks(NamedTuple):
+    """Chunks of a job in which a commit under way ends tasks."""
+
+    job: Job
+    chunks: set[int]
 
 
 class Batch(Struct):
-    """What goes into the next commit. `more`: not all that waits did."""
+    """What goes into the next commit."""
 
-    drafts: list[JobUpdate] = []
+    updates: list[JobUpdate] = []
     changes: list[JobChange] = []
     encoded: list[bytes] = []
     conditions: dict[str, int] = {}
-    more: bool = False
+    has_more: bool = False  # not all that waits fits
 
 
 class GroupCommit:
-    """One per job shard. Its callers hold the lock that keeps the shard's writes in order.
+    """The commits of one job shard. Its callers hold the lock that orders the shard's writes.
 
-    Without settings nothing is written to the log; what is there is still followed.
+    Without settings nothing is written to the log; what it still holds is respected.
     """
 
     def __init__(
@@ -66,9 +71,9 @@
         self.shard = shard
         self.settings = settings
         self.since: dict[int, float] = {}  # job -> since when it has had something to be written
-        self.at_once = False  # the last commit could not take all that waited
+        self.has_more = False  # the last commit could not take all that waited
 
-    # --- what goes by the log, and when
+    # --- what is written to the log, and when
 
     def by_log(self, job: Job) -> bool:
         """Whether a job's next write is a commit of the log; else its record is rewritten."""
@@ -80,12 +85,13 @@
             return False
         if self.shard.drafter.terminal_state_of(job):
             return False
-        # Without any room the ends go on by records, and the starts wait.
-        return not job.pending_ends or self.shard.commit_log.bytes_free() >= LEAST_BYTES
+        # With the log full, ends are written to records, and starts wait.
+        return not job.pending_ends or self.shard.commit_log.free_bytes() >= MIN_COMMIT_BYTES
 
     def may_start(self) -> bool:
         """Whether starts may be recorded at all: a full log holds them back."""
-        return self.settings is None or self.shard.commit_log.bytes_free(True) >= LEAST_BYTES
+        free = self.shard.commit_log.free_bytes
+        return self.settings is None or free(for_starts=True) >= MIN_COMMIT_BYTES
 
     def due_s(self) -> float | None:
         """How long until the next commit; None when nothing waits for one."""
@@ -94,12 +100,13 @@
         now = self.context.now()
         waiting = self._waiting()
         self.since = {job.index: self.since.get(job.index, now) for job in waiting}
-        if self.at_once and waiting:
+        if self.has_more and waiting:
             return 0.0
-        due = [self.since[job.index] + self._patience_s(job, self.settings) for job in waiting]
+        due = [self.since[job.index] + _max_wait_s(job, self.settings) for job in waiting]
         return max(0.0, min(due) - now) if due else None
 
     def _waiting(self) -> list[Job]:
+        """Jobs whose next write is a commit of the log."""
         jobs = (self.shard.jobs.get(index) for index in self.shard.dirty_jobs)
         starting = self.may_start()
         return [
@@ -112,129 +119,125 @@
             and not self.context.is_quarantined("job", job.id)
         ]
 
-    @staticmethod
-    def _patience_s(job: Job, settings: GroupCommitSettings) -> float:
-        return settings.urgent_s if _urgent(job) else settings.interval_s
-
     # --- the commit
 
     def collect(self) -> Batch:
         """As much of what waits as one commit takes, urgent starts first."""
         batch = Batch()
         starting = self.may_start()
-        room = self.shard.commit_log.bytes_free(starting)
+        free_bytes = self.shard.commit_log.free_bytes(starting)
         txn_ops = self.context.settings.settings.state.txn_ops
-        allowed = CONDITIONS * txn_ops - 2  # the shard's key and the commit's own
+        # Two are the shard's key and the commit's own.
+        max_conditions = CONDITIONS_PER_CHANGE * txn_ops - 2
         waiting = self._waiting()
-        waiting.sort(key=lambda j: (not _urgent(j), self.since.get(j.index, 0.0)))
+        waiting.sort(key=lambda job: (not _has_urgent_start(job), self.since.get(job.index, 0.0)))
         for job in waiting:
-            left = allowed - len(batch.conditions)
-            if left < 1 or room < LEAST_BYTES:
-                batch.more = True
+            free_conditions = max_conditions - len(batch.conditions)
+            if free_conditions < 1 or free_bytes < MIN_COMMIT_BYTES:
+                batch.has_more = True
                 break
             try:
-                # The record's own key is a condition as well.
-                part = self.shard.drafter.draft_log_change(
-                    job, starting, max(1, left - 1), MOST_TASKS
+                # One condition is the record's own key.
+                drafted = self.shard.drafter.draft_log_change(
+                    job, starting, max(1, free_conditions - 1), MAX_TASKS_PER_CHANGE
                 )
-            except Exception as error:
+            except Exception as error:  # one job's fault must not hold up the others' changes
                 self.context.quarantine_failed("job", job.id, error)
                 continue
-            if part is None:
+            if drafted is None:
                 self.shard.dirty_jobs.discard(job.index)
                 continue
-            update, change = part
+            update, change = drafted
             encoded = msgspec.json.encode(change)
-            if len(encoded) + 1 > room or len(update.conditions) > left:
-                batch.more = True
+            if len(encoded) + 1 > free_bytes or len(update.conditions) > free_conditions:
+                batch.has_more = True
                 continue
-            room -= len(encoded) + 1
-            batch.drafts.append(update)
+            free_bytes -= len(encoded) + 1
+            batch.updates.append(update)
             batch.changes.append(change)
             batch.encoded.append(encoded)
             batch.conditions |= update.conditions
         return batch
 
     async def commit(self, batch: Batch) -> bool:
-        """Writes it; whether the shard is still ours by what the state service says."""
+        """Write a batch and apply it; False if the state service says the shard isn't ours."""
         shard_key = records.shard_key(self.shard.shard)
         token = self.shard.token
-        jobs = [draft.job.index for draft in batch.drafts]
+        jobs = [update.job.index for update in batch.updates]
         commit = self.shard.commit_log.prepare(batch.changes, batch.encoded, jobs)
         conditions = {shard_key: token, commit.key: commit.version, **batch.conditions}
-        added = self._doubt(batch)
+        uncertain = self._mark_uncertain(batch)
         try:
             change = put_change(commit.key, commit.value)
             revision = await self.state.transact(conditions, [change], True)
         except TransactionConflictError as error:
-            self._undoubt(added)
-            return await self._refused(error, batch, commit, token)
+            _clear_uncertain(uncertain)
+            return self._on_conflict(error, batch, commit, token)
         except OutcomeUnknownError:
-            # Until it is known whether it was carried out, nothing else of the shard is written.
-            self.shard.commit_log.unknown = commit
-            for update in batch.drafts:
+            # Until its outcome is known, nothing else of the shard is written.
+            self.shard.commit_log.unresolved = commit
+            for update in batch.updates:
                 update.job.stale = True
             raise
         except StateError:
-            self._undoubt(added)
+            _clear_uncertain(uncertain)
             raise
         self.shard.commit_log.written(commit, revision)
-        self.at_once = batch.more
-        await self._apply(batch, added, revision)
+        self.has_more = batch.has_more
+        await self._apply(batch, uncertain, revision)
         return True
 
-    async def _apply(self, batch: Batch, added: list[Doubts], revision: int) -> None:
-        """Make a durable commit true here, job by job: hundreds of tasks at a stretch let
-        submissions wait. Until its turn a job's answers come from the log."""
+    async def _apply(self, batch: Batch, uncertain: list[UncertainChunks], revision: int) -> None:
+        """Apply a durable commit job by job, and yield in between.
+
+        Hundreds of tasks at once let submissions wait. Until a job's turn its status is answered
+        from the log.
+        """
         began = self.context.now()
-        for update, doubts in zip(batch.drafts, added, strict=True):
+        for update, chunks in zip(batch.updates, uncertain, strict=True):
             self.since.pop(update.job.index, None)
             self.shard.apply_update(update, revision)
-            self._undoubt([doubts])
-            if self.context.now() - began > STRETCH_S:
+            _clear_uncertain([chunks])
+            if self.context.now() - began > MAX_APPLY_S:
                 await curio.sleep(0)
                 began = self.context.now()
 
-    def _doubt(self, batch: Batch) -> list[Doubts]:
-        """Others that read the log may tell its users of an end before we know: until then the
-        job's answers come from there as well."""
-        added = []
-        for update, change in zip(batch.drafts, batch.changes, strict=True):
-            ended = {
-                task // records.TASKS_PER_CHUNK for task in change.done
-            } - update.job.uncertain_chunks
-            update.job.uncertain_chunks |= ended
-            added.append((update.job, ended))
-        return added
+    def _mark_uncertain(self, batch: Batch) -> list[UncertainChunks]:
+        """Until we know of the commit, answer for its jobs from the log as well.
 
-    @staticmethod
-    def _undoubt(added: list[Doubts]) -> None:
-        for job, ended in added:
-            job.uncertain_chunks -= ended
+        Others that read the log may report an end before we know of it.
+        """
+        marked = []
+        for update, change in zip(batch.updates, batch.changes, strict=True):
+            ended = {task // records.TASKS_PER_CHUNK for task in change.done}
+            ended -= update.job.uncertain_chunks
+            update.job.uncertain_chunks |= ended
+            marked.append(UncertainChunks(update.job, ended))
+        return marked
 
-    async def _refused(
-        self, error: TransactionConflictError, batch: Batch, commit: Prepared, token: int
+    def _on_conflict(
+        self, error: TransactionConflictError, batch: Batch, commit: PreparedCommit, token: int
     ) -> bool:
         """Nothing was written: another controller changed a record, or the shard isn't ours."""
         if records.shard_key(self.shard.shard) in error.failed:
             return token != self.shard.token  # our token rose meanwhile
         if commit.key in error.failed:
-            # Its version is not the one that we know: look what it holds before writing on.
-            self.shard.commit_log.unknown = commit
-        for update in batch.drafts:
+            # Its version is not the one that we know: read what it holds before writing on.
+            self.shard.commit_log.unresolved = commit
+        for update in batch.updates:
             if any(key in error.failed for key in update.conditions):
                 update.job.stale = True
         return True
 
-    # --- a commit of unknown fate
+    # --- a commit of unknown outcome
 
     async def settle(self) -> None:
-        """Finds out whether the last commit was carried out; StateError while it can't be known.
+        """Find out whether the last commit was executed; StateError while that can't be known.
 
-        A commit that was not yet carried out may be at any time, after newer writes: its key is
-        written again without it first, and so its condition can't hold any more.
+        A commit that was not executed yet may be at any time, after newer writes. So its key is
+        written again without it first, and its condition can't hold any more.
         """
-        commit = self.shard.commit_log.unknown
+        commit = self.shard.commit_log.unresolved
         if commit is None:
             return
         entry = await self.state.get(commit.key, True)
@@ -242,62 +245,77 @@
         if version == commit.version:
             await self._fence(commit)
         elif entry is not None:
-            self._read_fate(commit, entry)
+            self._read_outcome(commit, entry)
         else:
             raise StateError(f"{commit.key} is gone")
-        self.shard.commit_log.unknown = None
+        self.shard.commit_log.unresolved = None
         for index in commit.jobs:
             job = self.shard.jobs.get(index)
             if job is not None:
                 job.stale = True  # read again, with what is now known of the log
                 job.uncertain_chunks.clear()
 
-    async def _fence(self, commit: Prepared) -> None:
-        key, ring = records.shard_key(self.shard.shard), self.shard.commit_log
-        conditions = {key: self.shard.token, commit.key: commit.version}
+    async def _fence(self, commit: PreparedCommit) -> None:
+        """Write the commit's key without the commit."""
+        commit_log = self.shard.commit_log
+        shard_key = records.shard_key(self.shard.shard)
+        conditions = {shard_key: self.shard.token, commit.key: commit.version}
+        change = put_change(commit.key, commit_log.fence_value(commit))
         try:
-            version = await self.state.transact(
-                conditions, [put_change(commit.key, ring.fence(commit))], True
-            )
+            version = await self.state.transact(conditions, [change], True)
         except TransactionConflictError as error:
             raise StateError(f"a commit's fate is still open: {error}") from error
-        ring.fenced(commit, version)
-        log.info("shard %d: a commit without an answer was fenced off", self.shard.shard)
+        commit_log.fenced(commit, version)
+        log.info("unanswered commit resolved: shard=%d outcome=fenced", self.shard.shard)
 
-    def _read_fate(self, commit: Prepared, entry: api.Entry) -> None:
+    def _read_outcome(self, commit: PreparedCommit, entry: api.Entry) -> None:
+        """Whether the commit was executed, by what its key holds now."""
         if commit.position in read_segments([entry]).last.values():
             self.shard.commit_log.written(commit, entry.version)
-            log.info("shard %d: a commit without an answer was carried out", self.shard.shard)
+            log.info("unanswered commit resolved: shard=%d outcome=executed", self.shard.shard)
         else:
             self.shard.commit_log.fenced(commit, entry.version)
 
     # --- segments that nobody needs any more
 
     def checkpoint_due(self) -> bool:
-        """Whether records are to be rewritten so that segments come free; all of them, once the
-        log is not written any more."""
-        ring = self.shard.commit_log
-        return ring.checkpoint_due() if self.settings is not None else not ring.clean
-
-    def leftover(self, limit: int) -> dict[str, int]:
-        """Keys of a log that is not written any more and that all records are past, by version."""
-        ring = self.shard.commit_log
-        if self.settings is not None or ring.empty or not ring.clean:
+        """Whether records are to be rewritten so that segments come free.
+
+        That is all records, once the log is not written any more.
+        """
+        commit_log = self.shard.commit_log
+        return commit_log.checkpoint_due() if self.settings is not None else not commit_log.is_clean
+
+    def obsolete_segments(self, limit: int) -> dict[str, int]:
+        """Segments to delete, as key -> version: only of a log that is not written any more."""
+        commit_log = self.shard.commit_log
+        if self.settings is not None or commit_log.is_empty or not commit_log.is_clean:
             return {}
-        slots = list(ring.slots.items())[:limit]
-        return {segment_key(self.shard.shard, n): slot.version for n, slot in slots}
+        slots = list(commit_log.slots.items())[:limit]
+        return {segment_key(self.shard.shard, number): slot.version for number, slot in slots}
 
-    async def delete(self, keys: dict[str, int]) -> None:
+    async def delete_segments(self, keys: dict[str, int]) -> None:
+        """Delete what `obsolete_segments` returned."""
         conditions = {records.shard_key(self.shard.shard): self.shard.token, **keys}
         try:
             await self.state.transact(conditions, [api.Change(delete=key) for key in keys])
         except TransactionConflictError as error:
-            log.info("shard %d: segments not deleted: %s", self.shard.shard, error)
+            log.info("log segments not deleted: shard=%d error=%s", self.shard.shard, error)
             return
-        self.shard.commit_log.dropped(keys)
-        if self.shard.commit_log.empty:
-            log.info("shard %d: the commit log is empty", self.shard.shard)
+        self.shard.commit_log.segments_deleted(keys)
+        if self.shard.commit_log.is_empty:
+            log.info("commit log empty: shard=%d", self.shard.shard)
+
 
+def _clear_uncertain(marked: list[UncertainChunks]) -> None:
+    for job, chunks in marked:
+        job.uncertain_chunks -= chunks
 
-def _urgent(job: Job) -> bool:
+
+def _has_urgent_start(job: Job) -> bool:
     return bool(job.pending_starts) and job.spec.rank >= MIN_URGENT_RANK
+
+
+def _max_wait_s(job: Job, settings: GroupCommitSettings) -> float:
+    """How long a job's change may wait for others to be committed with it."""
+    return settings.urgent_s if _has_urgent_start(job) else settings.interval_s
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -4,8 +4,10 @@
 from collections.abc import Awaitable, Callable
 
 import msgspec
+from msgspec import Struct, field
 
 from starlingdeck.context import ControllerContext
+from starlingdeck.jobs.commit_log import ChunkId
 from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.job_records import load_job
 from starlingdeck.jobs.job_shard import JobShard
@@ -17,12 +19,26 @@
 
 log = logging.getLogger(__name__)
 
-Parts = dict[int, tuple[int, Chunk]]  # number of a chunk -> version of its key, and what it holds
+
+class FurtherChunks(Struct):
+    """The chunks of a job's record beyond the first, and the versions of their keys."""
+
+    chunks: dict[int, Chunk] = field(default_factory=dict)
+    versions: dict[int, int] = field(default_factory=dict)
+
+    def add(self, entry: api.Entry) -> None:
+        """Decode a chunk's key; raises when its value can't be read."""
+        number = int(entry.key.rsplit("/", 1)[1])
+        self.chunks[number] = msgspec.json.decode(entry.value, type=Chunk)
+        self.versions[number] = entry.version
 
 
 class Loader:
-    """One per job shard. `settle` finds out what became of a commit whose answer was lost: what
-    is read of a job before that may be older than what others read."""
+    """Reads the jobs of one job shard.
+
+    `settle` finds out what became of a commit whose answer was lost: what is read of a job before
+    that may be older than what others have read.
+    """
 
     def __init__(
         self,
@@ -35,84 +51,91 @@
         self.state = state
         self.shard = shard
         self.settle = settle
-        self.hidden: dict[str, str] = {}  # job -> why not all that became of it can be known
+        self.unreadable: dict[str, str] = {}  # job -> why not all of its state can be known
 
     async def load(self) -> None:
         """Read the shard's unfinished jobs after taking it over."""
         shard = self.shard.shard
         mains, _ = await self.state.read(records.job_prefix(shard))
-        parts, _ = await self.state.read(records.chunk_prefix(shard))
+        chunk_entries, _ = await self.state.read(records.chunk_prefix(shard))
         segments, _ = await self.state.read(log_prefix(shard))
         view = read_segments(segments)
         for segment in view.unreadable:
             self.context.quarantine_failed("segment", str(segment.slot), ValueError(segment.fault))
-        self.shard.commit_log.adopt(view)
-        self.shard.commit_log.pin(view.broken_slots)
-        chunks, broken = self._chunks(parts)
+        commit_log = self.shard.commit_log
+        commit_log.adopt(view)
+        commit_log.pin(view.broken_slots)
+        chunks, unreadable = self._decode_chunks(chunk_entries)
         unfinished = {entry.key.rsplit("/", 1)[1] for entry in mains}
         self.shard.schedule_key_deletion(
-            e.key for e in parts if e.key.split("/")[2] not in unfinished
+            entry.key for entry in chunk_entries if entry.key.split("/")[2] not in unfinished
         )
         for entry in mains:
             name = entry.key.rsplit("/", 1)[1]
-            if name in broken:
-                self.shard.commit_log.pin(logged.slot for logged in view.of(name))
+            if name in unreadable:
+                commit_log.pin(logged.slot for logged in view.of(name))
                 continue
             try:
-                self._take(entry, chunks.get(name, {}), view)
-            except Exception as error:
+                self._load_entry(entry, chunks.get(name, FurtherChunks()), view)
+            except Exception as error:  # one job's fault must not hold up the shard
                 self.context.quarantine_failed("record", entry.key, error)
-                self.shard.commit_log.pin(logged.slot for logged in view.of(name))
+                commit_log.pin(logged.slot for logged in view.of(name))
         self.shard.loaded = True
-        log.info("shard %d: %d unfinished jobs read", shard, len(mains))
-
-    def _chunks(self, parts: list[api.Entry]) -> tuple[dict[str, Parts], set[str]]:
-        """Further chunks by job, and jobs of which one can't be read: of those nothing may run,
-        for what runs already isn't known."""
-        chunks: dict[str, Parts] = {}
-        broken: set[str] = set()
-        for entry in parts:
-            _, _, job, number = entry.key.split("/")
+        log.info("shard jobs loaded: shard=%d unfinished_jobs=%d", shard, len(mains))
+
+    def _decode_chunks(self, entries: list[api.Entry]) -> tuple[dict[str, FurtherChunks], set[str]]:
+        """Further chunks by job, and the jobs of which one can't be read.
+
+        Nothing of those jobs may be started, for what runs already isn't known.
+        """
+        chunks: dict[str, FurtherChunks] = {}
+        unreadable: set[str] = set()
+        for entry in entries:
+            _, _, job, _ = entry.key.split("/")
             try:
-                value = msgspec.json.decode(entry.value, type=Chunk)
-                chunks.setdefault(job, {})[int(number)] = (entry.version, value)
-            except Exception as error:
+                chunks.setdefault(job, FurtherChunks()).add(entry)
+            except Exception as error:  # one job's fault must not hold up the shard
                 self.context.quarantine_failed("record", entry.key, error)
-                broken.add(job)
-        return chunks, broken
+                unreadable.add(job)
+        return chunks, unreadable
 
-    def _take(self, entry: api.Entry, parts: Parts, view: LogView) -> None:
+    def _load_entry(self, entry: api.Entry, further: FurtherChunks, view: LogView) -> None:
+        """Take up a job at a takeover, with what the log has of it."""
         main = msgspec.json.decode(entry.value, type=JobRecord)
         name = main.spec.id
-        many = records.chunks_of(main.spec.tasks)
-        if hidden := view.hides(name, entry.version, main.cancelled, many):
-            self.hidden[name] = hidden
-            raise ValueError(hidden)
+        chunk_count = records.chunks_of(main.spec.tasks)
+        if reason := view.hides(name, entry.version, main.cancelled, chunk_count):
+            self.unreadable[name] = reason
+            raise ValueError(reason)
         index = self.context.job_names.intern(name)
-        stored = {0: main.chunk, **{n: chunk for n, (_, chunk) in parts.items()}}
+        stored = {0: main.chunk, **further.chunks}
         self.shard.commit_log.adopt_job(index, name, stored, view.of(name))
-        self._adopt(entry, main, parts)
+        self._adopt(entry, main, further)
 
-    def _adopt(self, entry: api.Entry, main: JobRecord, parts: Parts) -> Job:
+    def _adopt(self, entry: api.Entry, main: JobRecord, further: FurtherChunks) -> Job:
         """Take a job as its record and the log have it, in place of what was known of it."""
-        stored = {0: main.chunk, **{n: chunk for n, (_, chunk) in parts.items()}}
-        chunks = replay(stored, self.shard.commit_log.tail.get(main.spec.id, ()))
+        commit_log = self.shard.commit_log
+        stored = {0: main.chunk, **further.chunks}
+        chunks = replay(stored, commit_log.tail.get(main.spec.id, ()))
         main.chunk = chunks.pop(0)
         job = load_job(self.context, self.shard.shard, main, chunks)
-        job.key_versions = {0: entry.version, **{n: v for n, (v, _) in parts.items()}}
+        job.key_versions = {0: entry.version, **further.versions}
         for number, chunk in stored.items():
-            self.shard.commit_log.covered((job.index, number), chunk.upto)
+            commit_log.checkpointed(ChunkId(job.index, number), chunk.upto)
         old = self.shard.jobs.get(job.index)
         if old is not None:
-            _keep_seen(job, old, entry.version)
+            _keep_observed(job, old, entry.version)
         self.shard.adopt(job)
         return job
 
     async def reload(self, name: str) -> Job | None:
-        """Look again at a job whose record may have changed under us."""
+        """Read a job again whose record may have changed; None if it is over.
+
+        Raises StateError when it can't be read.
+        """
         await self.settle()
-        if name in self.hidden:
-            raise StateError(self.hidden[name])
+        if name in self.unreadable:
+            raise StateError(self.unreadable[name])
         shard = self.shard.shard
         index = self.context.job_names.find(name)
         before = self.shard.jobs.get(index) if index is not None else None
@@ -122,36 +145,39 @@
             return None
         try:
             main = msgspec.json.decode(entry.value, type=JobRecord)
-            found: list[api.Entry] = []
+            further = FurtherChunks()
             if main.spec.tasks > records.TASKS_PER_CHUNK:
                 found, _ = await self.state.read(records.chunk_key(shard, name, None))
-            parts = {
-                int(e.key.rsplit("/", 1)[1]): (e.version, msgspec.json.decode(e.value, type=Chunk))
-                for e in found
-            }
-            return self._adopt(entry, main, parts)
+                for chunk_entry in found:
+                    further.add(chunk_entry)
+            return self._adopt(entry, main, further)
         except (ValueError, LookupError, msgspec.DecodeError) as error:
             self.context.quarantine_failed("record", entry.key, error)
             raise StateError("the job's record can't be read") from error
 
     async def _reload_final(self, name: str, before: Job | None) -> None:
+        """A job has no unfinished record any more: read the final one."""
         final = await self.state.get(records.final_key(self.shard.shard, name), True)
-        # Not one that was created while we looked.
+        # Unless it was created anew while we were reading.
         if before is not None and self.shard.jobs.get(before.index) is before:
             self.shard.remove(before.index)
-            chunks = records.chunks_of(before.spec.tasks)
-            self.shard.commit_log.forget(before.index, name, chunks)
+            chunk_count = records.chunks_of(before.spec.tasks)
+            self.shard.commit_log.remove_job(before.index, name, chunk_count)
         if final is not None:
             value = msgspec.json.decode(final.value, type=FinalRecord)
             self.shard.record_terminal_state(name, value.state, value.completed)
 
     async def reload_stale(self) -> None:
-        for job in [j for j in self.shard.jobs.values() if j.stale]:
+        """Read all jobs again whose last write was refused or not answered."""
+        for job in [job for job in self.shard.jobs.values() if job.stale]:
             await self.reload(job.id)
 
 
-def _keep_seen(job: Job, old: Job, version: int) -> None:
-    """Keep what was seen of attempts that are still recorded, and what is still in doubt."""
+def _keep_observed(job: Job, old: Job, version: int) -> None:
+    """Keep what was observed of attempts that are still recorded, and what is still uncertain.
+
+    `version`: of the record that `job` was read from.
+    """
     for task, placement in job.placements.items():
         before = old.placements.get(task)
         if before is not None and before.attempt == placement.attempt:
@@ -161,10 +187,11 @@
     job.failed_on, job.errors = old.failed_on, old.errors
     job.backoff_until, job.avoided_machines = old.backoff_until, old.avoided_machines
     job.guaranteed = old.guaranteed
-    same = old.key_versions.get(0) == version
-    job.outcome_unknown = old.outcome_unknown and same
-    if same:
-        parts = [
-            n for n in old.uncertain_chunks if old.key_versions.get(n) == job.key_versions.get(n)
-        ]
-        job.uncertain_chunks = set(parts)
+    unchanged = old.key_versions.get(0) == version
+    job.outcome_unknown = old.outcome_unknown and unchanged
+    if unchanged:
+        job.uncertain_chunks = {
+            number
+            for number in old.uncertain_chunks
+            if old.key_versions.get(number) == job.key_versions.get(number)
+        }
--- a/starlingdeck/jobs/log_reader.py
+++ b/starlingdeck/jobs/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads the commit logs of shards that this controller need not hold, for its users' questions."""
+"""Reads the commit logs of shards that this controller need not own, to answer status queries."""
 
 import curio
 import msgspec
@@ -8,43 +8,43 @@
 from starlingdeck.storage.state import StateClient, StateError
 
 
-class Reading(Struct):
-    """One reading, and all who wait for it."""
+class PendingRead(Struct):
+    """One read of a log, and its result for all who wait for it."""
 
-    ended: curio.Event = field(default_factory=curio.Event)
+    finished: curio.Event = field(default_factory=curio.Event)
     view: LogView | None = None
-    fault: str = ""
+    error: str = ""
 
 
 class LogReader:
-    """Reads a shard's log once for all who ask while the reading before is under way.
+    """Reads a shard's log once for all who ask while the previous read is under way.
 
-    Nobody gets a reading that began before it asked: its user may have been told of a commit
-    that is not in there.
+    Nobody gets the result of a read that began before they asked: their user may have been told
+    of a commit that is not in it.
     """
 
     def __init__(self) -> None:
-        self.next: dict[int, Reading] = {}  # shard -> a reading that has not begun
-        self.busy: dict[int, curio.Lock] = {}
+        self.next_reads: dict[int, PendingRead] = {}  # shard -> a read that has not begun
+        self.locks: dict[int, curio.Lock] = {}  # shard -> held while its log is read
 
     async def read(self, state: StateClient, shard: int) -> LogView:
-        """Raises StateError when it can't be read."""
-        reading = self.next.get(shard)
-        if reading is None:
-            reading = self.next[shard] = Reading()
-            await curio.spawn(self._read, state, shard, reading, daemon=True)
-        await reading.ended.wait()
-        if reading.view is None:
-            raise StateError(reading.fault)
-        return reading.view
-
-    async def _read(self, state: StateClient, shard: int, reading: Reading) -> None:
-        async with self.busy.setdefault(shard, curio.Lock()):
-            del self.next[shard]
+        """A shard's log as of now; StateError when it can't be read."""
+        pending = self.next_reads.get(shard)
+        if pending is None:
+            pending = self.next_reads[shard] = PendingRead()
+            await curio.spawn(self._read, state, shard, pending, daemon=True)
+        await pending.finished.wait()
+        if pending.view is None:
+            raise StateError(pending.error)
+        return pending.view
+
+    async def _read(self, state: StateClient, shard: int, pending: PendingRead) -> None:
+        async with self.locks.setdefault(shard, curio.Lock()):
+            del self.next_reads[shard]
             try:
                 entries, _ = await state.read(log_prefix(shard))
-                reading.view = read_segments(entries)
+                pending.view = read_segments(entries)
             except (StateError, msgspec.DecodeError) as error:
-                reading.fault = str(error)
+                pending.error = str(error)
             finally:
-                await reading.ended.set()
+                await pending.finished.set()
--- a/starlingdeck/jobs/record_writer.py
+++ b/starlingdeck/jobs/record_writer.py
@@ -121,7 +121,7 @@
 
     async def _commit_group(self) -> bool:
         batch = self.group_commit.collect()
-        if not batch.drafts:
+        if not batch.updates:
             return False
         if not await self.group_commit.commit(batch):
             self.ownership_lost = True
@@ -143,8 +143,8 @@
             updates = self._within_bytes(self.shard.drafter.draft_checkpoints(limit))
             if updates:
                 return await self._write(updates, False)
-        if keys := self.group_commit.leftover(limit):
-            await self.group_commit.delete(keys)
+        if keys := self.group_commit.obsolete_segments(limit):
+            await self.group_commit.delete_segments(keys)
             return True
         now = self.context.now()
         obsolete = [key for key, due in self.shard.obsolete_keys.items() if due <= now][:limit]
--- a/starlingdeck/jobs/update_applier.py
+++ b/starlingdeck/jobs/update_applier.py
@@ -3,6 +3,7 @@
 import logging
 from typing import TYPE_CHECKING
 
+from starlingdeck.jobs.commit_log import ChunkId
 from starlingdeck.jobs.job import DONE, PENDING, PLACED, Job
 from starlingdeck.jobs.job_update import JobUpdate
 from starlingdeck.metrics import counters
@@ -42,7 +43,7 @@
         job.completed += sum(1 for cause in update.pending_ends.values() if cause == api.W_DONE)
         shard.record_terminal_state(job.id, update.terminal_state, job.completed)
         shard.dirty_jobs.discard(job.index)
-        shard.commit_log.forget(job.index, job.id, records.chunks_of(job.spec.tasks))
+        shard.commit_log.remove_job(job.index, job.id, records.chunks_of(job.spec.tasks))
         shard.schedule_key_deletion(
             records.chunk_key(shard.shard, job.id, number) for number in job.key_versions if number
         )
@@ -53,9 +54,9 @@
         job, commit_log = update.job, self.shard.commit_log
         for number in update.chunks:
             job.key_versions[number] = revision
-            commit_log.covered((job.index, number), commit_log.durable)
+            commit_log.checkpointed(ChunkId(job.index, number), commit_log.durable)
         if update.chunks:
-            commit_log.trim(job.index, job.id)
+            commit_log.trim_job(job.index, job.id)
         if 0 in update.chunks:
             # Writes of unknown outcome were on an older version: they can't be executed any more.
             job.outcome_unknown = False
--- a/starlingdeck/jobs/write_batch.py
+++ b/starlingdeck/jobs/write_batch.py
@@ -7,7 +7,7 @@
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.admission import TransactionReservation
-from starlingdeck.jobs.group_commit import GroupCommit
+from starlingdeck.jobs.group_commit import CONDITIONS_PER_CHANGE, GroupCommit
 from starlingdeck.jobs.job import MIN_URGENT_RANK, Job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.job_update import JobUpdate
@@ -15,7 +15,6 @@
 from starlingdeck.storage.state import StateClient
 
 MAX_TRANSACTION_BYTES = 56 * 1024
-CONDITIONS_PER_CHANGE = 4  # a transaction's limit of conditions, in terms of its limit of changes
 OVERDUE_S = 1.0  # (start) a record passed over for so long is as urgent as a start,
 OVERDUE_TURN = 3  # (start) in every third batch
 HALVED_BATCH_S = 5.0  # (start) half-life of the count of changes that a team has written
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -578,9 +578,9 @@
 def small_ring(monkeypatch: Patch) -> None:
     """So that slots are used again soon."""
     monkeypatch.setattr(ring_module, "MAX_SLOTS", 6)
-    monkeypatch.setattr(ring_module, "CHECKPOINT_AT", 2)
-    monkeypatch.setattr(ring_module, "RESERVED", 2)
-    monkeypatch.setattr(ring_module, "SEGMENT_BYTES", 80)
+    monkeypatch.setattr(ring_module, "CHECKPOINT_SLOTS", 2)
+    monkeypatch.setattr(ring_module, "SLOTS_FOR_ENDS", 2)
+    monkeypatch.setattr(ring_module, "FULL_SEGMENT_BYTES", 80)
 
 
 @pytest.mark.usefixtures("small_ring")
@@ -601,7 +601,7 @@
 
 def fate_not_asked(monkeypatch: Patch) -> None:
     async def forget(self: GroupCommit) -> None:
-        self.shard.commit_log.unknown = None
+        self.shard.commit_log.unresolved = None
 
     monkeypatch.setattr(GroupCommit, "settle", forget)
 
@@ -629,9 +629,11 @@
 
 def checkpoints_not_waited_for(monkeypatch: Patch) -> None:
     def clean(self: CommitLog) -> Any:
-        return (s for s in range(ring_module.MAX_SLOTS) if s not in self.lost and s != self.open)
+        return (
+            s for s in range(ring_module.MAX_SLOTS) if s not in self.pinned and s != self.open_slot
+        )
 
-    monkeypatch.setattr(CommitLog, "_clean", clean)
+    monkeypatch.setattr(CommitLog, "_clean_slots", clean)
 
 
 def records_without_position(monkeypatch: Patch) -> None:
@@ -654,8 +656,8 @@
 
 
 def tasks_not_bounded(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(group_commit, "MOST_TASKS", 100_000)
-    monkeypatch.setattr(ring_module, "VALUE_SPARE", -100_000)
+    monkeypatch.setattr(group_commit, "MAX_TASKS_PER_CHANGE", 100_000)
+    monkeypatch.setattr(ring_module, "VALUE_OVERHEAD_BYTES", -100_000)
 
 
 def records_not_bounded(monkeypatch: Patch) -> None:
@@ -668,7 +670,7 @@
 
 
 def drained_too_early(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(CommitLog, "clean", property(lambda self: True))
+    monkeypatch.setattr(CommitLog, "is_clean", property(lambda self: True))
 
 
 WITHOUT = [
@@ -737,7 +739,7 @@
         curio.run(holder.writer.flush)
         holder.clock.at += 1.0
         curio.run(holder.writer.flush)
-    assert holder.shard.commit_log.unknown is not None
+    assert holder.shard.commit_log.unresolved is not None
 
     async def down(key: str, urgent: bool = False) -> api.Entry | None:
         raise StateError("503")
--- a/tests/test_cost_table.py
+++ b/tests/test_cost_table.py
@@ -7,7 +7,7 @@
 
 LOG = """\
     0.30 n-0 I starlingdeck.coordination.membership: shard 0: taken over with token 4
-    0.35 n-0 I starlingdeck.coordination.writer: shard 0: 12 unfinished jobs read
+    0.35 n-0 I starlingdeck.jobs.loader: shard jobs loaded: shard=0 unfinished_jobs=12
     1.00 n-0 I starlingdeck.machines: machine vm-1: first report, session 1
     2.00 n-0 I starlingdeck.coordination.machines: machine vm-2: first report, session 1
    60.20 n-0 I starlingdeck.coordination.node: answer change: 60, p50/p90/p99 13/24/48 ms, most 48
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -31,9 +31,9 @@
 def small_ring(monkeypatch: Patch) -> None:
     """So that slots are used again, and records rewritten for it, within a short play."""
     monkeypatch.setattr(commit_log, "MAX_SLOTS", 8)
-    monkeypatch.setattr(commit_log, "CHECKPOINT_AT", 3)
-    monkeypatch.setattr(commit_log, "RESERVED", 2)
-    monkeypatch.setattr(commit_log, "SEGMENT_BYTES", 200)
+    monkeypatch.setattr(commit_log, "CHECKPOINT_SLOTS", 3)
+    monkeypatch.setattr(commit_log, "SLOTS_FOR_ENDS", 2)
+    monkeypatch.setattr(commit_log, "FULL_SEGMENT_BYTES", 200)
 
 
 @pytest.mark.parametrize("first", [100, 110])
