--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -16,10 +16,12 @@
 from starlingdeck.jobs import group_commit
 from starlingdeck.jobs.commit_log import CommitLog
 from starlingdeck.jobs.group_commit import GroupCommit
-from starlingdeck.jobs.job import Job, TaskPlacement, encode_chunk, new_job
+from starlingdeck.jobs.job import Job, TaskPlacement, new_job
+from starlingdeck.jobs.job_records import encode_chunk
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.loader import Loader
 from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.jobs.update_drafter import UpdateDrafter
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import Tuning
 from starlingdeck.storage import commit_log as stored
@@ -396,7 +398,7 @@
     holder.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
     holder.start(TASKS_PER_CHUNK, machine="vm-1")
     holder.flush()
-    part = holder.shard._rewrite(holder.job(), [1], {}, {})
+    part = holder.shard.drafter.rewrite(holder.job(), [1], {}, {})
     holder.client.fates = ["late"]
     with pytest.raises(OutcomeUnknownError):
         curio.run(holder.writer._write, [part], False)
@@ -423,7 +425,7 @@
     holder.end(0, name=OTHER, error=api.W_ERROR)
     holder.flush()
     older, newer = holder.log_keys()
-    rewritten = holder.shard._rewrite(holder.job(OTHER), [0], {}, {})
+    rewritten = holder.shard.drafter.rewrite(holder.job(OTHER), [0], {}, {})
     assert curio.run(holder.writer._write, [rewritten], False)
     dirty = [bool(slot.dirty) for _, slot in sorted(holder.shard.commit_log.slots.items())]
     assert dirty == [True, False]
@@ -455,7 +457,7 @@
         holder.flush(1)
     running = len(holder.seen()[0])
     assert 32 < running < TASKS_PER_CHUNK
-    checkpoint = holder.shard._rewrite(holder.job(), [0], {}, {})
+    checkpoint = holder.shard.drafter.rewrite(holder.job(), [0], {}, {})
     assert curio.run(holder.writer._write, [checkpoint], False)
     curio.run(holder.writer.cancel, holder.job())
     assert holder.job().cancelled and len(succeed(holder).seen()[0]) == running
@@ -576,9 +578,9 @@
 def small_ring(monkeypatch: Patch) -> None:
     """So that slots are used again soon."""
     monkeypatch.setattr(ring_module, "MAX_SLOTS", 6)
-    monkeypatch.setattr(ring_module, "CHECKPOINT_AT", 2)
-    monkeypatch.setattr(ring_module, "RESERVED", 2)
-    monkeypatch.setattr(ring_module, "SEGMENT_BYTES", 80)
+    monkeypatch.setattr(ring_module, "CHECKPOINT_SLOTS", 2)
+    monkeypatch.setattr(ring_module, "SLOTS_FOR_ENDS", 2)
+    monkeypatch.setattr(ring_module, "FULL_SEGMENT_BYTES", 80)
 
 
 @pytest.mark.usefixtures("small_ring")
@@ -599,7 +601,7 @@
 
 def fate_not_asked(monkeypatch: Patch) -> None:
     async def forget(self: GroupCommit) -> None:
-        self.shard.commit_log.unknown = None
+        self.shard.commit_log.unresolved = None
 
     monkeypatch.setattr(GroupCommit, "settle", forget)
 
@@ -627,16 +629,18 @@
 
 def checkpoints_not_waited_for(monkeypatch: Patch) -> None:
     def clean(self: CommitLog) -> Any:
-        return (s for s in range(ring_module.MAX_SLOTS) if s not in self.lost and s != self.open)
+        return (
+            s for s in range(ring_module.MAX_SLOTS) if s not in self.pinned and s != self.open_slot
+        )
 
-    monkeypatch.setattr(CommitLog, "_clean", clean)
+    monkeypatch.setattr(CommitLog, "_clean_slots", clean)
 
 
 def records_without_position(monkeypatch: Patch) -> None:
     def without(*args: Any) -> Chunk:
         return encode_chunk(*args[:5])
 
-    monkeypatch.setattr("starlingdeck.jobs.job_shard.encode_chunk", without)
+    monkeypatch.setattr("starlingdeck.jobs.update_drafter.encode_chunk", without)
 
 
 def replay_passed_over(monkeypatch: Patch) -> None:
@@ -652,12 +656,12 @@
 
 
 def tasks_not_bounded(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(group_commit, "MOST_TASKS", 100_000)
-    monkeypatch.setattr(ring_module, "VALUE_SPARE", -100_000)
+    monkeypatch.setattr(group_commit, "MAX_TASKS_PER_CHANGE", 100_000)
+    monkeypatch.setattr(ring_module, "VALUE_OVERHEAD_BYTES", -100_000)
 
 
 def records_not_bounded(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(JobShard, "_keep_to_value", lambda self, *rest: None)
+    monkeypatch.setattr(UpdateDrafter, "_keep_to_value", lambda self, *rest: None)
 
 
 def no_slots_reserved(monkeypatch: Patch) -> None:
@@ -666,7 +670,7 @@
 
 
 def drained_too_early(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(CommitLog, "clean", property(lambda self: True))
+    monkeypatch.setattr(CommitLog, "is_clean", property(lambda self: True))
 
 
 WITHOUT = [
@@ -735,7 +739,7 @@
         curio.run(holder.writer.flush)
         holder.clock.at += 1.0
         curio.run(holder.writer.flush)
-    assert holder.shard.commit_log.unknown is not None
+    assert holder.shard.commit_log.unresolved is not None
 
     async def down(key: str, urgent: bool = False) -> api.Entry | None:
         raise StateError("503")
