--- a/scripts/fuzz_counts.py
+++ b/scripts/fuzz_counts.py
@@ -17,6 +17,7 @@
 
 
 def target(data: bytes) -> None:
+    """Feeds one input to all decoders."""
     decode(data)
 
 
