--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -16,7 +16,7 @@
 RAN = re.compile(r"ran (\S+): (\d+) times, ([\d.]+) s, longest ([\d.]+) s")
 ANSWER = re.compile(r"answer (\w+): (\d+), p50/p90/p99 [\d.]+/[\d.]+/([\d.]+) ms")
 FIRST = re.compile(r"machine (\S+): first report")
-TAKEN = re.compile(r"shard (\d+): taken over")
+TAKEN = re.compile(r"shard acquired: shard=(\d+)\b")
 READ = re.compile(r"shard (\d+): (\d+) unfinished jobs read")
 GONE = "returned to the cloud: "
 SHOWN = 10  # kinds of task a minute
--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -40,7 +40,7 @@
     """Fill a controller with jobs that wait, and time its plans. No time passes for it."""
     rng = random.Random(1)
     node = Controller(make_world(Clock()))
-    node.membership.lease_id, node.membership.renewed_at = 1, 1e9
+    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, 1e9
     shard = JobShard(node.context, 0, 3, 9)
     shard.loaded = True
     node.writers[0] = RecordWriter(node.context, node.state, shard)
--- a/scripts/overload_size.py
+++ b/scripts/overload_size.py
@@ -39,7 +39,7 @@
     context = make_world(clock, 1, ("a",) * nodes)
     context.tuning = Tuning(overload=OverloadSettings() if floors else None)
     node = Controller(context)
-    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     for shard in range(nodes):
         epoch = 70 + shard
         node.membership.owners[shard] = ShardOwner(shard, 5, epoch)
@@ -83,7 +83,7 @@
     took = []
     for _ in range(RUNS):
         clock.at += 0.5
-        node.membership.renewed_at = clock.at
+        node.membership.lease.renewed_at = clock.at
         for snapshot in node.candidates.snapshots.values():
             snapshot.received_at = clock.at
         took.append(curio.run(once))
--- /dev/null
+++ b/starlingdeck/cluster/ownership.py
@@ -0,0 +1,228 @@
+"""Shard ownership: which controller owns which shard, and taking over and handing back shards.
+
+A shard is owned by the controller whose key for it exists at the state service. The key depends on
+that controller's state lease. Its version is the fencing token, its epoch names the ownership.
+"""
+
+import logging
+from collections.abc import Iterable, Mapping
+
+import msgspec
+from msgspec import Struct
+
+from starlingdeck.cluster.failover import former_owner_renewal_s, takeover_delay_s
+from starlingdeck.cluster.hooks import OwnershipHooks
+from starlingdeck.cluster.state_lease import StateLease
+from starlingdeck.context import ControllerContext
+from starlingdeck.protocol import api
+from starlingdeck.storage import records
+from starlingdeck.storage.records import ShardValue
+from starlingdeck.storage.state import StateClient, delete_change, put_change
+
+log = logging.getLogger(__name__)
+
+HAND_BACK_DELAY_S = 2.0  # how long a returned controller must be live to get its shard back
+HAND_BACK_RETRY_S = 10.0  # until the next hand-back of a shard that its home did not take
+NEVER = -1e9
+EPOCH_BITS = 60
+
+
+class ShardOwner(Struct, frozen=True):
+    """The owner of a shard: its controller, its fencing token and the ownership's epoch."""
+
+    node: int
+    token: int
+    epoch: int
+
+
+class ShardKey(Struct, frozen=True):
+    """A shard's key at the state service, as last seen."""
+
+    version: int
+    value: ShardValue
+
+
+class ShardOwnership:
+    """The known owners of all shards, and the shards that this process owns."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        state: StateClient,
+        lease: StateLease,
+        hooks: OwnershipHooks,
+    ) -> None:
+        self.context = context
+        self.state = state
+        self.lease = lease
+        self.hooks = hooks
+        self.owners: dict[int, ShardOwner] = {}  # of every shard, as far as known
+        self.owned: dict[int, ShardOwner] = {}  # by this process
+        self.shard_keys: dict[int, ShardKey] = {}  # of shards that this process doesn't own
+        self.unowned_since: dict[int, float] = {}  # shards without a key
+        self.handed_back_at: dict[int, float] = {}
+        self.takeover_versions: dict[int, int] = {}  # of the key that each takeover rewrites
+        # Of owned shards: the time of day when no former owner renews workers' leases any more.
+        self.former_renewals_end_ms: dict[int, int] = {}
+        self.logged_shards: set[int] = set()  # their records may be behind a commit log
+
+    def record_owner(self, shard: int, owner: ShardOwner) -> bool:
+        """Record an owner that keys or peers name; the highest token wins.
+
+        True if it changes the ownership known so far.
+        """
+        known = self.owners.get(shard)
+        shards = self.context.shard_count
+        if shard >= shards or owner.node >= shards:
+            return False  # of another deployment, or malformed: no such controller can be reached
+        if known is not None and known.token >= owner.token:
+            return False
+        self.owners[shard] = owner
+        return known is None or known.epoch != owner.epoch
+
+    async def observe_owner(self, shard: int, owner: ShardOwner) -> None:
+        """Handle a peer's message about a shard's owner, which may be newer than this one."""
+        mine = self.owned.get(shard)
+        if mine is not None and owner.token > mine.token and owner.epoch != mine.epoch:
+            await self.release(shard)
+        self.record_owner(shard, owner)
+
+    async def on_shard_key(self, shard: int, event: api.Event) -> None:
+        """Handle a change of a shard's key; ValueError for a shard that doesn't exist."""
+        if not 0 <= shard < self.context.shard_count:
+            raise ValueError(f"shard {shard}: expected 0 to {self.context.shard_count - 1}")
+        if event.put:
+            value = msgspec.json.decode(event.value, type=ShardValue)
+            await self._on_shard_key_put(shard, event.version, value)
+        else:
+            await self._on_shard_key_deleted(shard, event.version)
+
+    async def _on_shard_key_deleted(self, shard: int, version: int) -> None:
+        mine = self.owned.get(shard)
+        if mine is not None and version > mine.token:
+            await self.release(shard)
+        if shard not in self.owned:
+            self.shard_keys.pop(shard, None)
+            self.unowned_since.setdefault(shard, self.context.now())
+
+    async def _on_shard_key_put(self, shard: int, version: int, value: ShardValue) -> None:
+        mine = self.owned.get(shard)
+        if mine is not None:
+            if version <= mine.token:
+                return
+            if value.gen == mine.epoch:
+                # This controller's own raise of the token, which got no answer, was executed.
+                await self._apply_raised_token(shard, version)
+                return
+            await self.release(shard)
+        if value.logged:
+            self.logged_shards.add(shard)
+        self.shard_keys[shard] = ShardKey(version, value)
+        self.unowned_since.pop(shard, None)
+        self.record_owner(shard, ShardOwner(value.node, version, value.gen))
+
+    async def reconcile(self, shard: int, live_nodes: Mapping[int, float]) -> None:
+        """Take over a shard that has no owner, or hand one back to its home controller.
+
+        `live_nodes` has the time since when each live controller is known to be live.
+        Raises the errors of the state service's calls.
+        """
+        if shard in self.owned:
+            if self._hand_back_due(shard, live_nodes):
+                await self._hand_back(shard)
+            return
+        key = self.shard_keys.get(shard)
+        if key is None:
+            await self._take_over_unowned(shard, live_nodes)
+        elif key.value.node == self.context.node:
+            # A former process of this controller owned it.
+            renewal_s = former_owner_renewal_s(self.context, key.value)
+            await self.acquire(shard, key.version, renewal_s)
+
+    async def _take_over_unowned(self, shard: int, live_nodes: Iterable[int]) -> None:
+        now = self.context.now()
+        since = self.unowned_since.setdefault(shard, now)
+        if now - since >= takeover_delay_s(self.context, shard, live_nodes):
+            await self.acquire(shard, 0, self.context.outage_renewal_s)
+
+    def _hand_back_due(self, shard: int, live_nodes: Mapping[int, float]) -> bool:
+        live_since = live_nodes.get(shard)
+        if shard == self.context.node or live_since is None:
+            return False
+        now = self.context.now()
+        return (
+            now - live_since > HAND_BACK_DELAY_S
+            # A controller back from a partition may still wait in its old watch: its shard went
+            # to and fro three times in two seconds, without an owner in between.
+            and now - self.handed_back_at.get(shard, NEVER) > HAND_BACK_RETRY_S
+            and self.hooks.may_hand_back(shard)
+        )
+
+    async def acquire(self, shard: int, key_version: int, renewal_s: float) -> None:
+        """Write a shard's key for a new epoch and start to serve the shard.
+
+        `key_version` is what the key must have now, 0 for none; former owners may renew workers'
+        leases for `renewal_s`. Raises TransactionConflictError when another controller was first.
+        """
+        epoch = self.context.rng.getrandbits(EPOCH_BITS)
+        key, takeover_key = records.shard_key(shard), records.takeover_key(shard)
+        end_ms = self.context.wall_clock_ms() + int(renewal_s * 1000) if renewal_s > 0 else 0
+        # A takeover executed late, after another owner's, would record an `end_ms` from before it.
+        conditions = {key: key_version, takeover_key: self.takeover_versions.get(shard, 0)}
+        value = ShardValue(self.context.node, epoch, end_ms, self.writes_log(shard))
+        changes = [
+            put_change(key, value, self.lease.lease_id),
+            put_change(takeover_key, self.context.node),
+        ]
+        token = await self.state.transact(conditions, changes, True)
+        self.takeover_versions[shard] = token
+        self.former_renewals_end_ms[shard] = end_ms
+        self.owned[shard] = self.owners[shard] = ShardOwner(self.context.node, token, epoch)
+        self.shard_keys.pop(shard, None)
+        self.unowned_since.pop(shard, None)
+        log.info("shard acquired: shard=%d token=%d", shard, token)
+        await self.hooks.on_shard_acquired(shard, token, epoch, renewal_s)
+
+    def writes_log(self, shard: int) -> bool:
+        """Whether a shard's records may be behind its commit log."""
+        return self.context.tuning.group_commit is not None or shard in self.logged_shards
+
+    async def raise_token(self, shard: int) -> None:
+        """Rewrite an owned shard's key, which raises its version and thus the fencing token."""
+        mine = self.owned.get(shard)
+        if mine is None:
+            return
+        key = records.shard_key(shard)
+        end_ms = self.former_renewals_end_ms.get(shard, 0)
+        value = ShardValue(mine.node, mine.epoch, end_ms, self.writes_log(shard))
+        change = put_change(key, value, self.lease.lease_id)
+        token = await self.state.transact({key: mine.token}, [change], True)
+        await self._apply_raised_token(shard, token)
+
+    async def _apply_raised_token(self, shard: int, token: int) -> None:
+        mine = self.owned.get(shard)
+        if mine is not None and token > mine.token:
+            self.owned[shard] = self.owners[shard] = ShardOwner(mine.node, token, mine.epoch)
+            log.info("shard token raised: shard=%d token=%d", shard, token)
+            await self.hooks.on_token_raised(shard, token)
+
+    async def _hand_back(self, shard: int) -> None:
+        """Stop serving a shard and delete its key, for its home controller to take it over."""
+        mine = self.owned[shard]
+        log.info("shard handed back: shard=%d token=%d", shard, mine.token)
+        await self.release(shard)
+        self.unowned_since[shard] = self.handed_back_at[shard] = self.context.now()
+        key = records.shard_key(shard)
+        await self.state.transact({key: mine.token}, [delete_change(key)], True)
+
+    async def release(self, shard: int) -> None:
+        """Stop serving a shard, if this process owns it; its key isn't touched."""
+        mine = self.owned.pop(shard, None)
+        if mine is not None:
+            log.info("shard released: shard=%d token=%d", shard, mine.token)
+            await self.hooks.on_shard_lost(shard)
+
+    async def release_all(self) -> None:
+        """Stop serving every shard: the state lease has ended."""
+        for shard in list(self.owned):
+            await self.release(shard)
--- /dev/null
+++ b/starlingdeck/cluster/state_lease.py
@@ -0,0 +1,105 @@
+"""This controller's lease at the state service, on which its node key and shard keys depend."""
+
+import logging
+
+from starlingdeck.context import CLOCK_DRIFT, ControllerContext
+from starlingdeck.storage import records
+from starlingdeck.storage.records import NodeValue
+from starlingdeck.storage.state import (
+    LeaseLostError,
+    StateClient,
+    StateError,
+    TransactionConflictError,
+    put_change,
+)
+
+log = logging.getLogger(__name__)
+
+NEVER_RENEWED = -1e9
+SAFETY_MARGIN_S = 0.2  # subtracted from a lease's time when its owner relies on it
+RENEWALS_PER_TTL = 4
+RETRY_S = 0.2  # after a failed renewal, plus up to as much again at random
+
+
+class StateLease:
+    """Obtains and renews the lease, and announces this controller under it.
+
+    Times are of the controller's steady clock, in seconds; a renewal counts from when it was
+    sent, because the state service counts it from some later time.
+    """
+
+    def __init__(self, context: ControllerContext, state: StateClient) -> None:
+        self.context = context
+        self.state = state
+        self.ttl_s = context.tuning.state_lease_s
+        self.lease_id = 0  # 0: no lease
+        self.renewed_at = NEVER_RENEWED
+        self.boot_id = context.rng.getrandbits(48)
+        self.announced = False  # the node key exists under the current lease
+        self.reachable = True  # the last renewal reached the state service
+
+    def is_valid(self) -> bool:
+        """Whether the lease certainly exists, so that no other controller took over a shard."""
+        return self.lease_id > 0 and self.context.now() < self.renewed_at + self._safe_ttl_s()
+
+    def may_renew_worker_leases(self) -> bool:
+        """Whether workers' leases may be renewed.
+
+        During an outage of the state service that is so for a bounded time after the state
+        lease's end.
+        """
+        allowed_s = max(self._safe_ttl_s(), self.context.outage_renewal_s)
+        return self.lease_id > 0 and self.context.now() < self.renewed_at + allowed_s
+
+    def _safe_ttl_s(self) -> float:
+        return self.ttl_s / CLOCK_DRIFT - SAFETY_MARGIN_S
+
+    async def renew(self) -> float:
+        """Obtain or renew the lease; return the seconds until the next renewal.
+
+        Raises LeaseLostError when the lease has ended: the next call obtains a new one.
+        """
+        try:
+            await self._obtain_or_renew()
+            if not self.announced:
+                await self._announce()
+        except LeaseLostError:
+            log.info("state lease lost: lease=%d", self.lease_id)
+            self.lease_id = 0
+            raise
+        except (StateError, TransactionConflictError) as error:
+            if self.reachable:
+                log.info("state lease renewal failed: error=%r", error)
+            self.reachable = False
+            return RETRY_S + RETRY_S * self.context.rng.random()
+        if not self.reachable:
+            log.info("state lease renewal recovered: lease=%d", self.lease_id)
+        self.reachable = True
+        return self.ttl_s / RENEWALS_PER_TTL
+
+    async def _obtain_or_renew(self) -> None:
+        sent_at = self.context.now()
+        if self.lease_id:
+            await self.state.renew(self.lease_id)
+            self.renewed_at = sent_at
+            return
+        self.lease_id = await self.state.lease(self.ttl_s)
+        self.renewed_at = sent_at
+        self.announced = False
+
+    async def _announce(self) -> None:
+        """Write this controller's node key, which ends with the lease."""
+        value = NodeValue(self.context.node, self.boot_id)
+        change = put_change(records.node_key(self.context.node), value, self.lease_id)
+        await self.state.transact({}, [change], True)
+        self.announced = True
+
+    def on_node_key_deleted(self) -> None:
+        """Announce this controller again with the next renewal.
+
+        The deleted key may be one that a former process wrote late, or the first announcement
+        may have got no answer. A controller that isn't announced never gets its shards back.
+        """
+        if self.lease_id:
+            log.info("node key deleted: node=%d", self.context.node)
+            self.announced = False
--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -10,7 +10,7 @@
 from starlingdeck.api.heartbeat_api import REPORT, HeartbeatApi
 from starlingdeck.api.job_api import JobApi, error_response
 from starlingdeck.autoscaling.cloud import Autoscaler, CloudClient, CloudError, learn_types
-from starlingdeck.cluster.membership import Membership, OwnershipHooks, ShardOwner
+from starlingdeck.cluster.membership import Membership, ShardOwner
 from starlingdeck.cluster.peers import Peers
 from starlingdeck.context import ControllerContext
 from starlingdeck.controller.metrics_report import reachability_lines, starving_lines, waiting_tasks
@@ -72,14 +72,7 @@
         self.state = StateClient(self.http, s.external.state, budget, context.now)
         cloud_share = TokenBucket(s.settings.cloud.rps * 0.8, 1.5, context.now)
         self.cloud_client = CloudClient(self.http, s.external.cloud, cloud_share)
-        hooks = OwnershipHooks(
-            self.on_shard_acquired,
-            self.on_shard_lost,
-            self.on_token_raised,
-            self.on_cluster_key,
-            self.may_hand_back,
-        )
-        self.membership = Membership(context, self.state, hooks)
+        self.membership = Membership(context, self.state, self)
         self.peers = Peers(context, self.on_message, self.build_gossip, self.on_resync_request)
         self.writers: dict[int, RecordWriter] = {}
         self.machines: dict[int, MachineShard] = {}
--- a/starlingdeck/sync/state_sync.py
+++ b/starlingdeck/sync/state_sync.py
@@ -244,7 +244,7 @@
                 put_key(
                     records.relay_key(self.context.node, node, first + i),
                     records.RelayPart(text_number, len(pieces), piece),
-                    self.membership.lease_id,
+                    self.membership.lease.lease_id,
                 )
                 for i, piece in enumerate(pieces[first : first + each])
             ]
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -286,7 +286,7 @@
                     self.nodes[envelope.sender].on_resync_request(to, again.resync_request.shard)
 
     async def serve(self, number: int, node: Controller) -> None:
-        node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
+        node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, self.clock.at
         for other in range(len(self.nodes)):
             if other == number:
                 continue
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -209,7 +209,16 @@
             teams[0] = msgspec.structs.replace(teams[0], cpus_max=self.limit)
         node = Controller(context)
         client: Any = self.clients[number]
-        for part in (node, node.job_api, node.membership, node.quota_transfer, node.state_sync):
+        membership = node.membership
+        for part in (
+            node,
+            node.job_api,
+            membership,
+            membership.lease,
+            membership.ownership,
+            node.quota_transfer,
+            node.state_sync,
+        ):
             part.state = client
 
         def up(to: int) -> bool:
@@ -259,7 +268,7 @@
     def crash(self, number: int, for_s: float) -> None:
         self.down[number] = self.clock.at + for_s
         old = self.nodes[number]
-        old.membership.lease_id = 0  # what it still does in tasks of its own is nobody's word
+        old.membership.lease.lease_id = 0  # what it still does in tasks of its own is nobody's word
         old.writers.clear()
         old.machines.clear()
 
@@ -324,7 +333,11 @@
                     await node.peers.enqueue(other, pb.Envelope(gossip=node.build_gossip()))
             else:
                 links.pop(other, None)
-        for loop in (node.membership.renew, node.membership.watch, node.membership.own):
+        for loop in (
+            node.membership.renew,
+            node.membership.watch,
+            node.membership.reconcile_ownership,
+        ):
             await self.loop((id(node), loop.__name__), loop)
         await self.loop((id(node), "step"), node.reconcile)
         await self.loop((id(node), "plan"), node.planner.run_cycle)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -679,9 +679,9 @@
 
     async def drive() -> list[bool]:
         found = []
-        deck.clients[0].mute = True
+        deck.clients[0].unanswered = True
         await deck.run(1.0)
-        deck.clients[0].mute = False
+        deck.clients[0].unanswered = False
         await deck.run(2.0)
         found.append(records.node_key(0) in deck.state.keys)
         deck.state.change([api.Change(delete=records.node_key(0))], {})
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -54,7 +54,7 @@
     to it until their leases ended."""
     clock = Clock()
     node, holder = Controller(make_world(clock)), Controller(make_world(clock, node=1))
-    holder.membership.lease_id, holder.membership.renewed_at = 1, clock.at
+    holder.membership.lease.lease_id, holder.membership.lease.renewed_at = 1, clock.at
     holder.machines[1] = MachineShard(holder.context, 1, 5, 77, 0.0)
     node.membership.owners[1] = ShardOwner(1, 5, 77)
     node.peers.links[1] = FrameLink(None)
@@ -67,7 +67,7 @@
     node.peers.call = call  # type: ignore[method-assign]
     statuses = []
     for step in range(9):
-        node.peers.last_heard_at[1] = holder.membership.renewed_at = clock.at
+        node.peers.last_heard_at[1] = holder.membership.lease.renewed_at = clock.at
         body = report("vm-1", "b", seq=step + 1)
         statuses.append(curio.run(node.serve, Request("POST", api.REPORT, body)).status)
         clock.at += 5.0
@@ -86,7 +86,10 @@
     """It renewed its workers' leases for 20 s more, and refused the users that it was sent."""
     clock = Clock()
     node = Controller(make_world(clock))
-    node.membership.lease_id, node.membership.renewed_at = 1, clock.at - (0.0 if state else 5.0)
+    node.membership.lease.lease_id, node.membership.lease.renewed_at = (
+        1,
+        clock.at - (0.0 if state else 5.0),
+    )
     node.peers.is_reachable = lambda n: peer and n == 1  # type: ignore[method-assign, assignment]
     assert node.membership.may_renew_worker_leases()
     assert (node.health().status == 200) is healthy
@@ -97,7 +100,7 @@
     their shards, whose workers it couldn't reach, and their leases ended."""
     clock = Clock()
     node = Controller(make_world(clock))
-    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     jobs = JobShard(node.context, 1, 5, 77)
     jobs.loaded = True
     node.writers[1] = RecordWriter(node.context, node.state, jobs)
@@ -138,7 +141,7 @@
     """It keeps leases alive for a bounded time only: its successor counts on that."""
     clock = Clock()
     node = Controller(make_world(clock))
-    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     machines = MachineShard(node.context, 1, 3, 9, 0.0)
     node.machines[1] = machines
     first = curio.run(node.heartbeat_api.handle, report("vm-1", "b"))
@@ -158,7 +161,7 @@
     ours, theirs = Controller(make_world(clock)), Controller(make_world(clock, node=1))
     for node in (ours, theirs):
         node.job_api.state = PlainClient(state, 0.0)  # type: ignore[assignment]
-        node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+        node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     shard, node = shard_of_job("j-000001", 3), (ours, theirs)[holder]
     jobs = JobShard(node.context, shard, 5, 77)
     jobs.loaded = True
@@ -221,18 +224,22 @@
     clock = Clock()
     node = Controller(make_world(clock))
     own = node.membership
-    own.state = PlainClient(PlainState(random.Random(1)), 0.0)  # type: ignore[assignment]
-    own.lease_id, own.renewed_at, own.live_nodes = 1, clock.at, {0: 0.0, 1: clock.at - 3.0}
-    curio.run(own._take, 1, 0, 0.0)
+    own.ownership.state = PlainClient(PlainState(random.Random(1)), 0.0)  # type: ignore[assignment]
+    own.lease.lease_id, own.lease.renewed_at, own.live_nodes = (
+        1,
+        clock.at,
+        {0: 0.0, 1: clock.at - 3.0},
+    )
+    curio.run(own.ownership.acquire, 1, 0, 0.0)
     node.writers[1].shard.loaded = True
     held = []
     for _ in range(140):
         clock.at += 0.1
-        own.renewed_at = clock.at
-        curio.run(own._consider, 1)
+        own.lease.renewed_at = clock.at
+        curio.run(own.ownership.reconcile, 1, own.live_nodes)
         if 1 in node.writers:
             node.writers[1].shard.loaded = True
-        held.append(1 in own.held)
+        held.append(1 in own.ownership.owned)
     changes = sum(a != b for a, b in itertools.pairwise(held))
     assert changes <= 3 and held.count(False) < 15
 
@@ -244,9 +251,9 @@
     node = Controller(make_world(clock))
     own, state = node.membership, PlainState(random.Random(1))
     client = PlainClient(state, 0.0)
-    own.state = node.state = client  # type: ignore[assignment]
-    own.lease_id, own.renewed_at = 1, clock.at
-    curio.run(own._take, 1, 0, 0.0)
+    own.ownership.state = node.state = client  # type: ignore[assignment]
+    own.lease.lease_id, own.lease.renewed_at = 1, clock.at
+    curio.run(own.ownership.acquire, 1, 0, 0.0)
     writer, key = node.writers[1], records.shard_key(1)
     writer.shard.loaded = True
     job = new_job(node.context, spec("j-000001"), 1, 0)
@@ -255,11 +262,11 @@
     )
     job.key_versions[0] = 0
     writer.shard.adopt(job)
-    value = records.ShardValue(0, own.held[1].epoch)
-    assert not state.apply({key: own.held[1].token}, [put_change(key, value)])
+    value = records.ShardValue(0, own.ownership.owned[1].epoch)
+    assert not state.apply({key: own.ownership.owned[1].token}, [put_change(key, value)])
     assert not curio.run(writer.flush) and writer.ownership_lost and not job.placements
     told = api.Event(state.epoch, key, msgspec.Raw(msgspec.json.encode(value)))
-    curio.run(own._event, told)
+    curio.run(own.handle_event, told)
     assert curio.run(writer.flush) and list(job.placements) == [0]
 
 
@@ -268,7 +275,7 @@
     task that its successor had seen stopped and reaped: it was started once more."""
     clock = Clock()
     node = Controller(make_world(clock))
-    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     node.membership.owners[0] = ShardOwner(0, 5, 77)
     node.machines[0] = MachineShard(node.context, 0, 5, 77, 0.0)
     jobs = JobShard(node.context, 0, 5, 77)
@@ -277,6 +284,6 @@
     clock.at += node.context.tuning.state_lease_s
     curio.run(node.reconcile)
     assert not node.membership.lease_is_valid() and not node.machines[0].received_seqs
-    node.membership.renewed_at = clock.at
+    node.membership.lease.renewed_at = clock.at
     curio.run(node.reconcile)
     assert node.machines[0].received_seqs == {0: (5, 1)}
--- a/tests/test_cost_table.py
+++ b/tests/test_cost_table.py
@@ -6,7 +6,7 @@
 SCRIPT = Path(__file__).resolve().parent.parent / "scripts" / "costs.py"
 
 LOG = """\
-    0.30 n-0 I starlingdeck.coordination.membership: shard 0: taken over with token 4
+    0.30 n-0 I starlingdeck.cluster.ownership: shard acquired: shard=0 token=4
     0.35 n-0 I starlingdeck.coordination.writer: shard 0: 12 unfinished jobs read
     1.00 n-0 I starlingdeck.machines: machine vm-1: first report, session 1
     2.00 n-0 I starlingdeck.coordination.machines: machine vm-2: first report, session 1
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,14 +1,15 @@
-"""Who holds what, driven against a plain state service with leases, cuts and crashes."""
+"""Shard ownership, driven against a simulated state service with leases, cuts and crashes."""
 
 import contextlib
 import random
+from typing import Any
 
 import curio
 import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.cluster.membership import Membership, OwnershipHooks
+from starlingdeck.cluster.membership import Membership, ShardOwner
 from starlingdeck.protocol import api
 from starlingdeck.storage.state import (
     LeaseLostError,
@@ -24,7 +25,7 @@
 
 
 class LeasedState(PlainState):
-    """Keys that hang on leases, and a history to watch."""
+    """A state service with keys attached to leases, and a history to watch."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__(random.Random(1))
@@ -40,7 +41,7 @@
             return  # after an outage every lease has its full time again
         for lease in [i for i, at in self.leases.items() if at <= self.clock.at]:
             del self.leases[lease]
-            gone = [key for key, held in self.attached.items() if held == lease]
+            gone = [key for key, owner in self.attached.items() if owner == lease]
             if gone:
                 self.change([api.Change(delete=key) for key in gone], {})
 
@@ -65,7 +66,7 @@
     def __init__(self, state: LeasedState) -> None:
         self.state = state
         self.cut = False
-        self.mute = False  # calls are executed, but no answer comes
+        self.unanswered = False  # calls are executed, but no answer comes
 
     def _call(self) -> LeasedState:
         if self.cut or self.state.down:
@@ -74,7 +75,7 @@
         return self.state
 
     def _answer(self) -> None:
-        if self.mute:
+        if self.unanswered:
             raise OutcomeUnknownError("no answer")
 
     async def lease(self, ttl_s: float) -> int:
@@ -119,32 +120,41 @@
         return api.Events([e for e in state.history if e.version > after], state.epoch)
 
 
+class IgnoringHooks:
+    """Hooks that do nothing: only ownership itself is under test."""
+
+    async def on_shard_acquired(self, shard: int, token: int, epoch: int, wait_s: float) -> None:
+        """Nothing to start."""
+
+    async def on_shard_lost(self, shard: int) -> None:
+        """Nothing to stop."""
+
+    async def on_token_raised(self, shard: int, token: int) -> None:
+        """Nothing uses the token."""
+
+    async def on_cluster_key(self, event: api.Event) -> None:
+        """No other keys are written."""
+
+    def may_hand_back(self, shard: int) -> bool:
+        """A shard is always ready to be handed back."""
+        return True
+
+
 class Cluster:
+    """Three controllers' memberships under faults, with the invariants of ownership."""
+
     def __init__(self) -> None:
         self.clock = Clock()
         self.state = LeasedState(self.clock)
         self.clients = [LeasedClient(self.state) for _ in range(NODES)]
         self.nodes = [self.start(i) for i in range(NODES)]
         self.stalled: set[int] = set()
-        self.tokens: dict[int, tuple[int, int, int]] = {}  # shard -> token, node, gen
+        self.owners: dict[int, ShardOwner] = {}  # of each shard, as last checked
 
     def start(self, number: int) -> Membership:
         context = make_world(self.clock, seed=self.clock.wall_ms() + number, node=number)
-
-        async def gained(shard: int, token: int, epoch: int, wait_s: float) -> None:
-            pass
-
-        async def lost(shard: int) -> None:
-            pass
-
-        async def raised(shard: int, token: int) -> None:
-            pass
-
-        async def key(event: api.Event) -> None:
-            pass
-
-        hooks = OwnershipHooks(gained, lost, raised, key, lambda shard: True)
-        return Membership(context, self.clients[number], hooks)  # type: ignore[arg-type]
+        client: Any = self.clients[number]
+        return Membership(context, client, IgnoringHooks())
 
     async def act(self, verb: str, number: int) -> None:
         node, client = self.nodes[number], self.clients[number]
@@ -153,49 +163,53 @@
         elif verb == "cut":
             client.cut = not client.cut
         elif verb == "mute":
-            client.mute = not client.mute
+            client.unanswered = not client.unanswered
         elif verb == "crash":
             self.nodes[number] = self.start(number)
         elif verb == "outage":
-            self.state.expire()
-            self.state.down = not self.state.down
-            if not self.state.down:
-                for lease in self.state.leases:
-                    self.state.leases[lease] = self.clock.at + self.state.ttl[lease]
+            self.toggle_outage()
         elif verb == "raise":
-            for shard in list(node.held):
+            for shard in list(node.ownership.owned):
                 with contextlib.suppress(StateError, TransactionConflictError, LeaseLostError):
                     await node.raise_token(shard)
         self.check()
 
+    def toggle_outage(self) -> None:
+        self.state.expire()
+        self.state.down = not self.state.down
+        if not self.state.down:
+            for lease in self.state.leases:
+                self.state.leases[lease] = self.clock.at + self.state.ttl[lease]
+
     async def run(self, seconds: float) -> None:
-        """Every node that doesn't hang goes round its loops, in another order each time."""
+        """Every node that isn't stalled goes round its loops, in another order each time."""
         for _ in range(int(seconds / TICK_S)):
             self.clock.at += TICK_S
             self.check()
             for number in self.state.rng.sample(range(NODES), NODES):
                 if number not in self.stalled:
                     node = self.nodes[number]
-                    for loop in (node.renew, node.watch, node.own):
+                    for loop in (node.renew, node.watch, node.reconcile_ownership):
                         await loop()
                         self.check()
 
     def check(self) -> None:
-        """A shard is held by one node at most, and every new hold has a higher token."""
+        """A shard has at most one owner, and every new ownership has a higher token."""
         for shard in range(NODES):
-            owners = [n for n in self.nodes if n.lease_is_valid() and shard in n.held]
-            assert len(owners) <= 1, f"shard {shard} is held twice"
+            owners = [n for n in self.nodes if n.lease_is_valid() and shard in n.ownership.owned]
+            assert len(owners) <= 1, f"shard {shard} has two owners"
             for node in owners:
-                held = node.held[shard]
-                token, number, epoch = self.tokens.get(shard, (0, -1, -1))
-                assert held.token >= token, f"shard {shard}: its token fell"
-                if (held.node, held.epoch) != (number, epoch):
-                    assert held.token > token, f"shard {shard}: a new hold under an old token"
-                self.tokens[shard] = (held.token, held.node, held.epoch)
-
-    async def settle(self) -> None:
+                owner = node.ownership.owned[shard]
+                last = self.owners.get(shard, ShardOwner(-1, 0, -1))
+                assert owner.token >= last.token, f"shard {shard}: its token fell"
+                if (owner.node, owner.epoch) != (last.node, last.epoch):
+                    assert owner.token > last.token, f"shard {shard}: a new epoch, an old token"
+                self.owners[shard] = owner
+
+    async def recover(self) -> None:
+        """End all faults and let the cluster settle."""
         for client in self.clients:
-            client.cut = client.mute = False
+            client.cut = client.unanswered = False
         if self.state.down:
             await self.act("outage", 0)
         self.stalled.clear()
@@ -211,14 +225,16 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(STEPS, min_size=4, max_size=16))
-def test_a_shard_has_one_holder_and_ends_with_its_own(steps: list[tuple[str, int, float]]) -> None:
+def test_a_shard_has_one_owner_and_returns_to_its_home_controller(
+    steps: list[tuple[str, int, float]],
+) -> None:
     async def drive() -> list[list[int]]:
         cluster = Cluster()
         await cluster.run(2.0)
         for verb, number, seconds in steps:
             await cluster.act(verb, number)
             await cluster.run(seconds)
-        await cluster.settle()
-        return [sorted(node.held) for node in cluster.nodes]
+        await cluster.recover()
+        return [sorted(node.ownership.owned) for node in cluster.nodes]
 
     assert curio.run(drive) == [[0], [1], [2]]
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -48,7 +48,7 @@
 def planning_node(clock: Clock, *machines: pb.MachineState) -> tuple[Controller, JobShard]:
     """A node that holds job shard 0; machine shard 2 belongs to a peer that is up."""
     node = Controller(make_world(clock))
-    node.membership.lease_id, node.membership.renewed_at = 1, clock.at
+    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     jobs = JobShard(node.context, 0, 3, 9)
     jobs.loaded = True
     node.writers[0] = RecordWriter(node.context, node.state, jobs)
@@ -85,7 +85,7 @@
     step = MAX_STRETCH_S * 2
     ticking = iter(range(10_000))
     node.context.now = lambda: 1000.0 + step * next(ticking)  # every look at the clock takes long
-    node.membership.renewed_at = 1e9
+    node.membership.lease.renewed_at = 1e9
     node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
     assert asked == [("j-000001", True)]
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -7,7 +7,8 @@
 import msgspec
 import pytest
 
-from starlingdeck.cluster.membership import Membership, ShardOwner
+from starlingdeck.cluster.failover import former_owner_renewal_s
+from starlingdeck.cluster.membership import ShardOwner
 from starlingdeck.cluster.sharding import shard_of_job, shard_of_machine
 from starlingdeck.context import ControllerContext
 from starlingdeck.controller.controller import Controller
@@ -348,7 +349,6 @@
     and was back at once: it took its own key over, and judged silence at once."""
     clock = Clock()
     context = make_world(clock)
-    membership = Membership(context, None, None)  # type: ignore[arg-type]
     taken = ShardValue(0, 7, context.wall_clock_ms() + int(context.outage_renewal_s * 1000))
     off_s = 2 * context.settings.settings.skew_ms / 1000
     for later, left in (
@@ -357,8 +357,10 @@
         (60.0, 0.0),
     ):
         clock.at = 1000.0 + later
-        assert abs(membership._left_s(taken) - min(left, context.outage_renewal_s)) < 1e-3
-    assert membership._left_s(ShardValue(0, 7)) == 0.0  # nobody was before
+        assert (
+            abs(former_owner_renewal_s(context, taken) - min(left, context.outage_renewal_s)) < 1e-3
+        )
+    assert former_owner_renewal_s(context, ShardValue(0, 7)) == 0.0  # nobody was before
 
 
 def test_a_stray_is_not_sent_again_to_a_holder_that_does_not_answer_it() -> None:
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -68,11 +68,13 @@
 
     async def start(self) -> None:
         self.node = node = Controller(make_world(self.clock, zones=("a",)))
-        node.state = node.job_api.state = node.membership.state = self.client  # type: ignore
-        node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
+        node.state = node.job_api.state = node.membership.ownership.state = self.client  # type: ignore
+        node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, self.clock.at
         found = self.state.keys.get(records.shard_key(0), (b"", 0))[1]
-        node.membership.takes[0] = self.state.keys.get(records.takeover_key(0), (b"", 0))[1]
-        await node.membership._take(0, found, 0.0)
+        node.membership.ownership.takeover_versions[0] = self.state.keys.get(
+            records.takeover_key(0), (b"", 0)
+        )[1]
+        await node.membership.ownership.acquire(0, found, 0.0)
 
         async def call(
             address: str, method: str, path: str, body: bytes | None, timeout_s: float
@@ -107,7 +109,7 @@
         node = self.node
         for _ in range(times):
             self.clock.at += 0.3
-            node.membership.renewed_at = self.clock.at
+            node.membership.lease.renewed_at = self.clock.at
             for address, worker in self.workers.items():
                 worker.expire(self.clock.at)
                 sent, session = self.clock.at, worker.session
@@ -269,7 +271,7 @@
             status, _ = await site.ask("POST", api.REPORT, msgspec.json.encode(report))
             assert status in (200, 400, 421, 503)  # 503: no news of a first session
         site.clock.at += 30.0
-        site.node.membership.renewed_at = site.clock.at
+        site.node.membership.lease.renewed_at = site.clock.at
         assert await site.submit(uid="j-000002", chores=1) == 201
         await site.go_round(20)
         assert not site.node.context.quarantine.entries
@@ -361,7 +363,7 @@
     async def drive() -> None:
         site = Site()
         await site.start()
-        await site.node.membership._event(event)
+        await site.node.membership.handle_event(event)
         await site.serves()
 
     curio.run(drive)
--- a/tests/test_status_answers.py
+++ b/tests/test_status_answers.py
@@ -47,7 +47,7 @@
     def start(self, number: int) -> Controller:
         node = Controller(make_world(self.clock, node=number))
         node.state = node.job_api.state = self.clients[number]  # type: ignore[assignment]
-        node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
+        node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
             if not up(to):
@@ -67,13 +67,13 @@
         """Leases, takeovers, and the watches of those that hear."""
         self.clock.at += seconds
         for number, node in enumerate(self.nodes):
-            if self.clock.at > node.membership.renewed_at + TTL_S:
+            if self.clock.at > node.membership.lease.renewed_at + TTL_S:
                 node.writers.clear()
                 if number == self.holder:
                     self.holder = -1
                     del self.state.keys[records.shard_key(SHARD)]
             if not self.clients[number].cut:
-                node.membership.renewed_at = self.clock.at
+                node.membership.lease.renewed_at = self.clock.at
         if self.holder < 0:
             await self.take_over()
         for number in set(range(NODES)) - self.deaf:
