--- a/starlingdeck/cluster/peers.py
+++ b/starlingdeck/cluster/peers.py
@@ -1,9 +1,10 @@
-"""Messages between controllers: direct links, calls with replies, and a detour by keys."""
+"""Direct links to the other controllers: one-way messages, and calls with replies.
+
+Each controller dials every other one and keeps that link. It sends its own messages and calls on
+the links it dialled, and replies on those that others dialled.
+"""
 
-import base64
-import binascii
 import logging
-import zlib
 from collections.abc import Awaitable, Callable
 
 import curio
@@ -15,119 +16,156 @@
 
 log = logging.getLogger(__name__)
 
+GOSSIP_INTERVAL_S = 0.5
+REDIAL_S = 0.3  # after a link's end, plus up to as much again at random
+NEVER = -1e9
+# Messages whose reply may take long: the next message on their link needn't wait for it.
+CONCURRENT_MESSAGES = ("reserve_request", "forward_request")
+
 MessageHandler = Callable[[pb.Envelope], Awaitable[pb.Envelope | None]]
 
 
 class PeerUnavailableError(Exception):
-    """The peer can't be asked now, or did not reply in time."""
+    """The peer can't be called now, or did not reply in time."""
 
 
 class PeerBusyError(PeerUnavailableError):
-    """Nothing was sent: a large message to the peer, still in progress, held the link."""
+    """Nothing was sent: another large message was still being sent on the link."""
+
+
+class PendingCall:
+    """A call that waits for its reply, or for the end of its link."""
+
+    def __init__(self, node: int) -> None:
+        self.node = node
+        self.done = curio.Event()
+        self.reply: pb.Envelope | None = None
 
 
 class Peers:
+    """Keeps the links to the other controllers and sends messages on them."""
+
     def __init__(
         self,
         context: ControllerContext,
-        answer: MessageHandler,
-        gossip: Callable[[], pb.Gossip],
-        again: Callable[[int, int], None],
+        handle_message: MessageHandler,
+        build_gossip: Callable[[], pb.Gossip],
+        on_resync_request: Callable[[int, int], None],
     ) -> None:
         self.context = context
-        self.handle_message = answer
-        self.build_gossip = gossip
-        self.on_resync_request = again
+        self.handle_message = handle_message
+        self.build_gossip = build_gossip
+        self.on_resync_request = on_resync_request
         self.links: dict[int, FrameLink] = {}
+        self.started_at = context.now()
         self.last_heard_at: dict[int, float] = {}
-        self.calls: dict[int, tuple[curio.Event, list[pb.Envelope], int]] = {}
+        self.calls: dict[int, PendingCall] = {}  # by the number in their messages
         self.next_call = 1
 
     def is_reachable(self, node: int) -> bool:
+        """Whether a controller has replied lately on a link that still exists."""
         if node == self.context.node:
             return True
         return (
             node in self.links
-            and self.context.now() - self.last_heard_at.get(node, -1e9)
+            and self.context.now() - self.last_heard_at.get(node, NEVER)
             < self.context.tuning.reply_wait_s
         )
 
     def unreachable_s(self, node: int) -> float:
-        return self.context.now() - self.last_heard_at.get(node, self.started)
+        """How long ago a controller last replied, in seconds."""
+        return self.context.now() - self.last_heard_at.get(node, self.started_at)
 
     async def run(self, server: FrameServer) -> None:
-        self.started = self.context.now()
+        """Start the server for links of others, and a task for the link to each of them."""
+        self.started_at = self.context.now()
         await curio.spawn(server.run, daemon=True)
         for node, (_, _, address) in enumerate(self.context.settings.members()):
             if node != self.context.node:
                 await curio.spawn(self._keep_link, node, address, daemon=True)
 
+    # --- links that this controller dialled
+
     async def _keep_link(self, node: int, address: str) -> None:
-        wait = self.context.tuning.reply_wait_s
         while True:
-            link: FrameLink | None = None
-            users: list[curio.Task] = []
             try:
-                link = await dial(address, wait)
-                self.links[node] = link
-                users.append(await curio.spawn(self._read_replies, node, link, daemon=True))
-                users.append(await curio.spawn(link.drain, wait, daemon=True))
-                sent = self.context.now()
-                while not link.closed:
-                    try:
-                        await self.send(node, pb.Envelope(gossip=self.build_gossip()))
-                    except PeerBusyError:
-                        sent = self.context.now()  # a link that takes nothing ends by its drain
-                    await curio.sleep(0.5)
-                    if self.context.now() - max(sent, self.last_heard_at.get(node, 0.0)) > wait:
-                        break
+                await self._run_link(node, address)
             except (OSError, curio.TaskTimeout, PeerUnavailableError) as error:
-                log.debug("peer %d: %r", node, error)
-            finally:
-                if self.links.get(node) is link:
-                    self.links.pop(node, None)
-                for user in users:
-                    await user.cancel()
-                if link is not None:
-                    await link.close()
-            await curio.sleep(0.3 + 0.3 * self.context.rng.random())
+                log.debug("link ended: node=%d error=%r", node, error)
+            await curio.sleep(REDIAL_S + REDIAL_S * self.context.rng.random())
+
+    async def _run_link(self, node: int, address: str) -> None:
+        """Dial a controller and use the link until it fails."""
+        timeout_s = self.context.tuning.reply_wait_s
+        link = await dial(address, timeout_s)
+        tasks: list[curio.Task] = []
+        try:
+            self.links[node] = link
+            tasks.append(await curio.spawn(self._read_replies, node, link, daemon=True))
+            tasks.append(await curio.spawn(link.drain, timeout_s, daemon=True))
+            await self._send_gossip(node, link, timeout_s)
+        finally:
+            if self.links.get(node) is link:
+                self.links.pop(node, None)
+            # Who waits for the socket must have ended before it is closed.
+            for task in tasks:
+                await task.cancel()
+            await link.close()
+
+    async def _send_gossip(self, node: int, link: FrameLink, timeout_s: float) -> None:
+        """Send gossip regularly, until the link is closed or the peer no longer replies."""
+        sent_at = self.context.now()
+        while not link.closed:
+            try:
+                await self.send(node, pb.Envelope(gossip=self.build_gossip()))
+            except PeerBusyError:
+                # `FrameLink.drain` ends a link that makes no progress.
+                sent_at = self.context.now()
+            await curio.sleep(GOSSIP_INTERVAL_S)
+            if self.context.now() - max(sent_at, self.last_heard_at.get(node, 0.0)) > timeout_s:
+                return
 
     async def _read_replies(self, node: int, link: FrameLink) -> None:
         try:
             while True:
                 envelope = pb.Envelope.FromString(await link.receive())
                 self.last_heard_at[node] = self.context.now()
-                if envelope.WhichOneof("body") == "resync_request":
-                    self.on_resync_request(node, envelope.resync_request.shard)
-                waiting = self.calls.pop(envelope.call, None)
-                if waiting is not None:
-                    waiting[1].append(envelope)
-                    await waiting[0].set()
+                await self._on_reply(node, envelope)
         except (OSError, DecodeError) as error:
-            log.debug("link to %d ended: %r", node, error)
+            log.debug("link to peer failed: node=%d error=%r", node, error)
         finally:
             link.closed = True
-            # Nobody will answer on this link: a submission passed on must not wait for that.
-            for event, _, to in list(self.calls.values()):
-                if to == node:
-                    await event.set()
+            # No reply will come on this link: a forwarded request must not wait for its timeout.
+            for call in list(self.calls.values()):
+                if call.node == node:
+                    await call.done.set()
+
+    async def _on_reply(self, node: int, envelope: pb.Envelope) -> None:
+        if envelope.WhichOneof("body") == "resync_request":
+            self.on_resync_request(node, envelope.resync_request.shard)
+        call = self.calls.pop(envelope.call, None)
+        if call is not None:
+            call.reply = envelope
+            await call.done.set()
+
+    # --- links that others dialled
 
     async def serve(self, link: FrameLink) -> None:
-        """Frames from a peer that dialled us. A garbled one ends its connection only."""
+        """Handle the messages of a peer that dialled; a malformed one ends its link only."""
         try:
             while True:
                 envelope = pb.Envelope.FromString(await link.receive())
-                if envelope.WhichOneof("body") in ("reserve_request", "forward_request"):
-                    await curio.spawn(self._reply, link, envelope, daemon=True)
+                if envelope.WhichOneof("body") in CONCURRENT_MESSAGES:
+                    await curio.spawn(self._handle, link, envelope, daemon=True)
                 else:
-                    await self._reply(link, envelope)
+                    await self._handle(link, envelope)
         except (OSError, DecodeError, curio.TaskTimeout) as error:
-            log.debug("a peer's connection ended: %r", error)
-        except Exception:
-            # What it meant is sent again, whole, on its next connection.
-            log.exception("a peer's message was not understood")
+            log.debug("link from peer failed: error=%r", error)
+        except Exception:  # a message must not end the controller; it is sent again in full
+            log.exception("message from peer not handled")
 
-    async def _reply(self, link: FrameLink, envelope: pb.Envelope) -> None:
+    async def _handle(self, link: FrameLink, envelope: pb.Envelope) -> None:
+        """Handle a message and send its reply, if it is a call or gossip."""
         try:
             reply = await self.handle_message(envelope)
             if reply is None:
@@ -137,17 +175,22 @@
             reply.sender, reply.call, reply.reply = self.context.node, envelope.call, True
             await link.send(reply.SerializeToString(), self.context.tuning.reply_wait_s)
         except (OSError, curio.TaskTimeout) as error:
-            log.debug("no reply to %d: %r", envelope.sender, error)
+            log.debug("reply not sent: node=%d error=%r", envelope.sender, error)
+
+    # --- sending
 
     async def enqueue(self, node: int, envelope: pb.Envelope) -> None:
-        """One way, and without waiting for a peer that is slow or silent."""
+        """Send a message one way, without waiting for a peer that is slow or silent."""
         link = self.links.get(node)
         if link is not None and not link.closed:
             envelope.sender = self.context.node
             await link.enqueue(envelope.SerializeToString())
 
     async def send(self, node: int, envelope: pb.Envelope) -> None:
-        """One way; what is lost is sent again by the loop that wanted it."""
+        """Send a message one way, waiting until it is sent.
+
+        Raises PeerBusyError or PeerUnavailableError; the caller sends again what is lost.
+        """
         link = self.links.get(node)
         if link is None or link.closed:
             raise PeerUnavailableError(f"no link to {node}")
@@ -161,41 +204,19 @@
             raise PeerUnavailableError(repr(error)) from error
 
     async def call(self, node: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
+        """Send a message and return its reply; PeerUnavailableError without one in `timeout_s`."""
         number = self.next_call
         self.next_call += 1
-        event, box = curio.Event(), []  # type: ignore[var-annotated]
-        self.calls[number] = (event, box, node)
+        call = self.calls[number] = PendingCall(node)
         envelope.call = number
         try:
             await self.send(node, envelope)
             async with curio.timeout_after(timeout_s):
-                await event.wait()
+                await call.done.wait()
         except curio.TaskTimeout as error:
             raise PeerUnavailableError(f"no reply from {node}") from error
         finally:
             self.calls.pop(number, None)
-        if not box:
+        if call.reply is None:
             raise PeerUnavailableError(f"the link to {node} ended")
-        reply: pb.Envelope = box[0]
-        return reply
-
-
-def encode_batch(envelopes: list[pb.Envelope]) -> str:
-    """For the detour: messages as text that fits a key's value."""
-    batch = b"".join(
-        len(data := e.SerializeToString()).to_bytes(4, "big") + data for e in envelopes
-    )
-    return base64.b64encode(zlib.compress(batch)).decode("ascii")
-
-
-def decode_batch(text: str) -> list[pb.Envelope]:
-    try:
-        batch = zlib.decompress(base64.b64decode(text))
-        found, at = [], 0
-        while at < len(batch):
-            size = int.from_bytes(batch[at : at + 4], "big")
-            found.append(pb.Envelope.FromString(batch[at + 4 : at + 4 + size]))
-            at += 4 + size
-        return found
-    except (zlib.error, binascii.Error, DecodeError) as error:
-        raise ValueError(f"garbled detour: {error}") from error
+        return call.reply
--- a/starlingdeck/sync/state_sync.py
+++ b/starlingdeck/sync/state_sync.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from starlingdeck.cluster.membership import Membership
-from starlingdeck.cluster.peers import Peers, decode_batch, encode_batch
+from starlingdeck.cluster.peers import Peers
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.record_writer import RecordWriter
@@ -28,6 +28,7 @@
     TransactionConflictError,
 )
 from starlingdeck.storage.state import put_change as put_key
+from starlingdeck.sync.message_batch import decode_batch, encode_batch
 from starlingdeck.transport.frames import FrameLink
 
 log = logging.getLogger(__name__)
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -144,7 +144,7 @@
         node = Controller(context)
         node.state = PlainClient(self.state, 0.0)  # type: ignore[assignment]
         node.membership.live_nodes = dict.fromkeys(range(len(self.zones)), 0.0)
-        node.peers.started = self.clock.at
+        node.peers.started_at = self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
             if not self.linked(number, to):
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -258,7 +258,7 @@
         node.peers.enqueue = post  # type: ignore[method-assign, assignment]
         node.peers.is_reachable = up  # type: ignore[method-assign, assignment]
         node.http.call = http  # type: ignore[method-assign]
-        node.peers.started = self.clock.at
+        node.peers.started_at = self.clock.at
         return node
 
     def linked(self, one: int, other: int) -> bool:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -7,7 +7,6 @@
 import msgspec
 
 from starlingdeck.cluster.membership import ShardOwner
-from starlingdeck.cluster.peers import encode_batch
 from starlingdeck.cluster.sharding import shard_of_job
 from starlingdeck.controller.controller import DELETED_ANNOUNCE_S, RESERVED_CONNECTIONS, Controller
 from starlingdeck.interning import split_key
@@ -21,6 +20,7 @@
 from starlingdeck.quarantine import Quarantine
 from starlingdeck.scheduling.scheduler import guaranteed_jobs
 from starlingdeck.storage.limiter import TokenBucket
+from starlingdeck.sync.message_batch import encode_batch
 from starlingdeck.sync.state_sync import RELAY_AFTER_S, RELAY_INTERVAL_S
 from starlingdeck.transport.client import ConnectionFailedError, Reply
 from tests.support.builders import Clock, make_world, spec
@@ -117,7 +117,7 @@
     context = make_world(clock)
     node = Controller(context)
     node.membership.lease_is_valid = lambda: True  # type: ignore[method-assign]
-    node.peers.started = clock.at - RELAY_AFTER_S
+    node.peers.started_at = clock.at - RELAY_AFTER_S
     node.membership.live_nodes = dict.fromkeys(peers, clock.at)
     for shard in range(context.shard_count):
         node.membership.owners[shard] = ShardOwner(peers[0] if shard == 2 else 0, 5, 77)
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -6,7 +6,6 @@
 import pytest
 
 from starlingdeck.api import job_api
-from starlingdeck.cluster import peers
 from starlingdeck.jobs.job import PLACED, TaskPlacement, encode_chunk, load_job, new_job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.metrics.latency import LatencyHistograms
@@ -15,6 +14,7 @@
 from starlingdeck.protocol.config import ConfigError, load_settings, load_tuning
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.storage.records import TASKS_PER_CHUNK, JobRecord
+from starlingdeck.sync import message_batch
 from tests.support.builders import Clock, job_body, make_world, settings_dict, spec
 
 
@@ -165,11 +165,11 @@
         pb.Envelope(sender=1, snapshot=pb.Snapshot(shard=2, epoch=9)),
         pb.Envelope(empty=pb.Empty()),
     ]
-    back = peers.decode_batch(peers.encode_batch(sent))
+    back = message_batch.decode_batch(message_batch.encode_batch(sent))
     assert back[0].snapshot.epoch == 9 and len(back) == 2
-    for text in ("!!", "AAAA", peers.encode_batch(sent)[:-9]):
+    for text in ("!!", "AAAA", message_batch.encode_batch(sent)[:-9]):
         with pytest.raises(ValueError):
-            peers.decode_batch(text)
+            message_batch.decode_batch(text)
 
 
 def test_the_limiter_keeps_the_rate_and_a_reserve_for_the_urgent() -> None:
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -10,7 +10,6 @@
 from hypothesis import strategies as st
 
 from starlingdeck.cluster.membership import ShardOwner
-from starlingdeck.cluster.peers import encode_batch
 from starlingdeck.cluster.sharding import shard_of_job
 from starlingdeck.controller.controller import Controller
 from starlingdeck.interning import task_key
@@ -21,6 +20,7 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
+from starlingdeck.sync.message_batch import encode_batch
 from starlingdeck.transport import frames
 from starlingdeck.transport.frames import FrameLink, FrameServer, dial
 from tests.support.builders import Clock, make_world, spec
