--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -17,7 +17,7 @@
 RAN = re.compile(r"ran (\S+): (\d+) times, ([\d.]+) s, longest ([\d.]+) s")
 ANSWER = re.compile(r"answer (\w+): (\d+), p50/p90/p99 [\d.]+/[\d.]+/([\d.]+) ms")
 FIRST = re.compile(r"machine (\S+): first report")
-TAKEN = re.compile(r"shard (\d+): taken over")
+TAKEN = re.compile(r"shard acquired: shard=(\d+)\b")
 READ = re.compile(r"shard jobs loaded: shard=(\d+) unfinished_jobs=(\d+)")
 GONE = "returned to the cloud: "
 MAX_TASKS_SHOWN = 10  # kinds of task a minute
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -144,7 +144,7 @@
         node = Controller(context)
         node.state = PlainClient(self.state, 0.0)  # type: ignore[assignment]
         node.membership.live_nodes = dict.fromkeys(range(len(self.zones)), 0.0)
-        node.peers.started = self.clock.at
+        node.peers.started_at = self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
             if not self.linked(number, to):
@@ -286,7 +286,7 @@
                     self.nodes[envelope.sender].on_resync_request(to, again.resync_request.shard)
 
     async def serve(self, number: int, node: Controller) -> None:
-        node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
+        node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, self.clock.at
         for other in range(len(self.nodes)):
             if other == number:
                 continue
