--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -25,9 +25,9 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import split_address
 from starlingdeck.scheduling.candidate_pool import CandidatePool
+from starlingdeck.scheduling.guarantees import TeamJob
 from starlingdeck.scheduling.overload import OverloadController
 from starlingdeck.scheduling.planner import Planner
-from starlingdeck.scheduling.scheduler import TeamJob
 from starlingdeck.storage import records
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.storage.state import (
--- /dev/null
+++ b/starlingdeck/scheduling/accumulation.py
@@ -0,0 +1,64 @@
+"""Machines that keep released resources until a task which needs more than is free fits there."""
+
+from collections.abc import Sequence
+
+from starlingdeck.context import fits
+from starlingdeck.jobs.job import Job
+from starlingdeck.machines.scoring import Candidate
+from starlingdeck.scheduling.constraints import count_by_zone, task_filter, zone_filter
+from starlingdeck.scheduling.decision import PlacementDecision
+
+TOLERANCE = 1e-9  # sums of decimal amounts may be off by this
+
+
+def missing_share(job: Job, candidate: Candidate) -> float:
+    """What a task still lacks on a machine, as a share of what is in use there.
+
+    The larger it is, the longer the machine has to accumulate released resources.
+    """
+    share = 0.0
+    for size, available, capacity in zip(
+        job.size, candidate.available, candidate.capacity, strict=True
+    ):
+        if size > available + TOLERANCE:
+            share = max(share, (size - available) / max(capacity - available, TOLERANCE))
+    return share
+
+
+def accumulate_capacity(
+    job: Job, tasks: Sequence[int], candidates: Sequence[Candidate], accumulating: set[int]
+) -> list[PlacementDecision]:
+    """Choose machines to keep what is released there until one of the job's tasks fits.
+
+    In a backlog of small tasks the capacity for a larger one is never free at once: each part of
+    it goes to the next small task. `accumulating` are the machines that do so already, and those
+    chosen are added; machines that lack the smallest share come first.
+    """
+    zone_counts = count_by_zone(job)
+    decisions: list[PlacementDecision] = []
+    usable = [
+        candidate
+        for candidate in candidates
+        if candidate.index not in accumulating
+        and min(candidate.available) >= -TOLERANCE
+        and fits(job.size, candidate.capacity)
+    ]
+    ordered = sorted(
+        (missing_share(job, candidate), candidate.index, candidate) for candidate in usable
+    )
+    waiting = list(reversed(tasks))
+    for _, _, candidate in ordered:
+        if not waiting:
+            break
+        task = waiting[-1]
+        if not task_filter(job, task, zone_filter(job, zone_counts))(candidate):
+            continue
+        waiting.pop()
+        accumulating.add(candidate.index)
+        job.reserving[task] = candidate.zone
+        job.accumulating.add(task)
+        zone_counts[candidate.zone] = zone_counts.get(candidate.zone, 0) + 1
+        decisions.append(
+            PlacementDecision(job, task, candidate, preempt=True, accumulate=True, protected=True)
+        )
+    return decisions
--- /dev/null
+++ b/starlingdeck/scheduling/constraints.py
@@ -0,0 +1,97 @@
+"""Where a job's tasks may run: machine types, zones, spot machines, and spreading."""
+
+from collections.abc import Callable, Sequence
+from typing import NamedTuple
+
+from starlingdeck.context import ControllerContext
+from starlingdeck.jobs.job import Job, TaskPlacement
+from starlingdeck.machines.scoring import Candidate
+
+ZoneFilter = Callable[[int], bool]
+CandidateFilter = Callable[[Candidate], bool]
+
+
+class ConstraintKey(NamedTuple):
+    """The constraints of a job; jobs with equal keys may use the same machines."""
+
+    types: tuple[str, ...]
+    zone: str | None
+    spot: bool
+
+
+def constraint_key(job: Job) -> ConstraintKey:
+    """The key of a job's constraints."""
+    return ConstraintKey(tuple(job.spec.types or ()), job.spec.zone, job.spec.spot)
+
+
+def satisfies_constraints(context: ControllerContext, job: Job, candidate: Candidate) -> bool:
+    """Whether a machine's type, zone and kind are among those that the job allows."""
+    spec = job.spec
+    if spec.types is not None and context.type_names[candidate.type] not in spec.types:
+        return False
+    if spec.zone is not None and context.zone_names[candidate.zone] != spec.zone:
+        return False
+    return spec.spot or not candidate.spot
+
+
+def zone_filter(job: Job, zone_counts: dict[int, int]) -> ZoneFilter:
+    """Which zones the job's next task may use, given how many tasks each zone has."""
+    spec = job.spec
+    if spec.one_zone and zone_counts:
+        return lambda zone: zone_counts.get(zone, 0) > 0
+    if spec.spread:
+        limit = (spec.tasks + 1) // 2
+        return lambda zone: zone_counts.get(zone, 0) < limit
+    return lambda zone: True
+
+
+def count_by_zone(job: Job, leaving: TaskPlacement | None = None) -> dict[int, int]:
+    """The job's tasks by zone: those placed, starting, and with a reservation requested.
+
+    `leaving` is a placement about to be left: it isn't counted, so that it doesn't restrict the
+    same task's next placement.
+    """
+    counts: dict[int, int] = {}
+    for placement in (*job.placements.values(), *job.pending_starts.values()):
+        if placement is not leaving:
+            counts[placement.zone] = counts.get(placement.zone, 0) + 1
+        if placement.target is not None:
+            counts[placement.target.zone] = counts.get(placement.target.zone, 0) + 1
+    for zone in job.reserving.values():
+        counts[zone] = counts.get(zone, 0) + 1
+    return counts
+
+
+def task_filter(job: Job, task: int, zone_allowed: ZoneFilter) -> CandidateFilter:
+    """Which machines one task may use: allowed zones, without those it failed on or runs on."""
+    avoided, key = job.avoided_machines.get(task, ()), (job.index, task)
+    return lambda candidate: (
+        zone_allowed(candidate.zone)
+        and candidate.index not in avoided
+        and key not in candidate.tasks
+    )
+
+
+class EligibleCandidates:
+    """The schedulable machines of one scheduling cycle, by the constraints of jobs.
+
+    Machines are filtered once for all jobs that share the same constraints.
+    """
+
+    def __init__(self, context: ControllerContext, candidates: Sequence[Candidate]) -> None:
+        self.context = context
+        self.candidates = [candidate for candidate in candidates if candidate.schedulable]
+        self._by_constraints: dict[ConstraintKey, list[Candidate]] = {}
+
+    def for_job(self, job: Job) -> list[Candidate]:
+        """The schedulable machines that satisfy a job's constraints, whether it fits or not."""
+        key = constraint_key(job)
+        eligible = self._by_constraints.get(key)
+        if eligible is None:
+            eligible = [
+                candidate
+                for candidate in self.candidates
+                if satisfies_constraints(self.context, job, candidate)
+            ]
+            self._by_constraints[key] = eligible
+        return eligible
--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -27,7 +27,7 @@
 from starlingdeck.metrics import counters
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings
-from starlingdeck.scheduling.scheduler import priority_key
+from starlingdeck.scheduling.priority import priority_key
 
 log = logging.getLogger(__name__)
 
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -20,15 +20,14 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings
-from starlingdeck.scheduling import scheduler
+from starlingdeck.scheduling import constraints, guarantees, priority
+from starlingdeck.scheduling.accumulation import accumulate_capacity
 from starlingdeck.scheduling.candidate_pool import CandidatePool
+from starlingdeck.scheduling.decision import PlacementDecision
+from starlingdeck.scheduling.guarantees import TeamJob
 from starlingdeck.scheduling.overload import OverloadController
-from starlingdeck.scheduling.scheduler import (
-    PlacementDecision,
-    PreemptionPlan,
-    SchedulingCycle,
-    TeamJob,
-)
+from starlingdeck.scheduling.preemption import PreemptionPlan
+from starlingdeck.scheduling.scheduler import SchedulingCycle
 from starlingdeck.storage.limiter import TokenBucket
 
 log = logging.getLogger(__name__)
@@ -108,7 +107,7 @@
                             spec.rank,
                         )
                     )
-        return scheduler.guarantee_relevant_jobs(self.context, found)[:MAX_TEAM_JOBS]
+        return guarantees.guarantee_relevant_jobs(self.context, found)[:MAX_TEAM_JOBS]
 
     async def run(self) -> None:
         """Plans for a thirtieth of the time, and never for long at a stretch. In a flood every
@@ -149,7 +148,7 @@
     def _starving(self, jobs: list[Job]) -> list[Job]:
         """The longest waiting of those that must begin now, whatever their rank: a few."""
         now_ms = self.context.wall_clock_ms()
-        long = [job for job in jobs if scheduler.is_starving(job, now_ms)]
+        long = [job for job in jobs if priority.is_starving(job, now_ms)]
         able = [job for job in long if self.admission.headroom(job) > 0]
         return sorted(able, key=lambda job: (job.submitted_ms, job.id))[:MAX_STARVING]
 
@@ -196,7 +195,7 @@
         self.urgent_waiting = any(job.spec.rank >= MIN_URGENT_RANK for job in jobs)
         self.preempt_after = {job: at for job, at in self.preempt_after.items() if at > now}
         everyone = [j for found in self.team_jobs.values() for j in found] + self.own_team_jobs()
-        inside = scheduler.guaranteed_jobs(self.context, everyone)
+        inside = guarantees.guaranteed_jobs(self.context, everyone)
         for writer in self.writers.values():
             for job in writer.shard.jobs.values():
                 writer.shard.set_guaranteed(job, job.id in inside)
@@ -208,12 +207,12 @@
             MAX_DECISIONS,
             self._may_preempt,
         )
-        ordered = scheduler.priority_order(self.context, jobs, self.context.wall_clock_ms())
+        ordered = priority.priority_order(self.context, jobs, self.context.wall_clock_ms())
         first = [(job, 1) for job in self._starving(jobs)]
         first += self.overload.below_minimum_share(ordered) if self.overload is not None else []
         for job, limit in first:
             if self._still_waiting(job):
-                await self._place(job, partial(cycle.place, most=limit, sure=True), True)
+                await self._place(job, partial(cycle.place, limit=limit, prioritized=True), True)
         for job in ordered:
             if cycle.remaining <= 0:
                 break
@@ -221,7 +220,7 @@
                 await self._place(job, cycle.place)
         waiting = list(cycle.unplaced.values())
         self.demands[self.context.node] = (now, self._demand(waiting))
-        preemptions = PreemptionPlan(cycle, MAX_PREEMPTIONS)
+        preemptions = PreemptionPlan(cycle.eligible, MAX_PREEMPTIONS)
         for job, _ in waiting:
             if preemptions.remaining <= 0:
                 break
@@ -315,7 +314,7 @@
             def pick(job: Job, many: int = many) -> list[PlacementDecision]:
                 tasks = job.ready(min(many, self.admission.headroom(job)), now)
                 tasks = [task for task in tasks if task not in job.nominated]
-                return scheduler.accumulate_room(job, tasks, cycle.allowed(job), taken)
+                return accumulate_capacity(job, tasks, cycle.eligible.for_job(job), taken)
 
             before = len(taken)
             await self._place(job, pick)
@@ -332,7 +331,7 @@
         # A plan that found no machine for one task asked for room for 32, whatever limit held the
         # others back.
         tasks = job.ready(min(MAX_PREEMPTIONS_PER_JOB, self.admission.headroom(job)), now)
-        return preemptions.spread_out(job, tasks, able)
+        return preemptions.assign(job, tasks, able)
 
     def _may_request_preemption(self, job: Job, now: float) -> bool:
         if not (job.spec.rank > 0 or job.guaranteed) or now < self.preempt_after.get(
@@ -348,7 +347,7 @@
         overload, it cost the waits of a burst more than the starts it saved."""
         if job.spec.service or self.overload is None or not self.overload.is_churning():
             return True
-        aim_s = scheduler.wait_objective_s(self.context, job) or self.overload.settings.patience_s
+        aim_s = priority.wait_objective_s(self.context, job) or self.overload.settings.patience_s
         return self.context.wall_clock_ms() - job.submitted_ms > 250 * aim_s
 
     def _moves(self, candidates: list[Candidate], now: float) -> list[PlacementDecision]:
@@ -366,13 +365,13 @@
                     continue
                 if task in job.pending_ends or task in job.reserving:
                     continue
-                zone_ok = scheduler.open_zones(job, scheduler.zone_use(job, place))
+                zone_ok = constraints.zone_filter(job, constraints.count_by_zone(job, place))
                 able = [
                     r
                     for r in candidates
                     if r.index != place.machine
                     and zone_ok(r.zone)
-                    and scheduler.allowed(self.context, job, r)
+                    and constraints.satisfies_constraints(self.context, job, r)
                     and r.fits(job.size)
                 ]
                 drawn = scoring.choose_refit(
@@ -404,8 +403,8 @@
             ask = pb.ReserveRequest(to_shard=shard, to_epoch=holder.epoch, job=job_message(job))
             ask.preempt = group[0].preempt and not group[0].accumulate
             ask.accumulate = group[0].accumulate
-            ask.quota_pressure = scheduler.has_quota_pressure(self.context, job)
-            ask.wait_s = scheduler.wait_objective_s(self.context, job)
+            ask.quota_pressure = priority.has_quota_pressure(self.context, job)
+            ask.wait_s = priority.wait_objective_s(self.context, job)
             if any(pick.task in job.placements for pick in group):
                 # A move's target waits until the source has saved and stopped.
                 ask.hold_s = hold_s = self.context.tuning.reserve_s + job.spec.save_s
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -19,7 +19,7 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.quarantine import Quarantine
-from starlingdeck.scheduling.scheduler import guaranteed_jobs
+from starlingdeck.scheduling.guarantees import guaranteed_jobs
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.sync.state_sync import RELAY_AFTER_S, RELAY_INTERVAL_S
 from starlingdeck.transport.client import ConnectionFailedError, Reply
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -10,8 +10,10 @@
 from starlingdeck.jobs.record_writer import BATCHING_WAIT_S, RecordWriter
 from starlingdeck.machines.scoring import Candidate
 from starlingdeck.protocol import api
-from starlingdeck.scheduling import scheduler
-from starlingdeck.scheduling.scheduler import STARVATION_S, SchedulingCycle
+from starlingdeck.scheduling import preemption, priority, scheduler
+from starlingdeck.scheduling.constraints import EligibleCandidates
+from starlingdeck.scheduling.priority import STARVATION_S
+from starlingdeck.scheduling.scheduler import SchedulingCycle
 from starlingdeck.storage import records
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.storage.state import put_change
@@ -25,10 +27,8 @@
 
 def stops(
     context: ControllerContext, candidates: list[Candidate] | None = None, limit: int = 99
-) -> scheduler.PreemptionPlan:
-    return scheduler.PreemptionPlan(
-        scheduler.SchedulingCycle(context, candidates or [], lambda j: 99, 99), limit
-    )
+) -> preemption.PreemptionPlan:
+    return preemption.PreemptionPlan(EligibleCandidates(context, candidates or []), limit)
 
 
 def test_work_that_is_late_for_every_aim_lets_the_rest_be_in_time() -> None:
@@ -38,7 +38,7 @@
     tight = job(context, "j-000002", 40.0, guess_s=40.0)
     fresh = job(context, "j-000003", 0.0, guess_s=40.0)
     urgent = job(context, "j-000004", 99.0, guess_s=40.0, rank="urgent")
-    got = scheduler.priority_order(context, [late, tight, fresh, urgent], context.wall_clock_ms())
+    got = priority.priority_order(context, [late, tight, fresh, urgent], context.wall_clock_ms())
     assert got == [urgent, tight, fresh, late]
 
 
@@ -46,7 +46,7 @@
     context = make_world(Clock())
     large = job(context, "j-000001", 1.0, chores=70)
     small = job(context, "j-000002", 0.0, chores=4)
-    assert scheduler.priority_order(context, [large, small], context.wall_clock_ms()) == [
+    assert priority.priority_order(context, [large, small], context.wall_clock_ms()) == [
         small,
         large,
     ]
@@ -59,10 +59,10 @@
         Candidate(i, 0, i % 2, False, 0, (4.0, 0.0, 16.0), [0.0, 0.0, 0.0]) for i in range(8)
     ]
     sweep = job(context, "j-000001", 0.0, chores=9, cores=1.0)
-    decisions = stops(context).spread_out(sweep, list(range(9)), candidates)
+    decisions = stops(context).assign(sweep, list(range(9)), candidates)
     assert [p.candidate.index for p in decisions] == [0] * 4 + [1] * 4 + [2]
     spread = job(context, "j-000002", 0.0, chores=3, shape="daemon", spread=True)
-    decisions = stops(context).spread_out(
+    decisions = stops(context).assign(
         spread, [0, 1, 2], [candidates[0], candidates[2], candidates[4], candidates[1]]
     )
     assert [p.candidate.index for p in decisions] == [0, 2, 1]
@@ -75,9 +75,7 @@
     candidates = [Candidate(i, 0, 0, False, 0, total, [0.0] * 3, youngest_s=ages) for i in range(3)]
     asked = stops(context, candidates, limit=5)
     jobs = [job(context, f"j-00000{i}", 0.0, chores=3, cores=2.0, rank="urgent") for i in range(3)]
-    decisions = [
-        p for job in jobs for p in asked.spread_out(job, [0, 1, 2], asked.cheapest(job, 0.0))
-    ]
+    decisions = [p for job in jobs for p in asked.assign(job, [0, 1, 2], asked.cheapest(job, 0.0))]
     assert len(decisions) == 5 and asked.remaining == 0
     assert (
         max(
@@ -98,8 +96,8 @@
         )
 
     def asked(job: Job, *ages: float) -> bool:
-        return scheduler.has_preemptible_work(
-            job, scheduler.preemptible_ranks(context, job), room(*ages)
+        return preemption.has_preemptible_work(
+            job, preemption.preemptible_ranks(context, job), room(*ages)
         )
 
     urgent = job(context, "j-000001", 0.0, rank="urgent")
@@ -207,7 +205,7 @@
 
     candidates = [room(0, -1, 30, -1, -1), room(1, -1, -1, 1, -1), room(2, -1, 3, 2, -1), room(3)]
     urgent = job(context, "j-000001", 0.0, rank="urgent")
-    got = scheduler.cheapest_preemptions(urgent, candidates, now, context.rng)
+    got = preemption.cheapest_preemptions(urgent, candidates, now, context.rng)
     assert [candidate.index for candidate in got[:2]] == [
         2,
         0,
@@ -287,7 +285,7 @@
     cycle = SchedulingCycle(context, candidates, lambda job: 99, 999)
     assert len(cycle.place(idle)) == 72 and cycle.unplaced[idle.index][1] == 27
     assert len(cycle.place(work)) == 4 and not cycle.place(idle)
-    assert len(cycle.place(idle, 2, sure=True)) == 2
+    assert len(cycle.place(idle, 2, prioritized=True)) == 2
 
 
 def test_a_job_that_has_long_waited_to_begin_goes_before_all_with_one_task() -> None:
@@ -298,6 +296,6 @@
         context, spec("j-1", rank="idle", chores=99), 0, now - int(STARVATION_S * 1000) - 1
     )
     new = new_job(context, spec("j-2", rank="prod"), 0, now)
-    assert [scheduler.is_starving(job, now) for job in (old, new)] == [True, False]
+    assert [priority.is_starving(job, now) for job in (old, new)] == [True, False]
     old.failed_on.add(1)  # it has run, and failed
-    assert not scheduler.is_starving(old, now)
+    assert not priority.is_starving(old, now)
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -12,8 +12,8 @@
 from starlingdeck.machines import descheduling, scoring
 from starlingdeck.machines.scoring import Candidate
 from starlingdeck.protocol.config import Objective, Team
-from starlingdeck.scheduling import scheduler
-from starlingdeck.scheduling.scheduler import TeamJob
+from starlingdeck.scheduling import guarantees, scheduler
+from starlingdeck.scheduling.guarantees import TeamJob
 from tests.support.builders import Clock, make_world, spec
 
 amounts = st.integers(1, 8).map(float)
@@ -103,7 +103,7 @@
     """A backlog of normal work took up its team's guarantee, and its urgent work waited."""
     context = make_world(Clock())
     found = [TeamJob(0, at, f"j-{i}", float(c), 0.0, r) for i, (at, c, r) in enumerate(jobs)]
-    inside = scheduler.guaranteed_jobs(context, found)
+    inside = guarantees.guaranteed_jobs(context, found)
     total = 0.0
     for job in sorted(found, key=lambda j: (-j.rank, j.submitted_ms, j.id)):
         total += job.cpus
@@ -127,9 +127,9 @@
         for i, (team, at, cpus, rank) in enumerate(jobs)
     ]
     told = [
-        j for part in range(3) for j in scheduler.guarantee_relevant_jobs(context, found[part::3])
+        j for part in range(3) for j in guarantees.guarantee_relevant_jobs(context, found[part::3])
     ]
-    assert scheduler.guaranteed_jobs(context, told) == scheduler.guaranteed_jobs(context, found)
+    assert guarantees.guaranteed_jobs(context, told) == guarantees.guaranteed_jobs(context, found)
 
 
 def test_a_guarantee_is_its_own_teams() -> None:
@@ -139,7 +139,7 @@
     deployment = msgspec.structs.replace(context.settings.settings, teams=teams)
     context.settings = msgspec.structs.replace(context.settings, settings=deployment)
     found = [TeamJob(1, i, f"j-{i}", 6.0, 0.0) for i in range(2)]
-    assert scheduler.guaranteed_jobs(context, found) == {"j-0"}
+    assert guarantees.guaranteed_jobs(context, found) == {"j-0"}
 
 
 def test_a_machine_stays_with_a_controller_of_its_zone() -> None:
