--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -74,7 +74,7 @@
         more = {"counts": needs} if needs else {}
         job = new_job(node.context, spec(f"j-{i}", chores=tasks, rank="idle", **more), 0, i)
         shard.jobs[job.index] = job
-    node.planner.reserve_here = lambda _: pb.ReserveReply()
+    node.planner.reservations.reserve_local = lambda _: pb.ReserveReply()
     spent: list[float] = []
 
     async def drive() -> None:
--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -25,6 +25,7 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import split_address
 from starlingdeck.scheduling.candidate_pool import CandidatePool
+from starlingdeck.scheduling.dependencies import PlannerDependencies
 from starlingdeck.scheduling.guarantees import TeamJob
 from starlingdeck.scheduling.overload import OverloadController
 from starlingdeck.scheduling.planner import Planner
@@ -118,15 +119,17 @@
         )
         self.planner = Planner(
             context,
-            self.membership,
-            self.peers,
-            self.writers,
-            self.candidates,
-            self.admission,
-            self.on_reserve,
-            self.overload,
-            self.wake,
-            self.flush,
+            PlannerDependencies(
+                membership=self.membership,
+                peers=self.peers,
+                writers=self.writers,
+                candidates=self.candidates,
+                admission=self.admission,
+                reserve_local=self.on_reserve,
+                overload=self.overload,
+                wake=self.wake,
+                flush=self.flush,
+            ),
         )
         self.stored_types: list[api.MachineType] = []
         self.deleted_machines: dict[str, float] = {}
@@ -248,7 +251,7 @@
                 self.cloud_client,
                 token,
                 self.candidates.candidates,
-                self.planner.all_demands,
+                self.planner.demand.recent,
                 self.record_deleted,
             )
         old = self.state_sync.snapshots.pop(shard, None)
@@ -510,7 +513,7 @@
         out = pb.Gossip()
         for shard, owner in self.membership.owners.items():
             out.ownerships.add(shard=shard, node=owner.node, token=owner.token, epoch=owner.epoch)
-        out.demands.extend(self.planner.demands.get(self.context.node, (0.0, []))[1])
+        out.demands.extend(self.planner.demand.published())
         now = self.context.now()
         out.deleted_machines.extend(
             n for n, at in self.deleted_machines.items() if now - at <= DELETED_ANNOUNCE_S
@@ -544,7 +547,7 @@
         for item in gossip.ownerships:
             owner = ShardOwner(item.node, item.token, item.epoch)
             await self.membership.observe_owner(item.shard, owner)
-        self.planner.demands[sender] = (self.context.now(), list(gossip.demands))
+        self.planner.demand.receive(sender, gossip.demands)
         self.planner.team_jobs[sender] = [
             TeamJob(j.team, j.submitted_ms, j.id, j.cpus, j.gpus, j.rank) for j in gossip.team_jobs
         ]
--- a/starlingdeck/scheduling/decision.py
+++ b/starlingdeck/scheduling/decision.py
@@ -1,4 +1,6 @@
-"""The record of where a task is to be placed."""
+"""The records that the steps of a scheduling cycle pass on."""
+
+from typing import NamedTuple
 
 from msgspec import Struct
 
@@ -15,3 +17,10 @@
     preempt: bool = False  # ask the machine to stop lower-ranked work for it
     accumulate: bool = False  # ask the machine to keep released resources until it fits
     protected: bool = False  # not to be preempted once it runs
+
+
+class JobTaskCount(NamedTuple):
+    """A number of a job's tasks that are alike: waiting, unplaced, or to be placed first."""
+
+    job: Job
+    tasks: int
--- /dev/null
+++ b/starlingdeck/scheduling/demand_tracker.py
@@ -0,0 +1,75 @@
+"""Demand that found no machine, at this controller and as its peers published it."""
+
+from collections.abc import Iterable
+
+from msgspec import Struct
+
+from starlingdeck.autoscaling.policy import Demand
+from starlingdeck.context import ControllerContext
+from starlingdeck.protocol import peer_pb2 as pb
+from starlingdeck.scheduling.decision import JobTaskCount
+
+MAX_PUBLISHED_DEMANDS = 200
+DEMAND_EXPIRY_S = 5.0  # a controller that published nothing for this long doesn't count
+
+
+class _PublishedDemand(Struct):
+    received_at: float
+    demands: list[pb.Demand]
+
+
+def demand_messages(unplaced: list[JobTaskCount]) -> list[pb.Demand]:
+    """The demand of a cycle's unplaced tasks, one message a job."""
+    return [
+        pb.Demand(
+            cpus=job.spec.cpus,
+            gpus=job.spec.gpus,
+            memory_gb=job.spec.memory_gb,
+            count=count,
+            types=job.spec.types or [],
+            zone=job.spec.zone or "",
+            spot=job.spec.spot,
+            rank=job.spec.rank,
+            service=job.spec.service,
+        )
+        for job, count in unplaced[:MAX_PUBLISHED_DEMANDS]
+    ]
+
+
+class DemandTracker:
+    """The newest unplaced demand of every controller."""
+
+    def __init__(self, context: ControllerContext) -> None:
+        self.context = context
+        self._by_node: dict[int, _PublishedDemand] = {}
+
+    def publish(self, unplaced: list[JobTaskCount], at: float) -> None:
+        """Record the unplaced tasks of this controller's cycle that began at `at`."""
+        self._by_node[self.context.node] = _PublishedDemand(at, demand_messages(unplaced))
+
+    def published(self) -> list[pb.Demand]:
+        """What this controller last published."""
+        own = self._by_node.get(self.context.node)
+        return own.demands if own is not None else []
+
+    def receive(self, node: int, demands: Iterable[pb.Demand]) -> None:
+        """Record what another controller published."""
+        self._by_node[node] = _PublishedDemand(self.context.now(), list(demands))
+
+    def recent(self) -> list[Demand]:
+        """The demand of all controllers that published within `DEMAND_EXPIRY_S`."""
+        now = self.context.now()
+        return [
+            Demand(
+                (message.cpus, message.gpus, message.memory_gb),
+                message.count,
+                tuple(message.types),
+                message.zone,
+                message.spot,
+                message.rank,
+                message.service,
+            )
+            for published in self._by_node.values()
+            if now - published.received_at < DEMAND_EXPIRY_S
+            for message in published.demands
+        ]
--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -27,6 +27,7 @@
 from starlingdeck.metrics import counters
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings
+from starlingdeck.scheduling.decision import JobTaskCount
 from starlingdeck.scheduling.priority import priority_key
 
 log = logging.getLogger(__name__)
@@ -234,7 +235,7 @@
                         placement.protected = n < tasks
                         shard.republish_task(job, task)
 
-    def below_minimum_share(self, jobs: Sequence[Job]) -> list[tuple[Job, int]]:
+    def below_minimum_share(self, jobs: Sequence[Job]) -> list[JobTaskCount]:
         """Of the jobs of a plan, in its order: those that go before all others, and with how
         many tasks."""
         below = self._below() if self.shares.overload else set()
@@ -251,7 +252,7 @@
         ]
         found = minimum_share.below_share(self.works([*planned.values(), *others]), self.own_share)
         # A job that waited when the last plan ended may have nothing left that waits.
-        return [(planned[index], tasks) for index, tasks in found if index in planned]
+        return [JobTaskCount(planned[index], tasks) for index, tasks in found if index in planned]
 
     def _below(self) -> set[TeamClass]:
         """Pairs that ran less than our part of their floors when our parts were last told: only
@@ -267,7 +268,7 @@
     def _named(self, pair: TeamClass) -> TeamClass:
         return pair if pair in self.shares.minimum_shares else (pair[0], "")
 
-    def on_cycle_end(self, waiting: Iterable[tuple[Job, int]]) -> None:
+    def on_cycle_end(self, waiting: Iterable[JobTaskCount]) -> None:
         """A plan is over: these jobs' tasks found no machine."""
         now, any_ = self.context.now(), False
         for wait in self.waiting_jobs.values():
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -1,204 +1,157 @@
-"""Plans for this node's waiting tasks: picks, room by preemption, moves, reservations."""
+"""Runs scheduling cycles for the job shards that this controller owns.
 
-import logging
-from collections.abc import Callable, Mapping
+A cycle places waiting tasks, requests capacity by preemption or accumulation for those without
+a machine, and moves descheduled tasks.
+"""
+
+from collections.abc import Callable, Iterable, Sequence
 from functools import partial
 
 import curio
 
-from starlingdeck.autoscaling.policy import Demand
-from starlingdeck.cluster.membership import Membership
-from starlingdeck.cluster.peers import Peers, PeerUnavailableError
 from starlingdeck.context import ControllerContext
-from starlingdeck.interning import split_key
-from starlingdeck.jobs.admission import AdmissionController
-from starlingdeck.jobs.job import MIN_URGENT_RANK, Job, TaskPlacement
-from starlingdeck.jobs.job_shard import job_message
-from starlingdeck.jobs.record_writer import RecordWriter
-from starlingdeck.machines import scoring
-from starlingdeck.machines.scoring import Candidate
-from starlingdeck.protocol import api
-from starlingdeck.protocol import peer_pb2 as pb
+from starlingdeck.jobs.job import MIN_URGENT_RANK, Job
 from starlingdeck.protocol.config import OverloadSettings
-from starlingdeck.scheduling import constraints, guarantees, priority
+from starlingdeck.scheduling import guarantees, priority
 from starlingdeck.scheduling.accumulation import accumulate_capacity
-from starlingdeck.scheduling.candidate_pool import CandidatePool
-from starlingdeck.scheduling.decision import PlacementDecision
+from starlingdeck.scheduling.decision import JobTaskCount, PlacementDecision
+from starlingdeck.scheduling.demand_tracker import DemandTracker
+from starlingdeck.scheduling.dependencies import PlannerDependencies
 from starlingdeck.scheduling.guarantees import TeamJob
-from starlingdeck.scheduling.overload import OverloadController
+from starlingdeck.scheduling.moves import MovePlanner
 from starlingdeck.scheduling.preemption import PreemptionPlan
+from starlingdeck.scheduling.reservation_client import ReservationClient
 from starlingdeck.scheduling.scheduler import SchedulingCycle
 from starlingdeck.storage.limiter import TokenBucket
 
-log = logging.getLogger(__name__)
-
-MAX_DECISIONS = 100
-MAX_TEAM_JOBS = 10_000  # told to peers; some 41 bytes each, twice a second
-MAX_PREEMPTIONS = 48  # (start) tasks of a plan that ask for room by preemption
+MAX_DECISIONS = 100  # of a cycle
+MAX_TEAM_JOBS = 10_000  # published to peers; some 41 bytes each, twice a second
+MAX_PREEMPTIONS = 48  # (start) tasks of a cycle that request preemption
+MAX_PREEMPTIONS_PER_JOB = 32  # tasks of a job that request preemption at once
+PREEMPTION_INTERVAL_S = 0.5  # between two requests for preemption of a job
 CYCLE_INTERVAL_S = 0.1
-IDLE_CYCLE_INTERVAL_S = 0.25
-MAX_PAUSE_S = 0.5  # (start) between plans, however long they take
+IDLE_CYCLE_INTERVAL_S = 0.25  # while no machine's capacity has changed
+MAX_PAUSE_S = 0.5  # (start) between cycles, however long they take
 URGENT_PAUSE_S = 0.2  # (start) while work of the two upper ranks waits
-PAUSE_FACTOR = 30.0  # (start) times as long as a plan took
-POLL_INTERVAL_S = 0.04  # how often it is looked whether anything waits
-MAX_STRETCH_S = 0.005  # (start) of planning before others get their turn
-ACCUMULATE_RETRY_S = 0.4  # (start) between looks at a machine that keeps what comes free
-MAX_STARVING = 4  # (start) jobs that have long waited to begin, taken first in a plan
-PROBE_SHARE = 0.05  # (start) of the changes: for probes of jobs that fail on every machine
-MAX_PREEMPTIONS_PER_JOB = 32  # tasks of a job that ask for room by preemption at once
+PAUSE_FACTOR = 30.0  # (start) pause after a cycle, times the time that it took
+SERVICE_PAUSE_FACTOR = 1.0  # while replicas wait
+POLL_INTERVAL_S = 0.04  # between checks whether a cycle is due
+MAX_STRETCH_S = 0.005  # (start) of a cycle before other tasks of the event loop run
+MAX_STARVING = 4  # (start) starving jobs placed first in a cycle
+PROBE_SHARE = 0.05  # (start) of the state writes: for jobs that fail on every machine
+PATIENCE_SHARE = 0.25  # of an array's objective on waiting, before it preempts under churn
 
-Reserve = Callable[[pb.ReserveRequest], pb.ReserveReply]
+DecisionFunction = Callable[[Job], list[PlacementDecision]]
 
 
 class Planner:
-    def __init__(
-        self,
-        context: ControllerContext,
-        membership: Membership,
-        peers: Peers,
-        writers: Mapping[int, RecordWriter],
-        candidates: CandidatePool,
-        admission: AdmissionController,
-        reserve_here: Reserve,
-        overload: OverloadController | None,
-        wake: curio.Event,
-        flush: curio.Event,
-    ) -> None:
+    """Decides when a scheduling cycle runs, and carries out its steps."""
+
+    def __init__(self, context: ControllerContext, dependencies: PlannerDependencies) -> None:
         self.context = context
-        self.membership = membership
-        self.peers = peers
-        self.writers = writers
-        self.candidates = candidates
-        self.admission = admission
-        self.reserve_here = reserve_here
-        self.overload = overload
-        self.overload_settings = overload.settings if overload is not None else OverloadSettings()
-        writes = context.settings.settings.state.write_rps
+        self.membership = dependencies.membership
+        self.writers = dependencies.writers
+        self.candidates = dependencies.candidates
+        self.admission = dependencies.admission
+        self.overload = dependencies.overload
+        self.overload_settings = (
+            self.overload.settings if self.overload is not None else OverloadSettings()
+        )
+        self.reservations = ReservationClient(context, dependencies, self.overload_settings)
+        self.moves = MovePlanner(context, self.writers)
+        self.demand = DemandTracker(context)
+        writes_per_s = context.settings.settings.state.write_rps
         self.probe_limiter = TokenBucket(
-            PROBE_SHARE * writes / 2 / context.shard_count, 2.0, context.now
+            PROBE_SHARE * writes_per_s / 2 / context.shard_count, 2.0, context.now
         )
-        self.wake = wake
-        self.flush = flush
-        self.demands: dict[int, tuple[float, list[pb.Demand]]] = {}
-        self.team_jobs: dict[int, list[TeamJob]] = {}
+        self.team_jobs: dict[int, list[TeamJob]] = {}  # of the other controllers, by node
         self.next_cycle_at = 0.0
-        self.not_before = 0.0
+        self.next_urgent_cycle_at = 0.0
         self.running_since = 0.0
-        self.replicas_waiting = self.urgent_waiting = False  # whether any wait
-        self.preempt_after: dict[int, float] = {}
-        self.move_limiter = TokenBucket(
-            context.tuning.moves_per_s / context.shard_count, 1.0, context.now
-        )
+        self.replicas_waiting = self.urgent_waiting = False
+        self.preempt_after: dict[int, float] = {}  # job -> when it may request preemption again
 
     def own_team_jobs(self) -> list[TeamJob]:
-        """Our unfinished jobs that bear on their teams' guarantees, for all controllers."""
-        found = []
-        for writer in self.writers.values():
-            for job in writer.shard.jobs.values():
-                if not job.cancelled:
-                    n, spec = job.unfinished, job.spec
-                    found.append(
-                        TeamJob(
-                            job.team,
-                            job.submitted_ms,
-                            job.id,
-                            n * spec.cpus,
-                            n * spec.gpus,
-                            spec.rank,
-                        )
+        """This controller's unfinished jobs that all controllers need for the guarantees."""
+        jobs = []
+        for job in self._all_jobs():
+            if not job.cancelled:
+                count, spec = job.unfinished, job.spec
+                jobs.append(
+                    TeamJob(
+                        job.team,
+                        job.submitted_ms,
+                        job.id,
+                        count * spec.cpus,
+                        count * spec.gpus,
+                        spec.rank,
                     )
-        return guarantees.guarantee_relevant_jobs(self.context, found)[:MAX_TEAM_JOBS]
+                )
+        return guarantees.guarantee_relevant_jobs(self.context, jobs)[:MAX_TEAM_JOBS]
+
+    def _all_jobs(self) -> Iterable[Job]:
+        return (job for writer in self.writers.values() for job in writer.shard.jobs.values())
+
+    # --- when a cycle runs
 
     async def run(self) -> None:
-        """Plans for a thirtieth of the time, and never for long at a stretch. In a flood every
-        plan finds a little room; taken every 0.1 s they were a third of the processor time.
+        """Run cycles for ever, for a thirtieth of the time under load.
 
-        A plan took up to 70 ms of processor time in one go, three times that on a small
-        machine, and submissions, reports and renewals waited for it.
+        In a backlog every cycle finds some capacity: run every 0.1 s, cycles took a third of
+        the processor time. A cycle yields to other tasks now and then: one took up to 70 ms of
+        processor time, three times that on a small machine, and submissions, reports and
+        renewals waited for it.
         """
         while True:
-            began = self.context.now()
-            due = began >= self.next_cycle_at or (began >= self.not_before and self._is_urgent())
+            started_at = self.context.now()
+            due = started_at >= self.next_cycle_at or (
+                started_at >= self.next_urgent_cycle_at and self._is_urgent()
+            )
             if self.membership.lease_is_valid() and self.context.machine_types and due:
-                every = CYCLE_INTERVAL_S if self.candidates.changed else IDLE_CYCLE_INTERVAL_S
+                interval_s = CYCLE_INTERVAL_S if self.candidates.changed else IDLE_CYCLE_INTERVAL_S
                 if await self.run_cycle():
-                    now = self.context.now()
-                    self.not_before = now + min(MAX_PAUSE_S, now - began)
-                    pause_s = max(
-                        every, (1.0 if self.replicas_waiting else PAUSE_FACTOR) * (now - began)
-                    )
-                    most_s = URGENT_PAUSE_S if self.urgent_waiting else MAX_PAUSE_S
-                    self.next_cycle_at = now + min(most_s, pause_s)
+                    self._schedule_next(started_at, interval_s)
             await curio.sleep(POLL_INTERVAL_S)
 
-    def _may_probe(self, job: Job, now: float) -> bool:
-        """Jobs that fail wherever they run take no more than a small share of all changes."""
-        if (
-            len(job.failed_on) < self.context.tuning.suspect_machines
-            or job.reserving
-            or job.pending_starts
-        ):
-            return True
-        return (
-            job.backoff_until <= now
-            and not job.placements
-            and self.probe_limiter.delay(1.0, True) <= 0
-        )
-
-    def _starving(self, jobs: list[Job]) -> list[Job]:
-        """The longest waiting of those that must begin now, whatever their rank: a few."""
-        now_ms = self.context.wall_clock_ms()
-        long = [job for job in jobs if priority.is_starving(job, now_ms)]
-        able = [job for job in long if self.admission.headroom(job) > 0]
-        return sorted(able, key=lambda job: (job.submitted_ms, job.id))[:MAX_STARVING]
+    def _schedule_next(self, started_at: float, interval_s: float) -> None:
+        """Set the pause after a cycle that had work, by the time that it took."""
+        now = self.context.now()
+        duration_s = now - started_at
+        self.next_urgent_cycle_at = now + min(MAX_PAUSE_S, duration_s)
+        factor = SERVICE_PAUSE_FACTOR if self.replicas_waiting else PAUSE_FACTOR
+        max_pause_s = URGENT_PAUSE_S if self.urgent_waiting else MAX_PAUSE_S
+        self.next_cycle_at = now + min(max_pause_s, max(interval_s, factor * duration_s))
 
     def _is_urgent(self) -> bool:
-        """Whether something came that is not to wait for the next plan: replicas have seconds."""
+        """Whether something waits that needs a cycle at once, such as a replica."""
         return self.admission.is_due() or any(
             writer.shard.replicas_waiting for writer in self.writers.values()
         )
 
     async def _yield_control(self) -> None:
-        """Let others run once we have run for long. What was read before may be old after."""
+        """Let other tasks run once the cycle has run for long; state read before may be stale."""
         if self.context.now() - self.running_since > MAX_STRETCH_S:
             await curio.sleep(0)
             self.running_since = self.context.now()
 
-    def _still_waiting(self, job: Job) -> bool:
-        """Whether a job is still one of ours with tasks to place."""
-        writer = self.writers.get(job.shard)
-        ours = writer is not None and writer.shard.jobs.get(job.index) is job
-        return ours and not (job.cancelled or job.terminal_state or job.stale)
+    # --- one cycle
 
     async def run_cycle(self) -> bool:
-        """False when nothing waits."""
+        """Run one cycle; False when nothing waits."""
         now = self.running_since = self.context.now()
         for writer in self.writers.values():
             writer.shard.replicas_waiting = False
         if self.overload is not None:
             self.overload.protect_tasks()
-        jobs = [
-            job
-            for writer in self.writers.values()
-            for job in writer.shard.jobs.values()
-            if not (job.cancelled or job.terminal_state or job.stale) and job.pending(1)
-            if not self.context.is_quarantined("job", job.id) and self._may_probe(job, now)
-        ]
-        if not jobs and not any(w.shard.descheduled for w in self.writers.values()):
-            self.demands[self.context.node] = (now, [])
-            self.admission.on_idle()
-            if self.overload is not None:
-                self.overload.on_idle()
+        jobs = self._pending_jobs(now)
+        if not jobs and not any(writer.shard.descheduled for writer in self.writers.values()):
+            self._on_idle(now)
             return False
         self.candidates.changed = False
         self.replicas_waiting = any(job.spec.service for job in jobs)
         self.urgent_waiting = any(job.spec.rank >= MIN_URGENT_RANK for job in jobs)
         self.preempt_after = {job: at for job, at in self.preempt_after.items() if at > now}
-        everyone = [j for found in self.team_jobs.values() for j in found] + self.own_team_jobs()
-        inside = guarantees.guaranteed_jobs(self.context, everyone)
-        for writer in self.writers.values():
-            for job in writer.shard.jobs.values():
-                writer.shard.set_guaranteed(job, job.id in inside)
+        self._update_guarantees()
         await self.admission.begin_cycle(jobs)
         cycle = SchedulingCycle(
             self.context,
@@ -208,293 +161,190 @@
             self._may_preempt,
         )
         ordered = priority.priority_order(self.context, jobs, self.context.wall_clock_ms())
-        first = [(job, 1) for job in self._starving(jobs)]
-        first += self.overload.below_minimum_share(ordered) if self.overload is not None else []
-        for job, limit in first:
-            if self._still_waiting(job):
-                await self._place(job, partial(cycle.place, limit=limit, prioritized=True), True)
-        for job in ordered:
-            if cycle.remaining <= 0:
-                break
-            if self._still_waiting(job) and not cycle.is_unschedulable(job):
-                await self._place(job, cycle.place)
-        waiting = list(cycle.unplaced.values())
-        self.demands[self.context.node] = (now, self._demand(waiting))
-        preemptions = PreemptionPlan(cycle.eligible, MAX_PREEMPTIONS)
-        for job, _ in waiting:
-            if preemptions.remaining <= 0:
-                break
-            if self._still_waiting(job) and self._may_request_preemption(job, now):
-                await self._place(job, lambda j: self._preemptions(j, preemptions, now))
+        prioritized = self._prioritized(jobs, ordered)
+        await self._place_waiting(cycle, prioritized, ordered)
+        unplaced = list(cycle.unplaced.values())
+        self.demand.publish(unplaced, now)
+        await self._request_preemptions(cycle, unplaced, now)
         if self.overload is not None:
             self.overload.on_cycle_end(cycle.unplaced.values())
-        await self._accumulate(first, cycle, now)
-        await self._request_reservations(self._moves(cycle.candidates, now))
+        await self._accumulate(prioritized, cycle, now)
+        await self.reservations.request(self.moves.plan(cycle.candidates, now))
         return True
 
-    async def _place(
-        self, job: Job, decision: Callable[[Job], list[PlacementDecision]], kept: bool = False
+    def _pending_jobs(self, now: float) -> list[Job]:
+        """The jobs with tasks to place."""
+        return [
+            job
+            for job in self._all_jobs()
+            if not (job.cancelled or job.terminal_state or job.stale) and job.pending(1)
+            if not self.context.is_quarantined("job", job.id) and self._may_probe(job, now)
+        ]
+
+    def _may_probe(self, job: Job, now: float) -> bool:
+        """Limit jobs that fail wherever they run to a small share of all state writes."""
+        if (
+            len(job.failed_on) < self.context.tuning.suspect_machines
+            or job.reserving
+            or job.pending_starts
+        ):
+            return True
+        return (
+            job.backoff_until <= now
+            and not job.placements
+            and self.probe_limiter.delay(1.0, True) <= 0
+        )
+
+    def _on_idle(self, now: float) -> None:
+        self.demand.publish([], now)
+        self.admission.on_idle()
+        if self.overload is not None:
+            self.overload.on_idle()
+
+    def _update_guarantees(self) -> None:
+        """Mark which of the jobs fit their team's guarantee, given all controllers' jobs."""
+        everyone = [job for jobs in self.team_jobs.values() for job in jobs]
+        everyone += self.own_team_jobs()
+        guaranteed = guarantees.guaranteed_jobs(self.context, everyone)
+        for writer in self.writers.values():
+            for job in writer.shard.jobs.values():
+                writer.shard.set_guaranteed(job, job.id in guaranteed)
+
+    def _prioritized(self, jobs: Sequence[Job], ordered: Sequence[Job]) -> list[JobTaskCount]:
+        """Starving jobs and those below their minimum share, which go before all others."""
+        first = [JobTaskCount(job, 1) for job in self._starving(jobs)]
+        if self.overload is not None:
+            first += self.overload.below_minimum_share(ordered)
+        return first
+
+    def _starving(self, jobs: Iterable[Job]) -> list[Job]:
+        """A few starving jobs that may start now, the longest waiting first."""
+        now_ms = self.context.wall_clock_ms()
+        starving = [job for job in jobs if priority.is_starving(job, now_ms)]
+        startable = [job for job in starving if self.admission.headroom(job) > 0]
+        return sorted(startable, key=lambda job: (job.submitted_ms, job.id))[:MAX_STARVING]
+
+    async def _place_waiting(
+        self,
+        cycle: SchedulingCycle,
+        prioritized: Sequence[JobTaskCount],
+        ordered: Sequence[Job],
     ) -> None:
-        decisions = self._guarded(job, decision)
-        for one in decisions if kept else ():
-            # Marked only when it runs, it was stopped for others before the mark was known.
-            one.protected = True
+        for job, count in prioritized:
+            if self._still_pending(job):
+                place = partial(cycle.place, limit=count, prioritized=True)
+                await self._place(job, place, protected=True)
+        for job in ordered:
+            if cycle.remaining <= 0:
+                break
+            if self._still_pending(job) and not cycle.is_unschedulable(job):
+                await self._place(job, cycle.place)
+
+    def _still_pending(self, job: Job) -> bool:
+        """Whether a job is still owned here, with tasks to place, after the cycle yielded."""
+        writer = self.writers.get(job.shard)
+        owned = writer is not None and writer.shard.jobs.get(job.index) is job
+        return owned and not (job.cancelled or job.terminal_state or job.stale)
+
+    async def _place(self, job: Job, decide: DecisionFunction, protected: bool = False) -> None:
+        """Request the reservations that `decide` chooses for a job, then maybe yield."""
+        decisions = self._decide(job, decide)
+        if protected:
+            # Marked only once it ran, a task was preempted before its machine knew of the mark.
+            for decision in decisions:
+                decision.protected = True
         if decisions:
             self.admission.on_requested(job, len(decisions))
-            await self._request_reservations(decisions)
+            await self.reservations.request(decisions)
         await self._yield_control()
 
-    def _guarded(
-        self, job: Job, decision: Callable[[Job], list[PlacementDecision]]
-    ) -> list[PlacementDecision]:
-        """A job that can't be planned doesn't keep the others waiting."""
+    def _decide(self, job: Job, decide: DecisionFunction) -> list[PlacementDecision]:
         try:
-            return decision(job)
-        except Exception as error:
+            return decide(job)
+        except Exception as error:  # one job's bad data must not keep all others from their cycle
             self.context.quarantine_failed("job", job.id, error)
             job.reserving.clear()
             return []
 
-    async def _request_reservations(self, decisions: list[PlacementDecision]) -> None:
-        """Ask each machine shard for what was picked there for a job."""
-        groups: dict[tuple[int, int, bool, bool], list[PlacementDecision]] = {}
-        for decision in decisions:
-            to = (
-                decision.candidate.shard,
-                decision.job.index,
-                decision.preempt,
-                decision.accumulate,
-            )
-            groups.setdefault(to, []).append(decision)
-            if not decision.preempt:
-                job = decision.job
-                self.candidates.allocate(
-                    decision.candidate, (job.index, decision.task), job.size, job.spec.image
-                )
-        for group in groups.values():
-            await curio.spawn(self._reserve, group, daemon=True)
-
-    @staticmethod
-    def _demand(waiting: list[tuple[Job, int]]) -> list[pb.Demand]:
-        return [
-            pb.Demand(
-                cpus=job.spec.cpus,
-                gpus=job.spec.gpus,
-                memory_gb=job.spec.memory_gb,
-                count=count,
-                types=job.spec.types or [],
-                zone=job.spec.zone or "",
-                spot=job.spec.spot,
-                rank=job.spec.rank,
-                service=job.spec.service,
-            )
-            for job, count in waiting[:200]
-        ]
+    # --- capacity for tasks that found no machine
 
-    async def _accumulate(
-        self, first: list[tuple[Job, int]], cycle: SchedulingCycle, now: float
+    async def _request_preemptions(
+        self, cycle: SchedulingCycle, unplaced: Sequence[JobTaskCount], now: float
     ) -> None:
-        """For work below its floor that found no room: machines that keep what comes free."""
-        if not first:
-            return
-        candidates = {candidate.index for candidate in cycle.candidates}
-        taken = {
-            job.nominated[task][0]
-            for writer in self.writers.values()
-            for job in writer.shard.jobs.values()
-            for task in job.accumulating & job.nominated.keys()
-        }
-        left = int(self.overload_settings.gathers) - len(taken & candidates)
-        for job, limit in first:
-            missed = cycle.unplaced.get(job.index, (job, 0))[1]
-            if left <= 0 or not missed or not self._still_waiting(job):
-                continue
-            many = min(left, limit, missed)
-
-            def pick(job: Job, many: int = many) -> list[PlacementDecision]:
-                tasks = job.ready(min(many, self.admission.headroom(job)), now)
-                tasks = [task for task in tasks if task not in job.nominated]
-                return accumulate_capacity(job, tasks, cycle.eligible.for_job(job), taken)
-
-            before = len(taken)
-            await self._place(job, pick)
-            left -= len(taken) - before
+        plan = PreemptionPlan(cycle.eligible, MAX_PREEMPTIONS)
+        for job, _ in unplaced:
+            if plan.remaining <= 0:
+                break
+            if self._still_pending(job) and self._may_request_preemption(job, now):
+                await self._place(job, partial(self._assign_preemptions, plan=plan, now=now))
 
-    def _preemptions(
-        self, job: Job, preemptions: PreemptionPlan, now: float
+    def _assign_preemptions(
+        self, job: Job, plan: PreemptionPlan, now: float
     ) -> list[PlacementDecision]:
-        """For work that may preempt: machines to ask for room by stopping lower work."""
-        able = preemptions.cheapest(job, now)
-        if not able:
+        """Machines to ask to stop lower-ranked work for the job's tasks."""
+        candidates = plan.cheapest(job, now)
+        if not candidates:
             return []
-        self.preempt_after[job.index] = now + 0.5
-        # A plan that found no machine for one task asked for room for 32, whatever limit held the
-        # others back.
-        tasks = job.ready(min(MAX_PREEMPTIONS_PER_JOB, self.admission.headroom(job)), now)
-        return preemptions.assign(job, tasks, able)
+        self.preempt_after[job.index] = now + PREEMPTION_INTERVAL_S
+        # Without the headroom a cycle that found no machine for one task requested capacity for
+        # 32, whatever limit held the others back.
+        limit = min(MAX_PREEMPTIONS_PER_JOB, self.admission.headroom(job))
+        return plan.assign(job, job.ready(limit, now), candidates)
 
     def _may_request_preemption(self, job: Job, now: float) -> bool:
-        if not (job.spec.rank > 0 or job.guaranteed) or now < self.preempt_after.get(
-            job.index, 0.0
-        ):
+        entitled = job.spec.rank > 0 or job.guaranteed
+        if not entitled or now < self.preempt_after.get(job.index, 0.0):
             return False
         return self._may_preempt(job)
 
     def _may_preempt(self, job: Job) -> bool:
-        """While many starts are stopped for others, an array stops some only after a quarter of
-        what it may wait: it is first in what comes free, which is more a second than it needs. A
-        sixth of all starts were stopped for others in a flood, and began anew. Done in every
-        overload, it cost the waits of a burst more than the starts it saved."""
+        """Whether other work may be stopped for a job now; under churn arrays wait first.
+
+        While many starts are preempted, an array preempts only after a quarter of what it may
+        wait: it is first to get released capacity, which is more per second than it needs.
+        Otherwise a sixth of all starts under overload were preempted and started again. Applied
+        in every overload, the wait cost a burst's urgent jobs more than the starts it saved.
+        """
         if job.spec.service or self.overload is None or not self.overload.is_churning():
             return True
-        aim_s = priority.wait_objective_s(self.context, job) or self.overload.settings.patience_s
-        return self.context.wall_clock_ms() - job.submitted_ms > 250 * aim_s
-
-    def _moves(self, candidates: list[Candidate], now: float) -> list[PlacementDecision]:
-        """Refit (DESIGN 4): a target for every shed task, as far as the cap on moves goes.
+        limit_s = priority.wait_objective_s(self.context, job) or self.overload.settings.patience_s
+        waited_ms = self.context.wall_clock_ms() - job.submitted_ms
+        return waited_ms > 1000 * PATIENCE_SHARE * limit_s
 
-        `rooms` are the drawable ones."""
-        decisions = []
-        tuning = self.context.tuning
-        for writer in self.writers.values():
-            for key in list(writer.shard.descheduled):
-                index, task = split_key(key)
-                job = writer.shard.jobs[index]
-                place = job.placements[task]
-                if job.cancelled or job.stale or place.target or job.retry_at.get(task, 0.0) > now:
-                    continue
-                if task in job.pending_ends or task in job.reserving:
-                    continue
-                zone_ok = constraints.zone_filter(job, constraints.count_by_zone(job, place))
-                able = [
-                    r
-                    for r in candidates
-                    if r.index != place.machine
-                    and zone_ok(r.zone)
-                    and constraints.satisfies_constraints(self.context, job, r)
-                    and r.fits(job.size)
-                ]
-                drawn = scoring.choose_refit(
-                    able,
-                    job.size,
-                    tuning.refit_machines,
-                    tuning.refit_candidates,
-                    self.context.rng,
-                )
-                if not drawn or self.move_limiter.delay(1.0, True) > 0:
-                    job.retry_at[task] = now + 0.3
-                    continue
-                cached = [r for r in drawn if job.spec.image in r.images]
-                candidate = (cached or drawn)[0]
-                job.reserving[task] = candidate.zone
-                candidate.available = [
-                    f - s for f, s in zip(candidate.available, job.size, strict=True)
-                ]
-                decisions.append(PlacementDecision(job, task, candidate))
-        return decisions
-
-    async def _reserve(self, group: list[PlacementDecision]) -> None:
-        """Ask the machines' owner for room; what it gives goes into the job's record."""
-        job, shard = group[0].job, group[0].candidate.shard
-        holder = self.membership.owners.get(shard)
-        given: dict[int, pb.GrantedTask] = {}
-        hold_s, asked = 0.0, self.context.now()
-        if holder is not None:
-            ask = pb.ReserveRequest(to_shard=shard, to_epoch=holder.epoch, job=job_message(job))
-            ask.preempt = group[0].preempt and not group[0].accumulate
-            ask.accumulate = group[0].accumulate
-            ask.quota_pressure = priority.has_quota_pressure(self.context, job)
-            ask.wait_s = priority.wait_objective_s(self.context, job)
-            if any(pick.task in job.placements for pick in group):
-                # A move's target waits until the source has saved and stopped.
-                ask.hold_s = hold_s = self.context.tuning.reserve_s + job.spec.save_s
-            for decision in group:
-                ask.tasks.add(
-                    task=decision.task,
-                    attempt=job.attempts[decision.task] + 1,
-                    machine=self.context.machine_names[decision.candidate.index],
-                )
-            try:
-                if holder.node == self.context.node:
-                    reply = self.reserve_here(ask)
-                else:
-                    envelope = pb.Envelope(reserve_request=ask)
-                    wait = self.context.tuning.reply_wait_s
-                    reply = (await self.peers.call(holder.node, envelope, wait)).reserve_reply
-                given = {g.task: g for g in reply.granted}
-            except PeerUnavailableError as error:
-                log.info("no room asked of %s: %s", self.context.node_name(holder.node), error)
-        now = self.context.now()
-        for decision in group:
-            job.reserving.pop(decision.task, None)
-            got = given.get(decision.task)
-            if not decision.preempt:
-                self.candidates.resolve(
-                    decision.candidate, (job.index, decision.task), got is not None
-                )
-            if got is None or got.evicting or job.cancelled or job.terminal_state:
-                if not decision.preempt:
-                    job.retry_at[decision.task] = now + 0.1
-                elif got is not None and got.evicting:
-                    keep_s = 2.0
-                    if decision.accumulate:
-                        keep_s = self.overload_settings.gather_s
-                    old = job.nominated.get(decision.task, (decision.candidate.index, now + keep_s))
-                    job.nominated[decision.task] = old
-                    job.retry_at[decision.task] = now + (
-                        ACCUMULATE_RETRY_S if decision.accumulate else 0.15
-                    )
-                else:
-                    job.nominated.pop(decision.task, None)
-                    job.accumulating.discard(decision.task)
+    async def _accumulate(
+        self, prioritized: Sequence[JobTaskCount], cycle: SchedulingCycle, now: float
+    ) -> None:
+        """For prioritized jobs without a machine: machines that keep what is released there."""
+        if not prioritized:
+            return
+        schedulable = {candidate.index for candidate in cycle.candidates}
+        accumulating = {
+            job.nominated[task][0]
+            for job in self._all_jobs()
+            for task in job.accumulating & job.nominated.keys()
+        }
+        remaining = int(self.overload_settings.gathers) - len(accumulating & schedulable)
+        for job, count in prioritized:
+            unplaced = cycle.unplaced.get(job.index)
+            if remaining <= 0 or unplaced is None or not self._still_pending(job):
                 continue
-            job.nominated.pop(decision.task, None)
-            job.accumulating.discard(decision.task)
-            target = TaskPlacement(
-                decision.candidate.index,
-                got.session,
-                got.attempt,
-                shard,
-                decision.candidate.zone,
-                state_since=now,
-                protected=decision.protected,
-                reserved_until=asked + (hold_s or self.context.tuning.reserve_s),
+            limit = min(remaining, count, unplaced.tasks)
+            before = len(accumulating)
+            await self._place(
+                job,
+                partial(
+                    self._assign_accumulation,
+                    cycle=cycle,
+                    limit=limit,
+                    accumulating=accumulating,
+                    now=now,
+                ),
             )
-            source = job.placements.get(decision.task)
-            if source is None:
-                job.pending_starts[decision.task] = target
-            elif decision.task not in job.pending_ends and hold_s:
-                source.target = target
-                source.grace_s = job.grace_s
-                moved = api.task_name(job.id, decision.task)
-                log.info(
-                    "task %s: moves from %s to %s",
-                    moved,
-                    self.context.machine_names[source.machine],
-                    self.context.machine_names[target.machine],
-                )
-                owner = self.writers.get(job.shard)
-                if owner is not None and owner.shard.jobs.get(job.index) is job:
-                    owner.shard.republish_task(job, decision.task)
-                await self.wake.set()
-        writer = self.writers.get(job.shard)
-        if job.pending_starts and writer is not None and writer.shard.jobs.get(job.index) is job:
-            writer.shard.dirty_jobs.add(job.index)
-            await self.flush.set()
+            remaining -= len(accumulating) - before
 
-    def all_demands(self) -> list[Demand]:
-        now = self.context.now()
-        return [
-            Demand(
-                (d.cpus, d.gpus, d.memory_gb),
-                d.count,
-                tuple(d.types),
-                d.zone,
-                d.spot,
-                d.rank,
-                d.service,
-            )
-            for at, found in self.demands.values()
-            if now - at < 5.0
-            for d in found
-        ]
+    def _assign_accumulation(
+        self, job: Job, cycle: SchedulingCycle, limit: int, accumulating: set[int], now: float
+    ) -> list[PlacementDecision]:
+        tasks = job.ready(min(limit, self.admission.headroom(job)), now)
+        tasks = [task for task in tasks if task not in job.nominated]
+        return accumulate_capacity(job, tasks, cycle.eligible.for_job(job), accumulating)
--- /dev/null
+++ b/starlingdeck/scheduling/reservation_client.py
@@ -0,0 +1,186 @@
+"""Requests reservations of the machines' owners, and turns what they grant into starts and moves.
+
+A granted reservation of a waiting task becomes a pending start of its job's record; that of a
+running task becomes the target of a move.
+"""
+
+import logging
+from typing import NamedTuple
+
+import curio
+
+from starlingdeck.cluster.peers import PeerUnavailableError
+from starlingdeck.context import ControllerContext
+from starlingdeck.jobs.job import Job, TaskPlacement
+from starlingdeck.jobs.job_shard import job_message
+from starlingdeck.protocol import api
+from starlingdeck.protocol import peer_pb2 as pb
+from starlingdeck.protocol.config import OverloadSettings
+from starlingdeck.scheduling.decision import PlacementDecision
+from starlingdeck.scheduling.dependencies import PlannerDependencies
+from starlingdeck.scheduling.priority import has_quota_pressure, wait_objective_s
+
+log = logging.getLogger(__name__)
+
+REFUSED_RETRY_S = 0.1  # before a task whose reservation was refused is placed again
+PREEMPTION_RETRY_S = 0.15  # before a machine that preempts for a task is asked again
+PREEMPTION_NOMINATION_S = 2.0  # how long a task waits for a machine that preempts for it
+ACCUMULATE_RETRY_S = 0.4  # (start) before a machine that accumulates capacity is asked again
+
+
+class _RequestGroup(NamedTuple):
+    """Decisions with equal groups are sent in one request."""
+
+    shard: int
+    job: int
+    preempt: bool
+    accumulate: bool
+
+
+class ReservationClient:
+    """Sends the planner's decisions to the owners of the chosen machines."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        dependencies: PlannerDependencies,
+        overload_settings: OverloadSettings,
+    ) -> None:
+        self.context = context
+        self.membership = dependencies.membership
+        self.peers = dependencies.peers
+        self.writers = dependencies.writers
+        self.candidates = dependencies.candidates
+        self.reserve_local = dependencies.reserve_local
+        self.wake = dependencies.wake
+        self.flush = dependencies.flush
+        self.overload_settings = overload_settings
+
+    async def request(self, decisions: list[PlacementDecision]) -> None:
+        """Request the reservations of some decisions in the background, one task a group."""
+        groups: dict[_RequestGroup, list[PlacementDecision]] = {}
+        for decision in decisions:
+            job, candidate = decision.job, decision.candidate
+            group = _RequestGroup(candidate.shard, job.index, decision.preempt, decision.accumulate)
+            groups.setdefault(group, []).append(decision)
+            if not decision.preempt:
+                self.candidates.allocate(
+                    candidate, (job.index, decision.task), job.size, job.spec.image
+                )
+        for decisions_of_group in groups.values():
+            await curio.spawn(self._reserve, decisions_of_group, daemon=True)
+
+    async def _reserve(self, decisions: list[PlacementDecision]) -> None:
+        """Request the reservations of one group, and apply the answer to its job."""
+        job, shard = decisions[0].job, decisions[0].candidate.shard
+        owner = self.membership.owners.get(shard)
+        granted: dict[int, pb.GrantedTask] = {}
+        hold_s, requested_at = 0.0, self.context.now()
+        if owner is not None:
+            if any(decision.task in job.placements for decision in decisions):
+                # A move's target waits until the source has saved and stopped.
+                hold_s = self.context.tuning.reserve_s + job.spec.save_s
+            request = self._build_request(decisions, hold_s)
+            request.to_shard, request.to_epoch = shard, owner.epoch
+            granted = await self._send(owner.node, request)
+        now = self.context.now()
+        reserved_until = requested_at + (hold_s or self.context.tuning.reserve_s)
+        for decision in decisions:
+            task = decision.task
+            job.reserving.pop(task, None)
+            grant = granted.get(task)
+            if not decision.preempt:
+                self.candidates.resolve(decision.candidate, (job.index, task), grant is not None)
+            if grant is None or grant.evicting or job.cancelled or job.terminal_state:
+                self._retry_later(decision, grant, now)
+                continue
+            job.nominated.pop(task, None)
+            job.accumulating.discard(task)
+            target = TaskPlacement(
+                decision.candidate.index,
+                grant.session,
+                grant.attempt,
+                shard,
+                decision.candidate.zone,
+                state_since=now,
+                protected=decision.protected,
+                reserved_until=reserved_until,
+            )
+            if task not in job.placements:
+                job.pending_starts[task] = target
+            elif task not in job.pending_ends and hold_s:
+                await self._start_move(job, task, target)
+        writer = self.writers.get(job.shard)
+        if job.pending_starts and writer is not None and writer.shard.jobs.get(job.index) is job:
+            writer.shard.dirty_jobs.add(job.index)
+            await self.flush.set()
+
+    def _build_request(
+        self, decisions: list[PlacementDecision], hold_s: float
+    ) -> pb.ReserveRequest:
+        job, accumulate = decisions[0].job, decisions[0].accumulate
+        request = pb.ReserveRequest(
+            job=job_message(job),
+            preempt=decisions[0].preempt and not accumulate,
+            accumulate=accumulate,
+            quota_pressure=has_quota_pressure(self.context, job),
+            wait_s=wait_objective_s(self.context, job),
+            hold_s=hold_s,
+        )
+        for decision in decisions:
+            request.tasks.add(
+                task=decision.task,
+                attempt=job.attempts[decision.task] + 1,
+                machine=self.context.machine_names[decision.candidate.index],
+            )
+        return request
+
+    async def _send(self, node: int, request: pb.ReserveRequest) -> dict[int, pb.GrantedTask]:
+        """The granted tasks by number; none when the owner can't be reached."""
+        try:
+            if node == self.context.node:
+                reply = self.reserve_local(request)
+            else:
+                envelope = pb.Envelope(reserve_request=request)
+                timeout_s = self.context.tuning.reply_wait_s
+                reply = (await self.peers.call(node, envelope, timeout_s)).reserve_reply
+        except PeerUnavailableError as error:
+            log.info(
+                "reservation request failed: controller=%s error=%s",
+                self.context.node_name(node),
+                error,
+            )
+            return {}
+        return {grant.task: grant for grant in reply.granted}
+
+    def _retry_later(
+        self, decision: PlacementDecision, grant: pb.GrantedTask | None, now: float
+    ) -> None:
+        """The task has no reservation yet: its machine refused, or is still preempting for it."""
+        job, task = decision.job, decision.task
+        if not decision.preempt:
+            job.retry_at[task] = now + REFUSED_RETRY_S
+        elif grant is not None and grant.evicting:
+            nomination_s, retry_s = PREEMPTION_NOMINATION_S, PREEMPTION_RETRY_S
+            if decision.accumulate:
+                nomination_s, retry_s = self.overload_settings.gather_s, ACCUMULATE_RETRY_S
+            job.nominated.setdefault(task, (decision.candidate.index, now + nomination_s))
+            job.retry_at[task] = now + retry_s
+        else:
+            job.nominated.pop(task, None)
+            job.accumulating.discard(task)
+
+    async def _start_move(self, job: Job, task: int, target: TaskPlacement) -> None:
+        source = job.placements[task]
+        source.target = target
+        source.grace_s = job.grace_s
+        log.info(
+            "task move started: task=%s from_machine=%s to_machine=%s",
+            api.task_name(job.id, task),
+            self.context.machine_names[source.machine],
+            self.context.machine_names[target.machine],
+        )
+        writer = self.writers.get(job.shard)
+        if writer is not None and writer.shard.jobs.get(job.index) is job:
+            writer.shard.republish_task(job, task)
+        await self.wake.set()
--- a/starlingdeck/scheduling/scheduler.py
+++ b/starlingdeck/scheduling/scheduler.py
@@ -18,7 +18,7 @@
     task_filter,
     zone_filter,
 )
-from starlingdeck.scheduling.decision import PlacementDecision
+from starlingdeck.scheduling.decision import JobTaskCount, PlacementDecision
 from starlingdeck.scheduling.preemption import (
     cheapest_preemptions,
     fetch_cost,
@@ -61,7 +61,7 @@
             sum(max(0.0, candidate.available[0]) for candidate in self.candidates)
             - IDLE_RESERVE_SHARE * total
         )
-        self.unplaced: dict[int, tuple[Job, int]] = {}  # jobs, and how many tasks found no machine
+        self.unplaced: dict[int, JobTaskCount] = {}  # by job: tasks that found no machine
         self._full: set[SizeKey] = set()  # no machine has capacity for a task like these
         self._fitting: dict[SizeKey, list[Candidate]] = {}
 
@@ -79,7 +79,7 @@
             job.avoided_machines.clear()
             waiting = min(limit, job.unfinished - job.active_attempts())
             if waiting > 0:
-                self.unplaced[job.index] = (job, waiting)
+                self.unplaced[job.index] = JobTaskCount(job, waiting)
         return True
 
     def _limit(self, job: Job, limit: int) -> int:
@@ -126,7 +126,7 @@
             missed += placer.place(tasks, self.may_preempt, now)
             decisions = placer.decisions
         if missed > 0:
-            self.unplaced[job.index] = (job, missed)
+            self.unplaced[job.index] = JobTaskCount(job, missed)
         self.remaining -= len(decisions)
         self.idle_cpus -= job.spec.cpus * sum(not decision.preempt for decision in decisions)
         return decisions
@@ -271,7 +271,7 @@
     candidates: Sequence[Candidate],
     headroom: Callable[[Job], int],
     limit: int,
-) -> tuple[list[PlacementDecision], list[tuple[Job, int]]]:
+) -> tuple[list[PlacementDecision], list[JobTaskCount]]:
     """One whole cycle: its decisions, and how many of each job's tasks found no machine."""
     cycle = SchedulingCycle(context, candidates, headroom, limit)
     decisions = [
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -16,6 +16,7 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings
 from starlingdeck.scheduling.candidate_pool import UNANSWERED_RETENTION_S
+from starlingdeck.scheduling.decision import JobTaskCount
 from starlingdeck.scheduling.overload import OverloadController
 from starlingdeck.scheduling.planner import MAX_STRETCH_S
 from tests.support.builders import Clock, make_world, spec
@@ -81,7 +82,7 @@
         await node.planner.run_cycle()
         await curio.sleep(0)
 
-    node.planner.reserve_here = slow
+    node.planner.reservations.reserve_local = slow
     step = MAX_STRETCH_S * 2
     ticking = iter(range(10_000))
     node.context.now = lambda: 1000.0 + step * next(ticking)  # every look at the clock takes long
@@ -102,7 +103,7 @@
     for one in (placed, waits):
         jobs.jobs[one.index] = one
     overload = overloaded(node, placed, waits)
-    overload.on_cycle_end([(placed, 1), (waits, 1)])
+    overload.on_cycle_end([JobTaskCount(placed, 1), JobTaskCount(waits, 1)])
     placed.placements[0] = TaskPlacement(0, 1, 1, 2, 0)
     assert overload.below_minimum_share([waits]) == [(waits, 1)]
     assert overload.below_minimum_share([]) == []
@@ -226,7 +227,7 @@
         await curio.sleep(0)
 
     node.quota_transfer.quota.learn(0, [(3.0, 0.0), (10.0, 0.0), (11.0, 0.0)], 9)
-    node.planner.reserve_here = reserve
+    node.planner.reservations.reserve_local = reserve
     node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
     assert asked and len(asked) <= 6
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -127,7 +127,7 @@
             await curio.sleep(0)
             gossip = pb.Gossip.FromString(node.build_gossip().SerializeToString())
             await node.on_gossip(0, gossip)
-            demands = node.planner.all_demands()
+            demands = node.planner.demand.recent()
             candidates = node.candidates.candidates()
             policy.plan_rentals(
                 node.context, policy.FleetState(), demands, candidates, [], [], self.clock.at
