--- a/starlingdeck/scheduling/candidate_pool.py
+++ b/starlingdeck/scheduling/candidate_pool.py
@@ -1,6 +1,10 @@
-"""Every machine known, with its room by the newest views and less what was just asked for."""
+"""Every known machine as a placement candidate.
 
-from collections.abc import Collection
+A candidate's free capacity is that of the newest snapshot, less the pending allocations:
+reservations that this controller requested and the snapshot doesn't show yet.
+"""
+
+from collections.abc import Collection, Iterator
 
 from msgspec import Struct
 
@@ -12,19 +16,25 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
-UNANSWERED_RETENTION_S = 2.5  # how long room asked for counts as gone when no answer comes
-GRANTED_RETENTION_S = 0.4  # and how long after it was given: by then a view shows it
+UNANSWERED_RETENTION_S = 2.5  # how long a request without an answer counts as allocated
+GRANTED_RETENTION_S = 0.4  # how long after its grant: by then a snapshot shows it
+
+TaskKey = tuple[int, int]  # job index, task number
 
 
 class PendingAllocation(Struct):
+    """A requested reservation that the machine's snapshot may not show yet."""
+
     expires_at: float
     size: Resources
-    candidate: Candidate  # as it was picked
+    candidate: Candidate  # as it was when it was chosen
     image: str
     granted: bool = False
 
 
 class CandidatePool:
+    """The candidates of all machine shards, kept up to date with their snapshots."""
+
     def __init__(self, context: ControllerContext, membership: Membership, peers: Peers) -> None:
         self.context = context
         self.membership = membership
@@ -32,28 +42,30 @@
         self.shards: dict[int, dict[int, Candidate]] = {}
         self.snapshots: dict[int, ShardSnapshot] = {}
         self.owner_schedulable: dict[int, bool] = {}
-        self.pending_allocations: dict[int, dict[tuple[int, int], PendingAllocation]] = {}
-        self.changed = True
+        self.pending_allocations: dict[int, dict[TaskKey, PendingAllocation]] = {}
+        self.changed = True  # whether any machine has changed since the last scheduling cycle
 
-    def update(self, snapshot: ShardSnapshot, touched: Collection[int]) -> None:
-        """Machines of a shard have changed."""
+    def update(self, snapshot: ShardSnapshot, changed_machines: Collection[int]) -> None:
+        """Rebuild the candidates of a shard's machines that have changed."""
         if self.snapshots.get(snapshot.shard) is not snapshot:
-            # A new holder: what only the former one saw may be gone, and nobody would say so.
+            # A new owner: machines that only the former one knew may be gone, and no update
+            # would ever remove them.
             self.shards.pop(snapshot.shard, None)
             self.snapshots[snapshot.shard] = snapshot
         shard = self.shards.setdefault(snapshot.shard, {})
-        for index in touched:
-            entry = snapshot.machines.get(index)
-            candidate = self._candidate(snapshot, index, entry) if entry is not None else None
+        for index in changed_machines:
+            machine = snapshot.machines.get(index)
+            candidate = self._candidate(snapshot, index, machine) if machine is not None else None
             if candidate is not None:
                 shard[index] = candidate
             else:
                 shard.pop(index, None)
-        if shard and touched:
+        if shard and changed_machines:
             self.owner_schedulable.pop(snapshot.shard, None)
             self.changed = True
 
     def remove_shard(self, shard: int) -> None:
+        """Forget a machine shard and its machines."""
         self.shards.pop(shard, None)
         self.snapshots.pop(shard, None)
         self.owner_schedulable.pop(shard, None)
@@ -61,115 +73,130 @@
     def _candidate(
         self, snapshot: ShardSnapshot, index: int, machine: pb.MachineState
     ) -> Candidate | None:
+        """A machine's candidate; None while its type isn't known."""
         context = self.context
-        kind = context.machine_types.get(context.type_names.intern(machine.type))
-        if kind is None:
+        machine_type = context.machine_types.get(context.type_names.intern(machine.type))
+        if machine_type is None:
             return None
-        free = [machine.available_cpus, machine.available_gpus, machine.available_memory_gb]
-        for taken in self.pending_allocations.get(index, {}).values():
-            free = [f - s for f, s in zip(free, taken.size, strict=True)]
+        available = [machine.available_cpus, machine.available_gpus, machine.available_memory_gb]
+        for pending in self.pending_allocations.get(index, {}).values():
+            available = _subtract(available, pending.size)
         return Candidate(
             index,
             context.type_names.intern(machine.type),
             context.zone_names.intern(machine.zone),
             machine.spot,
             snapshot.shard,
-            machine_capacity(kind),
-            free,
+            machine_capacity(machine_type),
+            available,
             machine.schedulable,
             machine.lost,
             machine.draining,
             machine.termination_notice,
-            any(t.state != api.EXITED for t in machine.tasks),
+            any(task.state != api.EXITED for task in machine.tasks),
             machine.silent_s,
             machine.idle_s,
             observed_at=context.now(),
             owner_schedulable=machine.schedulable,
-            fetch_gb_per_s=kind.fetch_gb_per_s,
+            fetch_gb_per_s=machine_type.fetch_gb_per_s,
             images=set(machine.images),
             fetching=set(machine.fetching),
             youngest_s=list(machine.youngest_s),
             unconfirmed_s=machine.unconfirmed_s,
             tasks={
-                (j, t.task)
-                for t in machine.tasks
-                if (j := context.job_names.find(t.job)) is not None
+                (job, task.task)
+                for task in machine.tasks
+                if (job := context.job_names.find(task.job)) is not None
             },
         )
 
     def candidates(self) -> list[Candidate]:
-        """Rooms that a silent owner can't reserve are not drawable."""
+        """All candidates; those whose owner can't be asked now aren't schedulable."""
         now = self.context.now()
         self._expire(now)
         for shard, candidates in self.shards.items():
-            snapshot = self.snapshots[shard]
-            owner = self.membership.owners.get(shard)
-            near = (
-                owner is not None
-                and owner.epoch == snapshot.epoch
-                and self.peers.is_reachable(owner.node)
-            )
-            draws = (
-                near
-                and snapshot.owner_valid
-                and now - snapshot.received_at < self.context.tuning.expiry_s
-            )
-            if self.owner_schedulable.get(shard) is not draws:
-                self.owner_schedulable[shard] = draws
+            schedulable = self._owner_can_reserve(shard, now)
+            if self.owner_schedulable.get(shard) is not schedulable:
+                self.owner_schedulable[shard] = schedulable
                 for candidate in candidates.values():
-                    candidate.schedulable = draws and candidate.owner_schedulable
-        return [room for rooms in self.shards.values() for room in rooms.values()]
+                    candidate.schedulable = schedulable and candidate.owner_schedulable
+        return [
+            candidate for candidates in self.shards.values() for candidate in candidates.values()
+        ]
+
+    def _owner_can_reserve(self, shard: int, now: float) -> bool:
+        """Whether a shard's snapshot is fresh, of its present owner, and that one reachable."""
+        snapshot = self.snapshots[shard]
+        owner = self.membership.owners.get(shard)
+        return (
+            owner is not None
+            and owner.epoch == snapshot.epoch
+            and self.peers.is_reachable(owner.node)
+            and snapshot.owner_valid
+            and now - snapshot.received_at < self.context.tuning.expiry_s
+        )
 
-    # --- what was asked for, and is not yet shown
+    # --- pending allocations
 
-    def allocate(
-        self, candidate: Candidate, key: tuple[int, int], size: Resources, image: str
-    ) -> None:
-        """The picker has lowered the room's free amounts already, and marked the task there."""
-        until = self.context.now() + UNANSWERED_RETENTION_S
+    def allocate(self, candidate: Candidate, key: TaskKey, size: Resources, image: str) -> None:
+        """Record a requested reservation of one task.
+
+        The scheduler has already reduced the candidate's free capacity and noted the task there.
+        """
+        expires_at = self.context.now() + UNANSWERED_RETENTION_S
         self.pending_allocations.setdefault(candidate.index, {})[key] = PendingAllocation(
-            until, size, candidate, image
+            expires_at, size, candidate, image
         )
         current = self._current(candidate.index)
         if current is not None and current is not candidate:
-            # Shown anew while the picker gave way to others.
-            current.available = [f - s for f, s in zip(current.available, size, strict=True)]
-
-    def resolve(self, candidate: Candidate, key: tuple[int, int], given: bool) -> None:
-        taken = self.pending_allocations.get(candidate.index, {}).get(key)
-        if taken is not None and given:
-            taken.expires_at, taken.granted = self.context.now() + GRANTED_RETENTION_S, True
-        elif taken is not None:
-            self._return(candidate.index, key)
+            # A snapshot arrived while the scheduling cycle yielded.
+            current.available = _subtract(current.available, size)
+
+    def resolve(self, candidate: Candidate, key: TaskKey, granted: bool) -> None:
+        """Record the answer to a requested reservation: a refused one is no longer pending."""
+        pending = self.pending_allocations.get(candidate.index, {}).get(key)
+        if pending is None:
+            return
+        if granted:
+            pending.expires_at = self.context.now() + GRANTED_RETENTION_S
+            pending.granted = True
+        else:
+            self._release(candidate.index, key)
 
     def _current(self, index: int) -> Candidate | None:
         return next(
             (candidates[index] for candidates in self.shards.values() if index in candidates), None
         )
 
-    def _return(self, index: int, key: tuple[int, int]) -> None:
-        taken = self.pending_allocations[index].pop(key)
+    def _release(self, index: int, key: TaskKey) -> None:
+        """Return a pending allocation's size to the machine's free capacity."""
+        pending = self.pending_allocations[index].pop(key)
         others = self.pending_allocations[index].values()
         candidate = self._current(index)
         if candidate is not None:
             candidate.available = [
-                f + s for f, s in zip(candidate.available, taken.size, strict=True)
+                available + size
+                for available, size in zip(candidate.available, pending.size, strict=True)
             ]
-        if candidate is taken.candidate and not taken.granted:
-            # Else the task would pass the machine over, and its image would count as on its
-            # way there, until the machine is shown again.
+        if candidate is pending.candidate and not pending.granted:
+            # Otherwise the task would avoid the machine, and its image would count as being
+            # fetched there, until the next snapshot of the machine.
             candidate.tasks.discard(key)
-            if not any(other.image == taken.image for other in others):
-                candidate.fetching.discard(taken.image)
+            if not any(other.image == pending.image for other in others):
+                candidate.fetching.discard(pending.image)
         if not others:
             del self.pending_allocations[index]
 
     def _expire(self, now: float) -> None:
-        late = [
-            (index, key)
-            for index, keys in self.pending_allocations.items()
-            for key, taken in keys.items()
-            if taken.expires_at <= now
-        ]
-        for index, key in late:
-            self._return(index, key)
+        for index, key in list(self._expired(now)):
+            self._release(index, key)
+
+    def _expired(self, now: float) -> Iterator[tuple[int, TaskKey]]:
+        for index, pending_by_task in self.pending_allocations.items():
+            for key, pending in pending_by_task.items():
+                if pending.expires_at <= now:
+                    yield index, key
+
+
+def _subtract(available: list[float], size: Resources) -> list[float]:
+    return [amount - taken for amount, taken in zip(available, size, strict=True)]
