--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -1,15 +1,13 @@
-"""This controller's part in what is agreed under overload (docs/design/overload.md).
+"""Minimum shares under overload, at one controller (docs/design/overload.md).
 
-What its shards have to run, and to run it on, goes out with the greetings; from what comes in
-every controller reckons the same shares, and each shard spends only its own.
+The demand and capacity of a controller's shards are published with its gossip. From what they
+receive all controllers compute the same shares, and each shard spends only its own part.
 """
 
 import logging
 from collections.abc import Iterable, Mapping, Sequence
 
-from msgspec import Struct
-
-from starlingdeck.context import ControllerContext, machine_capacity
+from starlingdeck.context import ControllerContext, Resources, machine_capacity
 from starlingdeck.fairness import minimum_share
 from starlingdeck.fairness.demand_snapshot import (
     ClassDemand,
@@ -22,38 +20,32 @@
 from starlingdeck.fairness.fair_share import FairShares, compute_fair_shares, dominant_share
 from starlingdeck.fairness.minimum_share import WorkItem
 from starlingdeck.jobs.job import Job
+from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
-from starlingdeck.metrics import counters
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings
+from starlingdeck.scheduling.churn import ChurnMeter
 from starlingdeck.scheduling.decision import JobTaskCount
 from starlingdeck.scheduling.priority import priority_key
+from starlingdeck.scheduling.waiting_jobs import WaitingJobs
 
 log = logging.getLogger(__name__)
 
-PROTECT_INTERVAL_S = 0.5  # (start) how often it is looked which tasks are kept
-EVENT_HALF_LIFE_S = 10.0  # (start) how soon half of what was stopped is no longer lately
-MIN_RECENT_STARTS = 20.0  # starts lately: of fewer, so many count
-REFRESH_INTERVAL_S = 0.25  # (start) how often our parts are summed up anew
-OVERLOAD_HOLD_S = (
-    10.0  # (start) an overload lasts this long after the last task that found no machine
-)
-MAX_CLASS_NAME = 200  # characters of a name that a peer may send
-
-
-class Waits(Struct):
-    """A job whose tasks find no machine. `most` is what it had got furthest with, `at` when it was
-    last seen to wait."""
-
-    since: float
-    most: int
-    tasks: int = 0
-    at: float = 0.0
+PROTECT_INTERVAL_S = 0.5  # (start) between updates of which running tasks are protected
+REFRESH_INTERVAL_S = 0.25  # (start) between updates of the demand of the shards owned here
+OVERLOAD_HOLD_S = 10.0  # (start) an overload lasts this long after the last impatient job's wait
+MAX_CLASS_NAME = 200  # characters of a class name that a peer may send
+MAX_PEER_LOADS = 1000  # classes of one shard that a peer may send
+MAX_PEER_AMOUNT = 1e12
+NEVER = -1e9
 
 
 class OverloadController:
-    """Off until something waits for a machine for longer than `patience_s`, at any controller."""
+    """Detects overload, and keeps a minimum share of the fleet for every team's classes.
+
+    Inactive until a job waits for a machine for longer than `patience_s`, at any controller.
+    """
 
     def __init__(
         self,
@@ -68,101 +60,101 @@
         self.settings = settings
         self.demand = DemandSnapshot()
         self.shares = FairShares()
-        self.waiting_jobs: dict[int, Waits] = {}
-        self.overloaded_at = -1e9
-        self.refreshed_at = -1e9
-        self.seq = 0
-        self.seen_events = [0, 0]  # tasks started and stopped here, when last looked at
-        self.recent_events = [0.0, 0.0]  # and of those lately
+        self.waiting_jobs = WaitingJobs()
+        self.churn = ChurnMeter()
+        self.overloaded_at = NEVER
+        self.refreshed_at = NEVER
+        self.seq = 0  # of the published demand
         self.protect_at = 0.0
-        self.protecting = False  # whether any running task may be marked as kept
+        self.protecting = False  # whether any running task may be protected
 
     @staticmethod
     def team_class(job: Job) -> TeamClass:
+        """The team and class that a job's tasks count for."""
         return job.team, job.spec.cls
 
-    # --- one picture
+    # --- the demand snapshot that all controllers share
 
     def add_to_gossip(self, gossip: pb.Gossip) -> None:
+        """Publish the demand and capacity of the shards owned here."""
         self.refresh()
         for shard in self.writers:
             part = self.demand.shards.get(shard)
             if part is None:
                 continue
             item = gossip.shard_demands.add(
-                shard=part.shard, token=part.token, seq=part.seq, overloaded=part.overloaded,
+                shard=part.shard,
+                token=part.token,
+                seq=part.seq,
+                overloaded=part.overloaded,
                 capacity=part.capacity,
-            )  # fmt: skip
+            )
             for (team, name), load in part.loads.items():
                 item.loads.add(team=team, cls=name, running=load.running, waiting=load.waiting)
 
     def receive_gossip(self, gossip: pb.Gossip) -> None:
+        """Record what another controller published of its shards; malformed amounts count as 0."""
         now = self.context.now()
         for item in gossip.shard_demands[: self.context.shard_count]:
             if item.shard >= self.context.shard_count or item.shard in self.writers:
                 continue
             loads = {
                 (load.team, load.cls[:MAX_CLASS_NAME]): ClassDemand(
-                    _size(load.running), _size(load.waiting)
+                    _valid_resources(load.running), _valid_resources(load.waiting)
                 )
-                for load in item.loads[:1000]
+                for load in item.loads[:MAX_PEER_LOADS]
             }
-            capacity = _size(item.capacity)
+            capacity = _valid_resources(item.capacity)
             part = ShardDemand(
                 item.shard, item.token, item.seq, capacity, bounded(loads), item.overloaded
             )
             self.demand.update(part, now)
 
     def refresh(self) -> None:
-        """Sum up our shards' parts, and reckon the shares from all that are known."""
+        """Update the demand of the shards owned here, and the shares from all known demand."""
         now = self.context.now()
         if now - self.refreshed_at < REFRESH_INTERVAL_S:
             return
-        faded = 0.5 ** (min(now - self.refreshed_at, 60.0) / EVENT_HALF_LIFE_S)
+        self.churn.update(self.context.counters, now - self.refreshed_at)
         self.refreshed_at = now
-        totals = self.context.counters.totals
-        events = [totals[counters.STARTED], totals[counters.STOPPED]]
-        fresh = (a - b for a, b in zip(events, self.seen_events, strict=True))
-        self.recent_events = [
-            old * faded + new for old, new in zip(self.recent_events, fresh, strict=True)
-        ]
-        self.seen_events = events
-        pressed = now - self.overloaded_at < OVERLOAD_HOLD_S
+        overloaded = now - self.overloaded_at < OVERLOAD_HOLD_S
         self.seq += 1
         for shard, writer in self.writers.items():
             if writer.shard.loaded:
-                loads = bounded(self._loads(writer))
+                loads = bounded(self._loads(writer.shard))
                 part = ShardDemand(
-                    shard, writer.shard.token, self.seq, self._capacity(shard), loads, pressed
+                    shard, writer.shard.token, self.seq, self._capacity(shard), loads, overloaded
                 )
                 self.demand.update(part, now)
         parts = self.demand.known(now, self.context.tuning.expiry_s)
         shares = compute_fair_shares(parts, self.context.shard_count, self.settings.floor)
         if shares.overload != self.shares.overload:
-            log.info(
-                "overload %s, by %s", "begins" if shares.overload else "is over", shares.signals
-            )
+            change = "began" if shares.overload else "ended"
+            log.info("overload %s: signals=%s", change, shares.signals)
         self.shares = shares
 
-    def _capacity(self, shard: int) -> tuple[float, float, float]:
-        machines = self.machines.get(shard)
-        found = machines.machines.values() if machines is not None else ()
-        well = [
-            machine
-            for machine in found
+    def _capacity(self, shard: int) -> Resources:
+        """The capacity of a machine shard's machines that take new work."""
+        machine_shard = self.machines.get(shard)
+        machines = machine_shard.machines.values() if machine_shard is not None else ()
+        types = [
+            self.context.machine_types.get(machine.type)
+            for machine in machines
             if not (machine.lost or machine.draining or machine.faulty_since is not None)
         ]
-        kinds = [self.context.machine_types.get(machine.type) for machine in well]
-        return total(machine_capacity(kind) for kind in kinds if kind is not None)
-
-    def _loads(self, writer: RecordWriter) -> dict[TeamClass, ClassDemand]:
-        running: dict[TeamClass, list[tuple[float, float, float]]] = {}
-        waiting: dict[TeamClass, list[tuple[float, float, float]]] = {}
-        for job in writer.shard.jobs.values():
-            pair, wait = self.team_class(job), self.waiting_jobs.get(job.index)
+        return total(
+            machine_capacity(machine_type) for machine_type in types if machine_type is not None
+        )
+
+    def _loads(self, shard: JobShard) -> dict[TeamClass, ClassDemand]:
+        """What a job shard's running and waiting tasks need, by team and class."""
+        running: dict[TeamClass, list[Resources]] = {}
+        waiting: dict[TeamClass, list[Resources]] = {}
+        for job in shard.jobs.values():
+            pair = self.team_class(job)
             for tasks, sizes in (
                 (job.active_attempts(), running),
-                (wait.tasks if wait is not None else 0, waiting),
+                (self.waiting_jobs.tasks(job.index), waiting),
             ):
                 if tasks:
                     cpus, gpus, memory_gb = job.size
@@ -173,46 +165,45 @@
             for pair in running.keys() | waiting.keys()
         }
 
-    # --- our part of it
+    # --- the part of the shards owned here
 
     def own_share(self, pair: TeamClass) -> float:
+        """The minimum share of a team's class that the shards owned here may spend."""
         return sum(self.shares.shard_share(shard, pair) for shard in self.writers)
 
     def is_churning(self) -> bool:
-        """Whether more than `churn` of what was started here lately was stopped for others."""
-        started, stopped = self.recent_events
-        return self.shares.overload and stopped > self.settings.churn * max(
-            started, MIN_RECENT_STARTS
-        )
+        """Whether more than the setting `churn` of the recent starts here were preempted."""
+        return self.shares.overload and self.churn.exceeds(self.settings.churn)
 
-    def works(self, jobs: Iterable[Job], kept: bool = False) -> list[WorkItem]:
-        """`kept`: with how many tasks of each are kept now."""
+    def _work_items(self, jobs: Iterable[Job], count_protected: bool = False) -> list[WorkItem]:
+        """The jobs as the minimum shares are computed from, optionally with protected tasks."""
         now_ms = self.context.wall_clock_ms()
-        found = []
+        items = []
         for job in jobs:
-            wait = self.waiting_jobs.get(job.index)
-            tasks = wait.tasks if wait is not None else 0
-            share = dominant_share(job.size, self.shares.capacity)
-            late = bool(tasks) and priority_key(self.context, job, now_ms)[0]
-            # A task that a machine is kept for has its part already: else more and more were.
+            waiting = self.waiting_jobs.tasks(job.index)
+            late = bool(waiting) and priority_key(self.context, job, now_ms)[0]
+            # A task that a machine accumulates capacity for counts as running: otherwise more
+            # and more machines were asked.
             running = job.active_attempts() + len(job.accumulating & job.nominated.keys())
-            many = sum(placement.protected for placement in job.placements.values()) if kept else 0
-            found.append(
+            protected = 0
+            if count_protected:
+                protected = sum(placement.protected for placement in job.placements.values())
+            items.append(
                 WorkItem(
                     job.index,
                     self.team_class(job),
                     job.submitted_ms,
-                    share,
+                    dominant_share(job.size, self.shares.capacity),
                     running,
-                    tasks,
-                    many,
+                    waiting,
+                    protected,
                     late,
                 )
             )
-        return found
+        return items
 
     def protect_tasks(self) -> None:
-        """Mark the running tasks that nothing may stop for others."""
+        """Mark the running tasks that may not be preempted, within the minimum shares."""
         self.refresh()
         now = self.context.now()
         if now < self.protect_at or not (self.shares.overload or self.protecting):
@@ -220,26 +211,24 @@
         self.protect_at = now + PROTECT_INTERVAL_S
         self.protecting = self.shares.overload
         shards = [writer.shard for writer in self.writers.values() if writer.shard.loaded]
-        kept: dict[int, int] = {}
+        protected: dict[int, int] = {}
         if self.shares.overload:
-            jobs = [j for shard in shards for j in shard.jobs.values() if j.placements]
-            kept = minimum_share.protected_work(self.works(jobs, True), self.own_share)
+            jobs = [job for shard in shards for job in shard.jobs.values() if job.placements]
+            protected = minimum_share.protected_work(self._work_items(jobs, True), self.own_share)
         for shard in shards:
             for job in shard.jobs.values():
-                if not job.placements:
-                    continue
-                tasks = kept.get(job.index, 0)
-                for n, task in enumerate(sorted(job.placements)):
-                    placement = job.placements[task]
-                    if placement.protected != (n < tasks):
-                        placement.protected = n < tasks
-                        shard.republish_task(job, task)
+                if job.placements:
+                    _protect(shard, job, protected.get(job.index, 0))
 
     def below_minimum_share(self, jobs: Sequence[Job]) -> list[JobTaskCount]:
-        """Of the jobs of a plan, in its order: those that go before all others, and with how
-        many tasks."""
-        below = self._below() if self.shares.overload else set()
-        planned = {job.index: job for job in jobs if self._named(self.team_class(job)) in below}
+        """The jobs that go before all others, and with how many tasks.
+
+        `jobs` are those of a scheduling cycle, in its order.
+        """
+        below = self._classes_below_share() if self.shares.overload else set()
+        planned = {
+            job.index: job for job in jobs if self._share_owner(self.team_class(job)) in below
+        }
         if not planned:
             return []
         others = [
@@ -248,15 +237,18 @@
             for job in writer.shard.jobs.values()
             if job.placements
             and job.index not in planned
-            and self._named(self.team_class(job)) in below
+            and self._share_owner(self.team_class(job)) in below
         ]
-        found = minimum_share.below_share(self.works([*planned.values(), *others]), self.own_share)
-        # A job that waited when the last plan ended may have nothing left that waits.
+        items = self._work_items([*planned.values(), *others])
+        found = minimum_share.below_share(items, self.own_share)
+        # A job that waited when the last cycle ended may have no waiting tasks any more.
         return [JobTaskCount(planned[index], tasks) for index, tasks in found if index in planned]
 
-    def _below(self) -> set[TeamClass]:
-        """Pairs that ran less than our part of their floors when our parts were last told: only
-        their jobs are looked at one by one."""
+    def _classes_below_share(self) -> set[TeamClass]:
+        """Classes that ran less than their share here at the last refresh.
+
+        Only the jobs of these are examined one by one.
+        """
         running: dict[TeamClass, float] = {}
         for shard in self.writers:
             part = self.demand.shards.get(shard)
@@ -265,57 +257,57 @@
                 running[pair] = running.get(pair, 0.0) + share
         return {pair for pair, share in running.items() if share < self.own_share(pair)}
 
-    def _named(self, pair: TeamClass) -> TeamClass:
+    def _share_owner(self, pair: TeamClass) -> TeamClass:
+        """The entry of the shares that a class belongs to: its own, or its team's remainder."""
         return pair if pair in self.shares.minimum_shares else (pair[0], "")
 
-    def on_cycle_end(self, waiting: Iterable[JobTaskCount]) -> None:
-        """A plan is over: these jobs' tasks found no machine."""
-        now, any_ = self.context.now(), False
-        for wait in self.waiting_jobs.values():
-            wait.tasks = 0
-        for job, tasks in waiting:
-            had, wait_of = job.active_attempts() + job.completed, self.waiting_jobs.get(job.index)
-            if wait_of is None or had > wait_of.most:
-                # Work that is started and stopped again and again gets no further.
-                wait_of = self.waiting_jobs[job.index] = Waits(now, had)
-            wait_of.tasks, wait_of.at, any_ = tasks, now, True
-            if now - wait_of.since >= self.settings.patience_s:
-                self.overloaded_at = now
-        self._forget(now)
-        if any_ and self.shares.overload and now - self.overloaded_at < OVERLOAD_HOLD_S:
-            # What is kept for those below their floor ends their long waits, not the overload.
+    # --- waits
+
+    def on_cycle_end(self, unplaced: Iterable[JobTaskCount]) -> None:
+        """Record which jobs' tasks found no machine in a cycle."""
+        now = self.context.now()
+        longest_wait_s = self.waiting_jobs.record(unplaced, now)
+        if longest_wait_s is not None and longest_wait_s >= self.settings.patience_s:
+            self.overloaded_at = now
+        self.waiting_jobs.expire(now, self.settings.patience_s)
+        lasting = self.shares.overload and now - self.overloaded_at < OVERLOAD_HOLD_S
+        if longest_wait_s is not None and lasting:
+            # What is kept for those below their minimum share ends their waits, not the overload.
             self.overloaded_at = now
 
     def on_idle(self) -> None:
-        for wait in self.waiting_jobs.values():
-            wait.tasks = 0
-        self._forget(self.context.now())
-
-    def _forget(self, now: float) -> None:
-        """A job that ran on for long enough waits anew when it is stopped."""
-        patience_s = self.settings.patience_s
-        self.waiting_jobs = {
-            job: w for job, w in self.waiting_jobs.items() if now - w.at < patience_s
-        }
+        """Record that nothing waits."""
+        self.waiting_jobs.clear_tasks()
+        self.waiting_jobs.expire(self.context.now(), self.settings.patience_s)
 
     def lines(self) -> list[str]:
+        """The regular log line with the minimum shares; none without overload."""
         shares = self.shares
         if not shares.overload:
             return []
-        own = {pair: self.own_share(pair) for pair in shares.minimum_shares}
-        told = ", ".join(
-            f"{self._team(pair[0])}/{pair[1] or 'others'} {floor:.3f} of all, {own[pair]:.3f} here"
-            for pair, floor in sorted(shares.minimum_shares.items())
+        parts = ", ".join(
+            f"{self._team_name(team)}/{name or 'others'}={share:.3f} "
+            f"own={self.own_share((team, name)):.3f}"
+            for (team, name), share in sorted(shares.minimum_shares.items())
         )
-        return [f"overload: floors {told}; by {shares.signals}"]
+        return [f"minimum shares: {parts}; signals={shares.signals}"]
 
-    def _team(self, team: int) -> str:
+    def _team_name(self, team: int) -> str:
         teams = self.context.settings.settings.teams
         return teams[team].name if team < len(teams) else str(team)
 
 
-def _size(amounts: Sequence[float]) -> tuple[float, float, float]:
-    """What a peer sent as a size; nothing where it is none."""
-    if len(amounts) != 3 or not all(0 <= a < 1e12 for a in amounts):
+def _protect(shard: JobShard, job: Job, tasks: int) -> None:
+    """Protect the first `tasks` running tasks of a job, and no others."""
+    for position, task in enumerate(sorted(job.placements)):
+        placement = job.placements[task]
+        if placement.protected != (position < tasks):
+            placement.protected = position < tasks
+            shard.republish_task(job, task)
+
+
+def _valid_resources(amounts: Sequence[float]) -> Resources:
+    """Resources that a peer sent; zeros where they are malformed."""
+    if len(amounts) != 3 or not all(0 <= amount < MAX_PEER_AMOUNT for amount in amounts):
         return 0.0, 0.0, 0.0
     return amounts[0], amounts[1], amounts[2]
