--- a/starlingdeck/api/heartbeat_api.py
+++ b/starlingdeck/api/heartbeat_api.py
@@ -1,14 +1,15 @@
-"""The workers' door: their reports, and where to send those that are not ours."""
+"""The workers' HTTP API: heartbeats (reports), and the redirection of misrouted ones."""
 
 import logging
 import math
 from collections.abc import Mapping
+from typing import NamedTuple
 
 import curio
 import msgspec
 from msgspec import Struct
 
-from starlingdeck.api.job_api import error_response
+from starlingdeck.api.responses import error_response
 from starlingdeck.cluster.membership import Membership, ShardOwner
 from starlingdeck.cluster.peers import Peers, PeerUnavailableError
 from starlingdeck.cluster.sharding import shard_of_machine
@@ -21,27 +22,35 @@
 
 log = logging.getLogger(__name__)
 
-REPORT = "REPORT"
-SILENT_S = 5.0  # what a worker loses at each node that doesn't answer it
-SLACK_S = 3.0
-SETTLED_S = 10.0  # (start) how long after a new hold its workers still come from the former one
-MISROUTED_RETENTION_S = (
-    15.0  # how long a stray's reports are passed on before it may be sent there again
-)
-PASS_ON_S = 1.5
-WATERMARK_WAIT_S = 1.5  # (start) how long a report waits for a first word; its worker waits 4 s
+REPORT = "REPORT"  # method of a forwarded heartbeat
+RESPONSE_TIMEOUT_S = 5.0  # what a worker loses at each controller that doesn't answer it
+RETURN_MARGIN_S = 3.0
+OWNERSHIP_SETTLED_S = 10.0  # (start) until a new owner has announced its token to its workers
+MISROUTED_RETENTION_S = 15.0  # heartbeats are forwarded this long before the owner is tried again
+FORWARD_TIMEOUT_S = 1.5
+WATERMARK_WAIT_S = 1.5  # (start) for a first cancellation watermark; the worker waits 4 s
 WATERMARK_POLL_S = 0.1
-NOBODY = -1
+NO_MACHINE = -1
+NEVER = -1e9
 
 
-class Trial(Struct):
-    """One stray that was sent to its holder, to see whether workers reach it again."""
+class RedirectTrial(Struct):
+    """One misrouted worker that was redirected, to see whether workers reach the owner again."""
 
-    machine: int  # NOBODY: one came back, and nobody is sent until STRAY_S after
-    at: float
+    machine: int  # NO_MACHINE: one came back; none is sent until MISROUTED_RETENTION_S is over
+    started_at: float
+
+
+class ObservedOwnership(NamedTuple):
+    """An ownership of a shard, and when this controller first knew of it."""
+
+    epoch: int
+    observed_at: float
 
 
 class HeartbeatApi:
+    """Applies the heartbeats of machines owned here; redirects or forwards all others."""
+
     def __init__(
         self,
         context: ControllerContext,
@@ -53,27 +62,29 @@
         self.membership = membership
         self.peers = peers
         self.machines = machines
-        # A worker sent to a silent holder may try all other controllers before it is back.
-        self.come_back_s = SILENT_S * (context.shard_count - 1) + SLACK_S
-        self.trials: dict[int, Trial] = {}  # by holder
-        self.since: dict[int, tuple[int, float]] = {}  # shard -> a hold, and when we heard of it
-        self.redirected: dict[int, float] = {}
-        self.misrouted: dict[int, float] = {}
-        self.sources: dict[int, float] = {}
-        self.has_updates = False  # whether a report has shown something new
-
-    async def handle(self, body: bytes, passed_on: bool = False) -> Response:
+        # A worker redirected to a silent owner may try all other controllers before it is back.
+        self.max_return_s = RESPONSE_TIMEOUT_S * (context.shard_count - 1) + RETURN_MARGIN_S
+        self.trials: dict[int, RedirectTrial] = {}  # by the owner's node
+        self.ownerships: dict[int, ObservedOwnership] = {}  # by shard
+        # By machine, the time of:
+        self.redirected: dict[int, float] = {}  # its last redirect
+        self.misrouted: dict[int, float] = {}  # the first sign that it can't reach its owner
+        self.sources: dict[int, float] = {}  # its last heartbeat forwarded as a newcomer's
+        self.has_updates = False  # whether a heartbeat has shown anything new
+
+    async def handle(self, body: bytes, forwarded: bool = False) -> Response:
+        """Answer one heartbeat, from the worker itself or as forwarded by a peer."""
         try:
             report = api.decode_report(body)
         except api.ValidationError as error:
-            log.info("a report was refused: %s", error)
+            log.info("heartbeat refused: error=%s", error)
             return error_response(400, str(error))
         shard = shard_of_machine(report.machine, report.zone, self.context.shard_zones)
         machines = self.machines.get(shard)
         if machines is None or report.token > machines.token:
-            if passed_on:
-                return Response(421, msgspec.json.encode(api.Redirect(None)))
-            return await self._redirect(report, shard, body)
+            if forwarded:
+                return _redirect_response(None)
+            return await self._redirect_or_forward(report, shard, body)
         if not self.membership.may_renew_worker_leases():
             return error_response(503, "cut off from the state service")
         if machines.is_stale_report(report):
@@ -83,35 +94,41 @@
         if not await self._is_confirmed(shard, machines, machine):
             self.has_updates = True
             return error_response(503, "no word from a job's holder")
+        return self._renew_lease(report, machines, machine)
+
+    def _renew_lease(
+        self, report: api.Report, machines: MachineShard, machine: Machine
+    ) -> Response:
+        """Renew the worker's lease, with the commands that are due for it."""
         valid = self.membership.lease_is_valid()
-        newer = machine.position() == (report.session, report.seq)  # nothing has overtaken it
+        newest = machine.position() == (report.session, report.seq)  # nothing has overtaken it
         if machines.to_reconcile or machines.changed:
             self.has_updates = True
-        commands = machines.pending_commands(machine, valid) if newer else []
-        if newer and valid:
+        commands = machines.pending_commands(machine, valid) if newest else []
+        if newest and valid:
             commands += machines.piggybacked_starts(machine)
         return Response(200, msgspec.json.encode(api.ReportReply(machines.token, commands)))
 
     async def _is_confirmed(self, shard: int, machines: MachineShard, machine: Machine) -> bool:
-        """Whether what runs on a machine may go on: all its jobs' holders have spoken lately.
+        """Whether what runs on a machine may go on: its jobs' owners have confirmed it lately.
 
-        After a takeover their first lists are some tenths of a second away: sent on, the worker
-        would lose a second and be sent back.
+        After a takeover their first desired states are some tenths of a second away: redirected,
+        the worker would lose a second and be sent back.
         """
-        looks = int(WATERMARK_WAIT_S / WATERMARK_POLL_S)
-        while (age := machines.watermark_age_s(machine)) > self.context.watermark_lifetime_s:
-            if age < math.inf or not looks:
+        polls = int(WATERMARK_WAIT_S / WATERMARK_POLL_S)
+        while (age_s := machines.watermark_age_s(machine)) > self.context.watermark_lifetime_s:
+            if age_s < math.inf or not polls:
                 machines.unconfirmed_reports += 1
                 return False
-            looks -= 1
+            polls -= 1
             await curio.sleep(WATERMARK_POLL_S)
         return self.machines.get(shard) is machines and self.membership.may_renew_worker_leases()
 
-    def redirect(self, shard: int) -> str | None:
-        """The node to report to; none while we can't reach the holder.
+    def owner_to_report_to(self, shard: int) -> str | None:
+        """The name of the controller to report to; None while we can't reach the owner.
 
-        A worker that is sent to a silent node waits 4 s for it and has 1 s more to wait
-        for the next: twice that, and its lease is over.
+        A worker that is redirected to a silent controller waits 4 s for it and has 1 s more to
+        wait for the next: twice that, and its lease is over.
         """
         owner = self.membership.owners.get(shard)
         if (
@@ -122,62 +139,73 @@
             return None
         return self.context.node_name(owner.node)
 
-    async def _redirect(self, report: api.Report, shard: int, body: bytes) -> Response:
-        """Send a worker to its holder, or pass its report on when it can't reach that.
+    async def _redirect_or_forward(self, report: api.Report, shard: int, body: bytes) -> Response:
+        """Redirect a worker to its owner, or forward its heartbeat when it can't reach the owner.
 
-        A worker may be unable to reach a holder that we can reach; each try there costs it
-        5 s of its lease, and it may have made one already. So its report is passed on
-        first, and only its next one is sent away. Back again soon, or here though it was
-        served there, it is heard through us for a while; then one of such strays is
-        sent there again, to see. With another controller silent as well a worker was back later
-        than it was expected: 96 of them were sent away each time, and lost three leases.
+        A worker may be unable to reach an owner that we can reach; each try there costs it
+        5 s of its lease, and it may have made one already. So its heartbeat is forwarded
+        first, and only its next one is redirected. Back again soon, or here though it was
+        served there, its heartbeats are forwarded for a while; then one of such workers is
+        redirected again, as a trial. With another controller silent as well a worker was back
+        later than expected: 96 of them were redirected each time, and lost three leases.
         """
-        name = self.redirect(shard)
+        owner_name = self.owner_to_report_to(shard)
         now = self.context.now()
         machine = self.context.machine_names.intern(report.machine)
-        if name is None:
-            return Response(421, msgspec.json.encode(api.Redirect(None)))
+        if owner_name is None:
+            return _redirect_response(None)
         owner = self.membership.owners[shard]
-        if self._handle_misrouted(report, machine, shard, owner, now):
-            send = self._may_try(machine, owner.node, now)
+        if self._is_misrouted(report, machine, shard, owner, now):
+            redirect = self._start_trial(machine, owner.node, now)
         else:
-            # A new face is heard once, so that it goes there with its whole lease.
-            send = now - self.sources.get(machine, -1e9) < MISROUTED_RETENTION_S
+            # A newcomer's first heartbeat is forwarded, so that it leaves with its whole lease.
+            redirect = now - self.sources.get(machine, NEVER) < MISROUTED_RETENTION_S
             self.sources[machine] = now
-        if send:
+        if redirect:
             self.misrouted.pop(machine, None)
             self.redirected[machine] = now
-            return Response(421, msgspec.json.encode(api.Redirect(name)))
-        ask = pb.Envelope(forward_request=pb.ForwardRequest(method=REPORT, body=body))
+            return _redirect_response(owner_name)
+        return await self._forward(report, owner.node, body)
+
+    async def _forward(self, report: api.Report, node: int, body: bytes) -> Response:
+        envelope = pb.Envelope(forward_request=pb.ForwardRequest(method=REPORT, body=body))
         try:
-            reply = (await self.peers.call(owner.node, ask, PASS_ON_S)).forward_reply
+            reply = (await self.peers.call(node, envelope, FORWARD_TIMEOUT_S)).forward_reply
             return Response(reply.status, reply.body)
         except PeerUnavailableError as error:
-            log.info("report of %s not passed on: %s", report.machine, error)
-            return Response(421, msgspec.json.encode(api.Redirect(None)))
+            log.info("heartbeat not forwarded: machine=%s error=%s", report.machine, error)
+            return _redirect_response(None)
 
-    def _handle_misrouted(
+    def _is_misrouted(
         self, report: api.Report, machine: int, shard: int, owner: ShardOwner, now: float
     ) -> bool:
-        """Whether a worker is here because its holder doesn't answer it."""
-        hold = self.since.get(shard)
-        if hold is None or hold[0] != owner.epoch:
-            hold = self.since[shard] = (owner.epoch, now)
+        """Whether a worker reports here because its owner doesn't answer it."""
+        ownership = self.ownerships.get(shard)
+        if ownership is None or ownership.epoch != owner.epoch:
+            ownership = self.ownerships[shard] = ObservedOwnership(owner.epoch, now)
         trial = self.trials.get(owner.node)
-        if now - self.redirected.pop(machine, -1e9) < self.come_back_s:
-            if trial is None or trial.machine in (machine, NOBODY):
-                self.trials[owner.node] = Trial(NOBODY, now)
+        if now - self.redirected.pop(machine, NEVER) < self.max_return_s:
+            if trial is None or trial.machine in (machine, NO_MACHINE):
+                self.trials[owner.node] = RedirectTrial(NO_MACHINE, now)
             self.misrouted[machine] = now
-        elif report.token >= owner.token and now - hold[1] > SETTLED_S:
-            # Who has the token was served there; after a takeover the new holder shows it to all.
+        elif report.token >= owner.token and now - ownership.observed_at > OWNERSHIP_SETTLED_S:
+            # Who has the token was served there: a new owner announces it to all its workers.
             self.misrouted.setdefault(machine, now)
         return machine in self.misrouted
 
-    def _may_try(self, machine: int, node: int, now: float) -> bool:
+    def _start_trial(self, machine: int, node: int, now: float) -> bool:
+        """Whether a misrouted worker is redirected: as the trial, or after one that succeeded."""
         trial = self.trials.get(node)
         if now - self.misrouted[machine] < MISROUTED_RETENTION_S:
             return False
-        if trial is None or (trial.machine == NOBODY and now - trial.at >= MISROUTED_RETENTION_S):
-            self.trials[node] = Trial(machine, now)
+        if trial is None or (
+            trial.machine == NO_MACHINE and now - trial.started_at >= MISROUTED_RETENTION_S
+        ):
+            self.trials[node] = RedirectTrial(machine, now)
             return True
-        return trial.machine != NOBODY and now - trial.at >= self.come_back_s
+        return trial.machine != NO_MACHINE and now - trial.started_at >= self.max_return_s
+
+
+def _redirect_response(owner_name: str | None) -> Response:
+    """Tell a worker where to report; without a name it tries the other controllers."""
+    return Response(421, msgspec.json.encode(api.Redirect(owner_name)))
--- /dev/null
+++ b/starlingdeck/api/job_request.py
@@ -0,0 +1,42 @@
+"""A user's request for one job, as it is handled here or forwarded to another controller."""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
+
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.cluster.peers import Peers
+from starlingdeck.context import ControllerContext
+from starlingdeck.jobs.admission import AdmissionController
+from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.storage.state import StateClient
+
+
+class Operation(StrEnum):
+    """What is asked; the values are those of `ForwardRequest.method`."""
+
+    SUBMIT = "SUBMIT"
+    STATUS = "GET"
+    CANCEL = "POST"
+
+
+class JobRequest(NamedTuple):
+    """One request. `operation` is a plain string when it comes from a peer."""
+
+    operation: str
+    name: str
+    body: bytes = b""  # of a submission: the job's JSON
+
+
+@dataclass(kw_only=True, eq=False)
+class JobApiServices:
+    """The parts of the controller that job requests are handled with."""
+
+    context: ControllerContext
+    state: StateClient
+    membership: Membership
+    peers: Peers
+    writers: Mapping[int, RecordWriter]
+    admission: AdmissionController
+    request_wake: Callable[[], None]  # have the scheduler woken after the request
--- /dev/null
+++ b/starlingdeck/api/store_handler.py
@@ -0,0 +1,76 @@
+"""Handling of job requests without the shard's owner, by the state service alone.
+
+The owner learns of a submission or cancellation by an entry in its shard's mailbox.
+"""
+
+import logging
+
+import msgspec
+
+from starlingdeck.api.job_request import JobApiServices, JobRequest, Operation
+from starlingdeck.api.responses import error_response, json_response
+from starlingdeck.api.stored_status import CANCELLATION_UNACKNOWLEDGED, StoredStatusReader
+from starlingdeck.metrics import counters
+from starlingdeck.protocol import api
+from starlingdeck.storage import records
+from starlingdeck.storage.records import JobRecord
+from starlingdeck.storage.state import TransactionConflictError, put_change
+from starlingdeck.transport.server import Response
+
+log = logging.getLogger(__name__)
+
+
+class StoreJobHandler:
+    """Submits, cancels and reads jobs of shards that this controller does not own."""
+
+    def __init__(self, services: JobApiServices, stored_status: StoredStatusReader) -> None:
+        self.services = services
+        self.stored_status = stored_status
+
+    async def handle(self, request: JobRequest, shard: int) -> Response:
+        """Handle a request; raises StateError if the state service can't be used."""
+        if request.operation == Operation.SUBMIT:
+            return await self._submit(request, shard)
+        if request.operation == Operation.STATUS:
+            return await self._status_or_not_found(request.name)
+        return await self._cancel(request.name, shard)
+
+    async def _status_or_not_found(self, name: str) -> Response:
+        return await self.stored_status.status(name) or error_response(404, "no such job")
+
+    async def _submit(self, request: JobRequest, shard: int) -> Response:
+        context, name = self.services.context, request.name
+        spec = api.decode_job(request.body)
+        job_key = records.job_key(shard, name)
+        notification = put_change(records.mailbox_key(shard, name), 1)
+        record = put_change(job_key, JobRecord(spec, context.wall_clock_ms()))
+        conditions = {job_key: 0, records.final_key(shard, name): 0}
+        try:
+            await self.services.state.transact(conditions, [record, notification], True)
+        except TransactionConflictError:
+            known = await self.stored_status.status(name)
+            return known or error_response(503, "the job is changing")
+        context.counters.increment(spec.team, spec.cls, counters.ACCEPTED)
+        log.info("job accepted without owner: job=%s shard=%d", name, shard)
+        return json_response(201, api.JobStatus(name, api.QUEUED))
+
+    async def _cancel(self, name: str, shard: int) -> Response:
+        state = self.services.state
+        job_key = records.job_key(shard, name)
+        entry = await state.get(job_key, True)
+        if entry is None:
+            return await self._status_or_not_found(name)
+        record = msgspec.json.decode(entry.value, type=JobRecord)
+        if not record.cancelled:
+            record.cancelled = True
+            notification = put_change(records.mailbox_key(shard, name), 1)
+            changes = [put_change(job_key, record), notification]
+            try:
+                await state.transact({job_key: entry.version}, changes, True)
+            except TransactionConflictError:
+                return error_response(503, "the job is changing")
+            log.info("job cancelled without owner: job=%s shard=%d", name, shard)
+        # From here on the job stays cancelled, but nobody may be told before its owner knows.
+        if not await self.stored_status.owner_acknowledged(shard, name):
+            return error_response(503, CANCELLATION_UNACKNOWLEDGED)
+        return json_response(200, api.JobStatus(name, api.CANCELLED))
--- /dev/null
+++ b/starlingdeck/api/submission.py
@@ -0,0 +1,34 @@
+"""Checks of a submission beyond its fields' bounds: can the job ever be stored and run?"""
+
+import msgspec
+
+from starlingdeck.context import ControllerContext, fits, machine_capacity, requested_resources
+from starlingdeck.protocol.api import JobSpec
+
+MAX_SPEC_SHARE = 0.25  # of a value of the state service; what the tasks need comes on top
+
+
+def infeasibility_reason(context: ControllerContext, spec: JobSpec) -> str:
+    """Why a job can never run; empty if it can."""
+    team = next((t for t in context.settings.settings.teams if t.name == spec.team), None)
+    if team is None:
+        return f"unknown team {spec.team!r}"
+    count = spec.tasks if spec.service else 1
+    if 0 < team.cpus_max < spec.cpus * count or 0 < team.gpus_max < spec.gpus * count:
+        return f"more than the limit of team {spec.team!r}"
+    size = requested_resources(spec)
+    for machine_type in context.machine_types.values():
+        if spec.types is not None and machine_type.name not in spec.types:
+            continue
+        if spec.zone is not None and spec.zone not in machine_type.zones:
+            continue
+        if fits(size, machine_capacity(machine_type)):
+            return ""
+    return "a task fits no allowed machine type"
+
+
+def oversize_reason(context: ControllerContext, spec: JobSpec) -> str:
+    """Why a job's record could not be stored; empty if it can."""
+    limit = int(context.settings.settings.state.value_kb * 1000 * MAX_SPEC_SHARE)
+    size = len(msgspec.json.encode(spec))
+    return f"the description takes {size} bytes of {limit} allowed" if size > limit else ""
--- /dev/null
+++ b/starlingdeck/controller/autoscaling_loop.py
@@ -0,0 +1,60 @@
+"""The loop that runs the autoscaler at the owner of shard 0."""
+
+import logging
+from dataclasses import dataclass
+
+import curio
+
+from starlingdeck.autoscaling.cloud import Autoscaler, CloudClient, CloudError
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.context import ControllerContext
+from starlingdeck.controller.deleted_machines import DeletedMachines
+from starlingdeck.scheduling.candidate_pool import CandidatePool
+from starlingdeck.scheduling.planner import Planner
+
+log = logging.getLogger(__name__)
+
+AUTOSCALING_SHARD = 0  # its owner rents and returns machines
+AUTOSCALING_INTERVAL_S = 0.5
+
+
+@dataclass(kw_only=True, eq=False)
+class AutoscalingLoop:
+    """Steps the autoscaler while shard 0 is owned here and the lease is valid."""
+
+    context: ControllerContext
+    membership: Membership
+    cloud_client: CloudClient
+    candidates: CandidatePool
+    planner: Planner
+    deleted_machines: DeletedMachines
+    autoscaler: Autoscaler | None = None
+
+    def on_shard_acquired(self, shard: int, token: int) -> None:
+        """Start with an autoscaler of this ownership's own if it is the shard that scales."""
+        if shard == AUTOSCALING_SHARD:
+            self.autoscaler = Autoscaler(
+                self.context,
+                self.cloud_client,
+                token,
+                self.candidates.candidates,
+                self.planner.all_demands,
+                self.deleted_machines.record,
+            )
+
+    def on_shard_lost(self, shard: int) -> None:
+        """Stop scaling if it was the shard that scales."""
+        if shard == AUTOSCALING_SHARD:
+            self.autoscaler = None
+
+    async def run(self) -> None:
+        """Step the autoscaler, with a pause after an error of the cloud."""
+        while True:
+            await curio.sleep(AUTOSCALING_INTERVAL_S)
+            if self.autoscaler is None or not self.membership.lease_is_valid():
+                continue
+            try:
+                await self.autoscaler.step()
+            except CloudError as error:
+                log.info("cloud call failed: error=%s", error or "no capacity")
+                await curio.sleep(0.5 + 0.5 * self.context.rng.random())
--- /dev/null
+++ b/starlingdeck/controller/deleted_machines.py
@@ -0,0 +1,49 @@
+"""Machines that the cloud has deleted, as all controllers announce them to each other."""
+
+from collections.abc import Iterable, Iterator, Mapping
+
+from starlingdeck.context import ControllerContext
+from starlingdeck.machines.machine_shard import MachineShard
+
+ANNOUNCE_S = 60.0  # how long each controller that learns of a deleted machine announces it
+
+
+class DeletedMachines:
+    """The machines known to be deleted, and since when.
+
+    A name is remembered for longer than all controllers together announce it: otherwise one that
+    had forgotten a name took it as new from one that still announced it, for ever.
+    """
+
+    def __init__(self, context: ControllerContext, machines: Mapping[int, MachineShard]) -> None:
+        self.context = context
+        self.machines = machines
+        self.deleted_at: dict[str, float] = {}
+
+    def __iter__(self) -> Iterator[str]:
+        return iter(self.deleted_at)
+
+    def __contains__(self, name: object) -> bool:
+        return name in self.deleted_at
+
+    def record(self, names: Iterable[str]) -> None:
+        """Mark machines as deleted in all shards, and drop names that are old enough."""
+        now = self.context.now()
+        retention_s = ANNOUNCE_S * (self.context.shard_count + 1)
+        for name in names:
+            self.deleted_at[name] = now
+            for machines in self.machines.values():
+                machines.mark_deleted(name)
+        for name in [n for n, at in self.deleted_at.items() if now - at > retention_s]:
+            del self.deleted_at[name]
+
+    def record_announced(self, names: Iterable[str]) -> None:
+        """Take over what a peer announces, as far as it is new here."""
+        fresh = [name for name in names if name not in self.deleted_at]
+        if fresh:
+            self.record(fresh)
+
+    def announced(self) -> Iterator[str]:
+        """The names to announce to peers now."""
+        now = self.context.now()
+        return (name for name, at in self.deleted_at.items() if now - at <= ANNOUNCE_S)
--- a/starlingdeck/controller/metrics_report.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -1,53 +1,98 @@
-"""Figures that the log gets once a minute."""
+"""The metrics that a controller logs once a minute."""
 
+import logging
 from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+
+import curio
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.admission import AdmissionController
 from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.scheduling.overload import OverloadController
+
+log = logging.getLogger(__name__)
+
+METRICS_INTERVAL_S = 60.0
+LARGEST_JOBS_DIVISOR = 10  # of each class the largest tenth is watched for starvation
+MIN_CPUS = 1e-9  # so that jobs without CPUs are ordered by their tasks
+
+
+@dataclass(kw_only=True, eq=False)
+class MetricsReporter:
+    """Logs the metrics of all parts of a controller, a line each."""
+
+    context: ControllerContext
+    writers: Mapping[int, RecordWriter]
+    machines: Mapping[int, MachineShard]
+    admission: AdmissionController
+    overload: OverloadController | None
+
+    async def run(self) -> None:
+        """Log the metrics every `METRICS_INTERVAL_S`; the profile of tasks at level debug."""
+        while True:
+            await curio.sleep(METRICS_INTERVAL_S)
+            for line in self.lines():
+                log.info("%s", line)
+            if self.context.profiler is not None:
+                for line in self.context.profiler.lines():
+                    log.debug("%s", line)
+
+    def lines(self) -> Iterator[str]:
+        """The lines of one interval; latencies and counters begin anew with the next."""
+        yield from self.context.latencies.lines()
+        yield from self.context.counters.lines(waiting_tasks(self.context, self.writers))
+        if self.admission.durable is not None:
+            yield from self.admission.durable.lines()
+        if self.overload is not None:
+            yield from self.overload.lines()
+        yield from reachability_lines(self.machines)
+        yield from starvation_lines(self.context, self.writers, self.admission)
 
 
 def reachability_lines(shards: Mapping[int, MachineShard]) -> Iterator[str]:
+    """For each machine shard: machines that our messages don't reach, and unanswered heartbeats."""
     for shard, machines in shards.items():
-        deaf = machines.unreachable_counts()
+        unreachable_s = machines.unreachable_counts()
         yield (
-            f"machines of shard {shard}: {len(machines.machines)} known, {len(deaf)} hear "
-            f"nothing, longest {max(deaf, default=0.0):.0f} s, "
-            f"{machines.stale_reports} copies passed over, "
-            f"{machines.unconfirmed_reports} reports not answered "
-            "for want of a word"
+            f"machine reachability: shard={shard} machines={len(machines.machines)} "
+            f"unreachable={len(unreachable_s)} "
+            f"longest_unreachable_s={max(unreachable_s, default=0.0):.0f} "
+            f"stale_reports={machines.stale_reports} "
+            f"unconfirmed_reports={machines.unconfirmed_reports}"
         )
 
 
-def starving_lines(
+def starvation_lines(
     context: ControllerContext, writers: Mapping[int, RecordWriter], admission: AdmissionController
 ) -> Iterator[str]:
-    """Of each class's largest tenth: what has waited longest to begin, and why it waits."""
-    classes: dict[tuple[str, str], list[Job]] = {}
+    """For each class's largest tenth: the job that has waited longest to start, and why."""
+    jobs_by_class: dict[tuple[str, str], list[Job]] = {}
     for writer in writers.values():
         for job in writer.shard.jobs.values():
-            classes.setdefault((job.spec.team, job.spec.cls), []).append(job)
+            jobs_by_class.setdefault((job.spec.team, job.spec.cls), []).append(job)
     now_ms = context.wall_clock_ms()
-    for (team, cls), jobs in sorted(classes.items()):
-        jobs.sort(key=lambda job: -job.spec.tasks * max(job.spec.cpus, 1e-9))
-        largest = jobs[: max(1, len(jobs) // 10)]
-        unbegun = [job for job in largest if not (job.completed or job.placements)]
-        oldest = min(unbegun, key=lambda job: job.submitted_ms, default=None)
+    for (team, cls), jobs in sorted(jobs_by_class.items()):
+        jobs.sort(key=lambda job: -job.spec.tasks * max(job.spec.cpus, MIN_CPUS))
+        largest = jobs[: max(1, len(jobs) // LARGEST_JOBS_DIVISOR)]
+        unstarted = [job for job in largest if not (job.completed or job.placements)]
+        oldest = min(unstarted, key=lambda job: job.submitted_ms, default=None)
         if oldest is not None:
-            error = ", ".join(w.reason for w in admission.wait_reasons(oldest))
+            reason = ", ".join(waiting.reason for waiting in admission.wait_reasons(oldest))
             age_s = (now_ms - oldest.submitted_ms) / 1000
             yield (
-                f"{team}/{cls}: oldest unbegun of the largest {oldest.id}, {oldest.spec.tasks} "
-                f"tasks, {age_s:.0f} s, {error or 'no machine has room'}"
+                f"oldest unstarted large job: team={team} class={cls} job={oldest.id} "
+                f"tasks={oldest.spec.tasks} age_s={age_s:.0f} "
+                f"reason={reason or 'no machine has capacity'}"
             )
 
 
 def waiting_tasks(
     context: ControllerContext, writers: Mapping[int, RecordWriter]
 ) -> Iterator[tuple[str, str, int, float]]:
-    """The tasks here that wait for a machine, job by job."""
+    """The tasks of jobs owned here that wait for a machine: (team, class, tasks, age in s)."""
     now_ms = context.wall_clock_ms()
     for writer in writers.values():
         for job in writer.shard.jobs.values():
--- /dev/null
+++ b/starlingdeck/controller/reconciler.py
@@ -0,0 +1,79 @@
+"""The reconciliation loop: from observed state to desired state, at this controller's shards."""
+
+import logging
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+import curio
+
+from starlingdeck.cluster.membership import Membership
+from starlingdeck.context import ControllerContext
+from starlingdeck.controller.worker_caller import WorkerCaller
+from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.protocol import peer_pb2 as pb
+from starlingdeck.storage.state import (
+    LeaseLostError,
+    RequestBudget,
+    StateError,
+    TransactionConflictError,
+)
+from starlingdeck.sync.state_sync import StateSync
+
+log = logging.getLogger(__name__)
+
+MAX_RECONCILE_INTERVAL_S = 0.1
+MIN_RECONCILE_INTERVAL_S = 0.04  # what arrives meanwhile is handled together
+
+
+@dataclass(kw_only=True, eq=False)
+class Reconciler:
+    """Calls workers, publishes snapshots and sends desired state, a round at a time."""
+
+    context: ControllerContext
+    request_budget: RequestBudget
+    membership: Membership
+    machines: Mapping[int, MachineShard]
+    writers: Mapping[int, RecordWriter]
+    worker_caller: WorkerCaller
+    state_sync: StateSync
+    build_gossip: Callable[[], pb.Gossip]
+    wake: curio.Event
+    flush: curio.Event
+
+    async def run(self) -> None:
+        """Reconcile whenever woken, and at least every `MAX_RECONCILE_INTERVAL_S`."""
+        while True:
+            async with curio.ignore_after(MAX_RECONCILE_INTERVAL_S):
+                await self.wake.wait()
+            self.wake.clear()
+            await self.reconcile()
+            await curio.sleep(MIN_RECONCILE_INTERVAL_S)
+
+    async def reconcile(self) -> None:
+        """One round over all shards owned here."""
+        valid = self.membership.lease_is_valid()
+        now = self.context.now()
+        if valid:
+            self.request_budget.share_among(len(self.membership.live_nodes))
+        for shard, machines in list(self.machines.items()):
+            await self.worker_caller.send_due_commands(machines, valid)
+            if valid and machines.needs_new_token():
+                await self._raise_token(shard)
+        if await self.state_sync.publish_snapshots(valid, now):
+            await self.flush.set()
+        self.state_sync.drop_expired(now)
+        if valid:
+            # A former owner's desired state, the first to reach a new owner of machines, started a
+            # long cancelled task again: only who surely owns the shard says what is desired.
+            await self.state_sync.send_desired_state(now)
+            for node, text in self.state_sync.relay_messages(now, self.build_gossip):
+                await curio.spawn(self.state_sync.write_relay, node, text, daemon=True)
+        if any(writer.shard.dirty_jobs for writer in self.writers.values()):
+            await self.flush.set()
+
+    async def _raise_token(self, shard: int) -> None:
+        try:
+            await self.membership.raise_token(shard)
+        except (StateError, TransactionConflictError, LeaseLostError) as error:
+            log.info("token not raised: shard=%d error=%r", shard, error)
--- /dev/null
+++ b/starlingdeck/controller/shard_loader.py
@@ -0,0 +1,51 @@
+"""Loading of a job shard's records after its ownership was acquired."""
+
+import logging
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+import curio
+import msgspec
+
+from starlingdeck.admission.quota_transfer import QuotaTransfer
+from starlingdeck.context import ControllerContext
+from starlingdeck.jobs.mailbox import Mailbox
+from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.storage import records
+from starlingdeck.storage.state import StateError
+from starlingdeck.sync.state_sync import StateSync
+
+log = logging.getLogger(__name__)
+
+
+@dataclass(kw_only=True, eq=False)
+class ShardLoader:
+    """Reads a shard's quota, mailbox and records until it is loaded or owned here no longer."""
+
+    context: ControllerContext
+    writers: Mapping[int, RecordWriter]
+    quota_transfer: QuotaTransfer
+    state_sync: StateSync
+    mailbox: Mailbox
+    wake: curio.Event
+
+    async def load(self, writer: RecordWriter) -> None:
+        """Load the shard of a writer, with retries."""
+        shard = writer.shard.shard
+        while self.writers.get(shard) is writer and not writer.shard.loaded:
+            try:
+                await self._load_once(writer)
+            except (StateError, msgspec.DecodeError) as error:
+                log.info("shard not loaded: shard=%d error=%s", shard, error)
+                await curio.sleep(0.2 + 0.2 * self.context.rng.random())
+        await self.wake.set()
+
+    async def _load_once(self, writer: RecordWriter) -> None:
+        # The former owner may have transferred quota that our watch has not delivered yet.
+        for entry in (await writer.state.read(records.QUOTA))[0]:
+            self.quota_transfer.on_key_changed(entry.key, entry.value, entry.version)
+        prefix = records.mailbox_key(writer.shard.shard, "")
+        entries = (await writer.state.read(prefix))[0]
+        await writer.load()
+        self.state_sync.reevaluate_all(writer.shard)
+        await self.mailbox.drop_entries(writer, entries)
--- /dev/null
+++ b/starlingdeck/controller/worker_caller.py
@@ -0,0 +1,118 @@
+"""Calls from the controller to workers: commands, probes and the announcement of a new token."""
+
+from dataclasses import dataclass, field
+
+import curio
+import msgspec
+
+from starlingdeck.context import ControllerContext
+from starlingdeck.machines.machine import Machine
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.machines.shard_snapshot import ShardSnapshot
+from starlingdeck.protocol import api
+from starlingdeck.protocol import peer_pb2 as pb
+from starlingdeck.transport.client import ConnectionFailedError, HttpClient, NoResponseError
+
+RESERVED_CONNECTIONS = 16  # connections left to the state service and the cloud
+MIN_CALLS = 8
+CONNECTION_WAIT_S = 0.1
+LAUNCH_RETRY_S = 0.3  # until a start that the worker has not shown yet is sent again
+
+
+@dataclass(kw_only=True, eq=False)
+class WorkerCaller:
+    """Calls workers, never more at once than the HTTP client has connections for."""
+
+    context: ControllerContext
+    http: HttpClient
+    machines: dict[int, MachineShard]
+    wake: curio.Event
+    max_in_flight: int = field(init=False)
+    in_flight: int = 0
+
+    def __post_init__(self) -> None:
+        self.max_in_flight = max(MIN_CALLS, self.http.max_open - RESERVED_CONNECTIONS)
+
+    async def send_due_commands(self, machines: MachineShard, valid: bool) -> None:
+        """Reconcile a shard and call the workers that have something to do.
+
+        `valid`: whether this controller's own lease is valid. What there is no connection for
+        stays due: a call that can't be made would count as unanswered, and after two of them a
+        machine gets no calls any more.
+        """
+        machines.expire_leases()
+        machines.deschedule()
+        for machine in machines.reconcile():
+            if self.in_flight >= self.max_in_flight:
+                continue
+            commands = machines.commands_for(machine, valid)
+            if commands.commands or machine.needs_probe or machine.unanswered_commands:
+                machine.command_in_flight = True
+                self.in_flight += 1
+                await curio.spawn(
+                    self._call, machines, machine, machine.address, commands, daemon=True
+                )
+
+    async def announce_token_to_workers(
+        self, machines: MachineShard, previous: ShardSnapshot
+    ) -> None:
+        """Send a new owner's token to the machines of the last snapshot, and take their reports.
+
+        Bounded in parallel: called all at once, the workers of a large fleet took every
+        connection, most calls failed without being made, and so did those to the state service.
+        """
+        waiting = [entry for entry in previous.machines.values() if not entry.lost]
+        for _ in range(min(self.max_in_flight, len(waiting))):
+            await curio.spawn(self._announce_token, machines, waiting, daemon=True)
+
+    async def _announce_token(self, machines: MachineShard, waiting: list[pb.MachineState]) -> None:
+        """One of several tasks that empty `waiting` while the shard is owned here."""
+        while waiting and self.machines.get(machines.shard) is machines:
+            if self.in_flight >= self.max_in_flight:
+                await curio.sleep(CONNECTION_WAIT_S)
+                continue
+            entry = waiting.pop()
+            commands = api.Commands(machines.token, entry.session, [])
+            self.in_flight += 1
+            await self._call(machines, None, entry.address, commands)
+
+    async def _call(
+        self, machines: MachineShard, machine: Machine | None, address: str, commands: api.Commands
+    ) -> None:
+        """Make a call that counts as in flight until it has ended."""
+        try:
+            await self.send_commands(machines, machine, address, commands)
+        finally:
+            self.in_flight -= 1
+
+    async def send_commands(
+        self, machines: MachineShard, machine: Machine | None, address: str, commands: api.Commands
+    ) -> None:
+        """Send commands to a worker; the response's body is its newest report.
+
+        `machine` is None while a new owner has no report of the machine yet.
+        """
+        position = machine.position() if machine is not None else None
+        try:
+            body = msgspec.json.encode(commands)
+            timeout_s = self.context.tuning.reply_wait_s
+            reply = await self.http.call(address, "POST", api.COMMANDS, body, timeout_s)
+            report = api.decode_report(reply.body)
+            if machines.is_deleted(report.machine):
+                return
+            reported = machines.apply_report(report, False, position)
+            if reply.status == 409:
+                machines.on_command_rejected(reported)
+            elif reply.status != 200:
+                raise NoResponseError(f"status {reply.status}")
+            elif reported.pending_launches:
+                reported.retry_at = self.context.now() + LAUNCH_RETRY_S
+        except (NoResponseError, api.ValidationError) as error:
+            if machine is not None:
+                machines.on_command_unanswered(
+                    machine, commands, not isinstance(error, ConnectionFailedError)
+                )
+        finally:
+            if machine is not None:
+                machine.command_in_flight = False
+        await self.wake.set()
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from starlingdeck.api.job_api import error_response, json_response
+from starlingdeck.api.responses import error_response, json_response
 from starlingdeck.counts.ledger import Change, Ledger
 from starlingdeck.counts.ledger_store import LedgerStore
 from starlingdeck.protocol import api
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -169,7 +169,7 @@
 
         node.peers.call = call  # type: ignore[method-assign, assignment]
         node.peers.enqueue = post  # type: ignore[method-assign, assignment]
-        node._send_commands = do  # type: ignore[method-assign, assignment]
+        node.worker_caller.send_commands = do  # type: ignore[method-assign, assignment]
         return node
 
     def linked(self, one: int, other: int) -> bool:
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -209,7 +209,13 @@
             teams[0] = msgspec.structs.replace(teams[0], cpus_max=self.limit)
         node = Controller(context)
         client: Any = self.clients[number]
-        for part in (node, node.job_api, node.membership, node.quota_transfer, node.state_sync):
+        for part in (
+            node,
+            node.job_api.services,
+            node.membership,
+            node.quota_transfer,
+            node.state_sync,
+        ):
             part.state = client
 
         def up(to: int) -> bool:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -89,7 +89,7 @@
     node.membership.lease_id, node.membership.renewed_at = 1, clock.at - (0.0 if state else 5.0)
     node.peers.is_reachable = lambda n: peer and n == 1  # type: ignore[method-assign, assignment]
     assert node.membership.may_renew_worker_leases()
-    assert (node.health().status == 200) is healthy
+    assert (node.http_router.health().status == 200) is healthy
 
 
 def test_a_shard_goes_back_to_a_living_controller_that_we_can_not_reach() -> None:
@@ -109,13 +109,13 @@
     state = PlainState(random.Random(1))
     first, second = Controller(make_world(Clock())), Controller(make_world(Clock(), node=1))
     for node in (first, second):
-        node.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+        node.machine_type_store.state = PlainClient(state, 0.0)  # type: ignore[assignment]
     types = list(first.context.machine_types.values())
-    curio.run(first.store_types, types)
-    assert curio.run(second.load_types) == []  # only the holder of shard 0 keeps them
+    curio.run(first.machine_type_store.store, types)
+    assert curio.run(second.machine_type_store.load) == []  # only the holder of shard 0 keeps them
     curio.run(first.on_shard_acquired, 0, 1, 7, 0.0)
-    curio.run(first.store_types, types)
-    assert curio.run(second.load_types) == types
+    curio.run(first.machine_type_store.store, types)
+    assert curio.run(second.machine_type_store.load) == types
 
 
 def test_paths_methods_and_bodies_get_their_statuses() -> None:
@@ -157,12 +157,12 @@
     the shard of j-000001."""
     ours, theirs = Controller(make_world(clock)), Controller(make_world(clock, node=1))
     for node in (ours, theirs):
-        node.job_api.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+        node.job_api.services.state = PlainClient(state, 0.0)  # type: ignore[assignment]
         node.membership.lease_id, node.membership.renewed_at = 1, clock.at
     shard, node = shard_of_job("j-000001", 3), (ours, theirs)[holder]
     jobs = JobShard(node.context, shard, 5, 77)
     jobs.loaded = True
-    node.writers[shard] = RecordWriter(node.context, node.job_api.state, jobs)
+    node.writers[shard] = RecordWriter(node.context, node.job_api.services.state, jobs)
     ours.peers.links[1] = FrameLink(None)
     ours.peers.last_heard_at[1] = clock.at
 
@@ -179,7 +179,7 @@
     """The holder of the job's shard answered 503 until its own lease was over."""
     state = PlainState(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 0)
-    ours.job_api.state.cut = True  # type: ignore[attr-defined]
+    ours.job_api.services.state.cut = True  # type: ignore[attr-defined]
     shard = shard_of_job("j-000001", 3)
     body = msgspec.json.encode(job_body("j-000001"))
     assert curio.run(ours.serve, Request("POST", api.JOBS, body)).status == 201
@@ -187,7 +187,7 @@
         records.job_key(shard, "j-000001"),
         records.mailbox_key(shard, "j-000001"),  # so that the holder learns of it
     }
-    theirs.job_api.state.cut = True  # type: ignore[attr-defined]
+    theirs.job_api.services.state.cut = True  # type: ignore[attr-defined]
     refused = curio.run(
         ours.serve, Request("POST", api.JOBS, msgspec.json.encode(job_body("j-000007")))
     )
@@ -198,7 +198,7 @@
     """Its 503 was passed on to the user, though we could have recorded the job ourselves."""
     state = PlainState(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 1)
-    theirs.job_api.state.cut = True  # type: ignore[attr-defined]
+    theirs.job_api.services.state.cut = True  # type: ignore[attr-defined]
     shard = shard_of_job("j-000001", 3)
     ours.membership.owners[shard] = ShardOwner(1, 5, 77)
     body = msgspec.json.encode(job_body("j-000001"))
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -9,7 +9,9 @@
 from starlingdeck.cluster.membership import ShardOwner
 from starlingdeck.cluster.peers import encode_batch
 from starlingdeck.cluster.sharding import shard_of_job
-from starlingdeck.controller.controller import DELETED_ANNOUNCE_S, RESERVED_CONNECTIONS, Controller
+from starlingdeck.controller.controller import Controller
+from starlingdeck.controller.deleted_machines import ANNOUNCE_S
+from starlingdeck.controller.worker_caller import RESERVED_CONNECTIONS
 from starlingdeck.interning import split_key
 from starlingdeck.jobs.job import TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
@@ -298,7 +300,7 @@
 
     async def call_all() -> None:
         for _ in range(100):
-            await node._call_workers(machines, True)
+            await node.worker_caller.send_due_commands(machines, True)
             await curio.sleep(0.005)
             if len(workers.called) == MACHINES and not workers.open:
                 return
@@ -316,14 +318,14 @@
     apply_snapshot_message(node.context, snapshots, machines.full_snapshot(True))
 
     async def raise_all() -> None:
-        await node._announce_token_to_workers(machines, snapshots[1])
+        await node.worker_caller.announce_token_to_workers(machines, snapshots[1])
         for _ in range(100):
             await curio.sleep(0.005)
             if len(workers.called) == MACHINES:
                 return
 
     curio.run(raise_all)
-    assert len(workers.called) == MACHINES and workers.peak <= node.max_worker_calls
+    assert len(workers.called) == MACHINES and workers.peak <= node.worker_caller.max_in_flight
 
 
 def test_a_backlog_of_thousands_of_jobs_hides_no_guaranteed_work() -> None:
@@ -357,14 +359,14 @@
     told = []
     for second in range(MACHINES // 10):
         if second < MACHINES // 20:
-            nodes[0].record_deleted([f"vm-{second}-{i}" for i in range(20)])
+            nodes[0].deleted_machines.record([f"vm-{second}-{i}" for i in range(20)])
         for sender in (1, 2, 0):  # who deletes tells it after the others have told theirs
             clock.at += 0.3
             gossip = nodes[sender].build_gossip()
             told.append(len(gossip.deleted_machines))
             for other in nodes:
-                curio.run(other.on_gossip, sender, gossip)
+                curio.run(other.gossip.apply, sender, gossip)
         clock.at += 0.1
-    assert max(told) <= 20 * (DELETED_ANNOUNCE_S + 2)
+    assert max(told) <= 20 * (ANNOUNCE_S + 2)
     assert told[-3:] == [0, 0, 0]  # the last one was deleted 200 s ago
     assert f"vm-{MACHINES // 20 - 1}-0" in nodes[2].deleted_machines
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from starlingdeck.api.job_api import JobApi
+from starlingdeck.api.stored_status import StoredStatusReader
 from starlingdeck.jobs import commit_log
 from starlingdeck.storage.commit_log import LOG
 from tests.support import builders
@@ -88,7 +88,7 @@
         start_trouble(deck, "apart", 0)
         await ask_all(deck, name)
         with monkeypatch.context() as patch:
-            patch.setattr(JobApi, "_log_changes", nothing)
+            patch.setattr(StoredStatusReader, "_log_changes", nothing)
             with pytest.raises(Broken, match="went_back"):
                 await ask_all(deck, name)
         deck.calm()
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from starlingdeck.api import job_api
+from starlingdeck.api import submission
 from starlingdeck.cluster import peers
 from starlingdeck.jobs.job import PLACED, TaskPlacement, encode_chunk, load_job, new_job
 from starlingdeck.jobs.job_shard import JobShard
@@ -70,7 +70,7 @@
     ],
 )
 def test_what_can_never_run(change: dict[str, Any], says: str) -> None:
-    reason = job_api.infeasibility_reason(make_world(Clock()), spec(**change))
+    reason = submission.infeasibility_reason(make_world(Clock()), spec(**change))
     assert says in reason and bool(says) == bool(reason)
 
 
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -10,7 +10,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.api import job_api
+from starlingdeck.api import submission
 from starlingdeck.autoscaling import policy
 from starlingdeck.controller.controller import Controller
 from starlingdeck.protocol import api
@@ -68,7 +68,7 @@
 
     async def start(self) -> None:
         self.node = node = Controller(make_world(self.clock, zones=("a",)))
-        node.state = node.job_api.state = node.membership.state = self.client  # type: ignore
+        node.state = node.job_api.services.state = node.membership.state = self.client  # type: ignore
         node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
         found = self.state.keys.get(records.shard_key(0), (b"", 0))[1]
         node.membership.takes[0] = self.state.keys.get(records.takeover_key(0), (b"", 0))[1]
@@ -126,7 +126,7 @@
             await node.reconcile()
             await curio.sleep(0)
             gossip = pb.Gossip.FromString(node.build_gossip().SerializeToString())
-            await node.on_gossip(0, gossip)
+            await node.gossip.apply(0, gossip)
             demands = node.planner.all_demands()
             candidates = node.candidates.candidates()
             policy.plan_rentals(
@@ -382,4 +382,4 @@
         with pytest.raises(api.ValidationError, match=names):
             api.decode_job(msgspec.json.encode(job_body(**change)))
     wide = spec(builds=["é" * 120] * 60)
-    assert "of 4000 allowed" in job_api.oversize_reason(make_world(Clock()), wide)
+    assert "of 4000 allowed" in submission.oversize_reason(make_world(Clock()), wide)
--- a/tests/test_status_answers.py
+++ b/tests/test_status_answers.py
@@ -46,7 +46,7 @@
 
     def start(self, number: int) -> Controller:
         node = Controller(make_world(self.clock, node=number))
-        node.state = node.job_api.state = self.clients[number]  # type: ignore[assignment]
+        node.state = node.job_api.services.state = self.clients[number]  # type: ignore[assignment]
         node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
@@ -91,7 +91,7 @@
         node, token = self.nodes[self.holder], self.state.epoch
         writer = RecordWriter(node.context, node.state, JobShard(node.context, SHARD, token, epoch))
         node.writers[SHARD] = writer
-        await node._load(writer)
+        await node.shard_loader.load(writer)
         for other in self.nodes:
             other.membership.owners[SHARD] = ShardOwner(self.holder, token, epoch)
 
@@ -151,7 +151,10 @@
             for number in list(asked):
                 node = self.nodes[number]
                 look = Request("GET", f"{api.JOBS}/{JOB}", b"")
-                if node.health().status != 200 or (await node.serve(look)).status == 200:
+                if (
+                    node.http_router.health().status != 200
+                    or (await node.serve(look)).status == 200
+                ):
                     asked.discard(number)
 
     async def finish(self) -> None:
