--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -7,7 +7,8 @@
 import msgspec
 from msgspec import Meta
 
-from starlingdeck.protocol.config import ConfigError, load_tuning, validation_errors
+from starlingdeck.protocol.config import ConfigError, load_tuning
+from starlingdeck.protocol.struct_validation import validation_errors
 
 Rate = Annotated[float, Meta(ge=0, le=100_000)]
 Share = Annotated[float, Meta(ge=0, le=1)]
--- a/starlingdeck/protocol/config.py
+++ b/starlingdeck/protocol/config.py
@@ -1,31 +1,38 @@
-"""What the platform hands over (JSON) and what operators may tune (TOML)."""
+"""The settings that the platform provides (JSON) and those that operators may tune (TOML)."""
 
-import types
 from pathlib import Path
-from typing import Annotated, Any, get_args, get_origin
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
 
-from starlingdeck.protocol.api import COUNT, MAX_UNITS
+from starlingdeck.protocol.bounds import COUNT, MAX_UNITS, Amount
+from starlingdeck.protocol.struct_validation import validation_errors
+
+MAX_PORT = 65535
 
-Amount = Annotated[float, Meta(ge=0)]
 Positive = Annotated[float, Meta(gt=0)]
 Count = Annotated[int, Meta(ge=1)]
 
 
 class Peer(msgspec.Struct, frozen=True):
+    """Another controller of the cluster."""
+
     name: str = msgspec.field(name="host_name")
     zone: str
     address: str
 
 
 class External(msgspec.Struct, frozen=True):
+    """The addresses of the services that controllers use."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
+    """A team's guaranteed quota, and its limits; 0: none."""
+
     name: str
     cpus: Amount = 0.0
     cpus_max: Amount = 0.0
@@ -34,6 +41,8 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
+    """An aim that the platform measures the cluster by, for one class of jobs or for all."""
+
     kind: str
     cls: str | None = msgspec.field(name="class", default=None)
     within_s: float | None = None
@@ -42,12 +51,16 @@
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
+    """The workers' heartbeat interval, lease, and the time until a cancellation is due."""
+
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
 
 
 class StateSettings(msgspec.Struct, frozen=True):
+    """The state service's limits of requests, values and transactions."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -55,17 +68,23 @@
 
 
 class CloudSettings(msgspec.Struct, frozen=True):
+    """The cloud's limit of requests, and how late its list of machines may be."""
+
     rps: Positive
     list_lag_s: Amount
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
+    """What the controller's own machine allows it."""
+
     cores: Positive
     mem_mb: Positive
     max_connections: Count
 
 
 class Deployment(msgspec.Struct, frozen=True):
+    """What is the same for all controllers of a cluster."""
+
     nodes: Count
     zones: list[str]
     teams: list[Team]
@@ -77,7 +96,17 @@
     objectives: list[Objective] = []
 
 
+class Member(NamedTuple):
+    """One controller of the cluster, this one included."""
+
+    name: str
+    zone: str
+    address: str
+
+
 class Settings(msgspec.Struct, frozen=True):
+    """The settings file of one controller."""
+
     name: str = msgspec.field(name="host_name")
     zone: str
     public_addr: str
@@ -86,17 +115,17 @@
     external: External
     settings: Deployment
 
-    def members(self) -> list[tuple[str, str, str]]:
-        """(name, zone, address) of every controller, in the order all of them agree on."""
-        own = (self.name, self.zone, self.cluster_listen)
-        return sorted([own] + [(p.name, p.zone, p.address) for p in self.peers])
+    def members(self) -> list[Member]:
+        """Every controller, in the order that all of them agree on."""
+        own = Member(self.name, self.zone, self.cluster_listen)
+        return sorted([own] + [Member(p.name, p.zone, p.address) for p in self.peers])
 
 
 class DeclaredCount(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A count as it is to be made; once made, what was changed while running holds."""
+    """A counted resource as it is to be created; later changes by operators take precedence."""
 
     ceiling: Annotated[int, Meta(ge=0, le=MAX_UNITS)]
-    preempt: bool = False  # higher work that waits for a unit may stop lower work that holds it
+    preempt: bool = False  # work that waits for a unit may preempt lower-ranked work that uses it
 
 
 CountName = Annotated[str, Meta(pattern=rf"\A{COUNT.pattern}\Z")]
@@ -107,30 +136,30 @@
 
     declare: dict[CountName, DeclaredCount] = {}
     patience_s: Positive = 1.0  # (start) a unit is left to better work of other shards
-    reserve_s: Positive = 30.0  # (start) units are kept for one task that needs many
+    reserve_s: Positive = 30.0  # (start) units are reserved for one task that needs many
     turn_s: Positive = 2.0  # (start) an equal rank's earlier arrival that makes work better
-    idle_s: Positive = 0.3  # (start) a shard keeps a unit that came free
+    idle_s: Positive = 0.3  # (start) a shard retains a unit that became free
 
 
 class OverloadSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `overload`: what each team's classes of jobs are sure of (docs/overload.md)."""
+    """Section `overload`: the minimum share of each team's classes of jobs (docs/overload.md)."""
 
     patience_s: Positive = 10.0  # (start) work that waits longer for a machine shows an overload
-    floor: Annotated[float, Meta(ge=0, le=1)] = 0.35  # (start) of its fair share that a class gets
-    churn: Annotated[float, Meta(ge=0, le=1)] = 1.0  # (start) of the starts stopped for others
-    gather_s: Positive = 20.0  # (start) how long a machine is kept for what needs much of it
-    gathers: Amount = 8  # (start) tasks at once, at each controller, that machines are kept for
+    floor: Annotated[float, Meta(ge=0, le=1)] = 0.35  # (start) minimum, as part of the fair share
+    churn: Annotated[float, Meta(ge=0, le=1)] = 1.0  # (start) preemptions, as part of the starts
+    gather_s: Positive = 20.0  # (start) how long a machine accumulates capacity for a large task
+    gathers: Amount = 8  # (start) such tasks at once, at each controller
 
 
 class GroupCommitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Section `group_commit`: starts and ends are written together (docs/group-commit.md)."""
 
     interval_s: Positive = 0.5  # (start) how long a start or an end waits for others
-    urgent_s: Positive = 0.1  # (start) and a start of the two upper ranks
+    urgent_s: Positive = 0.1  # (start) the same for a start of the two upper ranks
 
 
 class Tuning(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Operators' own settings. Values marked (start) are our starting values."""
+    """Operators' own settings. Values marked (start) are starting values."""
 
     state_lease_s: Positive = 2.5  # (start)
     reply_wait_s: Positive = 2.0  # DESIGN, timers
@@ -144,100 +173,67 @@
     tabu_steps: Count = 5  # DESIGN 3
     tabu_patience: Count = 6  # DESIGN 3
     reserve_s: Positive = 6.0  # (start) how long a reservation waits for its record
-    spare_share: Amount = 0.3  # (start) room kept free for failures
+    spare_share: Amount = 0.3  # (start) headroom left for failures
     idle_s: Positive = 300.0  # (start) an unused machine is returned after this
-    sick_errors: Count = 3  # (start) errors without a success that mark a machine
-    suspect_machines: Count = 3  # (start) machines a job fails on before it is suspect
-    stall_s: Positive = 10.0  # (start) a half-sent request ends after this
+    sick_errors: Count = 3  # (start) errors without a success that mark a machine as faulty
+    suspect_machines: Count = 3  # (start) machines that a job fails on before it is suspect
+    stall_s: Positive = 10.0  # (start) a half-sent request is given up after this
     counts: CountSettings | None = None
     overload: OverloadSettings | None = None
     group_commit: GroupCommitSettings | None = None
 
 
 class ConfigError(Exception):
-    """Bad settings: one line per fault."""
+    """Invalid settings: one line per error."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
         self.lines = lines
 
 
-def validation_errors(raw: object, kind: type[msgspec.Struct], where: str) -> list[str]:
-    """Every fault of a table, a line each; decoding alone would stop at the first."""
-    if not isinstance(raw, dict):
-        return [f"{where or 'file'}: expected a table"]
-    lines = []
-    fields = {f.encode_name: f for f in msgspec.structs.fields(kind)}
-    for name, field in fields.items():
-        at = f"{where}.{name}" if where else name
-        if name not in raw:
-            if field.required:
-                lines.append(f"{at}: missing")
-        elif (inner := _table(field.type)) is not None:
-            lines += validation_errors(raw[name], inner, at)
-        elif (inner := _table_of_tables(field.type)) is not None and isinstance(raw[name], dict):
-            for key, value in raw[name].items():
-                lines += validation_errors(value, inner, f"{at}.{key}")
-            lines += _faulty_names(raw[name], field.type, at)
-        else:
-            try:
-                msgspec.convert(raw[name], field.type)
-            except msgspec.ValidationError as error:
-                lines.append(f"{at}: {error}")
-    if kind.__struct_config__.forbid_unknown_fields:
-        lines += [f"{where or 'file'}: unknown key {name!r}" for name in raw if name not in fields]
-    return lines
-
-
-def _table(kind: Any) -> type[msgspec.Struct] | None:
-    """The struct that a field holds, if it is one, or one or nothing."""
-    kinds = get_args(kind) if isinstance(kind, types.UnionType) else (kind,)
-    found = [k for k in kinds if isinstance(k, type) and issubclass(k, msgspec.Struct)]
-    return found[0] if found else None
-
-
-def _table_of_tables(kind: Any) -> type[msgspec.Struct] | None:
-    return _table(get_args(kind)[1]) if get_origin(kind) is dict else None
-
-
-def _faulty_names(raw: dict[str, object], kind: Any, at: str) -> list[str]:
-    lines = []
-    for key in raw:
-        try:
-            msgspec.convert(key, get_args(kind)[0])
-        except msgspec.ValidationError as error:
-            lines.append(f"{at}.{key}: {error}")
-    return lines
-
-
 def load_settings(path: Path) -> Settings:
+    """Read the platform's settings file; raises ConfigError with all errors found."""
     try:
         raw = msgspec.json.decode(path.read_bytes())
     except (OSError, msgspec.DecodeError) as error:
         raise ConfigError([f"{path}: {error}"]) from error
-    lines = [f"{path}: {line}" for line in validation_errors(raw, Settings, "")]
+    lines = validation_errors(raw, Settings, "")
     if lines:
-        raise ConfigError(lines)
+        raise ConfigError([f"{path}: {line}" for line in lines])
     settings = msgspec.convert(raw, Settings)
-    for what, address in [
+    lines = _address_errors(settings) + _member_errors(settings)
+    if lines:
+        raise ConfigError([f"{path}: {line}" for line in lines])
+    return settings
+
+
+def _address_errors(settings: Settings) -> list[str]:
+    addresses = [
         ("public_addr", settings.public_addr),
         ("cluster_listen", settings.cluster_listen),
         ("external.cloud", settings.external.cloud),
         ("external.state", settings.external.state),
-        *[(f"peers[{i}].address", p.address) for i, p in enumerate(settings.peers)],
-    ]:
-        host, _, port = address.rpartition(":")
-        if not host or not port.isdigit() or not 0 < int(port) < 65536:
-            lines.append(f"{path}: {what}: expected ADDRESS:PORT, got {address!r}")
-    names = [name for name, _, _ in settings.members()]
-    if len(set(names)) != len(names):
-        lines.append(f"{path}: peers: a host_name appears twice")
-    if lines:
-        raise ConfigError(lines)
-    return settings
+        *[(f"peers[{i}].address", peer.address) for i, peer in enumerate(settings.peers)],
+    ]
+    return [
+        f"{field}: expected ADDRESS:PORT, got {address!r}"
+        for field, address in addresses
+        if not _is_address(address)
+    ]
+
+
+def _is_address(address: str) -> bool:
+    host, _, port = address.rpartition(":")
+    return bool(host) and port.isdigit() and 0 < int(port) <= MAX_PORT
+
+
+def _member_errors(settings: Settings) -> list[str]:
+    names = [member.name for member in settings.members()]
+    return ["peers: a host_name appears twice"] if len(set(names)) != len(names) else []
 
 
 def load_tuning(path: Path | None) -> Tuning:
+    """Read the operators' tuning file, if one is given; raises ConfigError with all errors."""
     if path is None:
         return Tuning()
     try:
@@ -251,5 +247,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
+    """Host and port of a valid ADDRESS:PORT."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- /dev/null
+++ b/starlingdeck/protocol/validation.py
@@ -0,0 +1,131 @@
+"""Decoding and validation of messages from outside; errors name the field by its wire name."""
+
+from collections.abc import Mapping
+
+import msgspec
+from msgspec import field
+
+from starlingdeck.protocol.bounds import (
+    COUNT,
+    JOB_ID,
+    MAX_AMOUNT,
+    MAX_COUNTED_RESOURCES,
+    MAX_MACHINE_TYPES,
+    MAX_NAME_LENGTH,
+    MAX_UNITS,
+    MIN_SIZE,
+    NAME,
+)
+from starlingdeck.protocol.cloud import MachineType
+from starlingdeck.protocol.users import JobSpec
+from starlingdeck.protocol.workers import Report
+
+
+class ValidationError(ValueError):
+    """A body is not what it should be; the text names the field and what was expected."""
+
+
+def decode_job(body: bytes) -> JobSpec:
+    """Decode the body of a submission; raises ValidationError."""
+    try:
+        spec = msgspec.json.decode(body, type=JobSpec)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ValidationError(str(error)) from error
+    if error_text := validate_job(spec):
+        raise ValidationError(error_text)
+    return spec
+
+
+def validate_job(spec: JobSpec) -> str:
+    """The first field that is out of its bounds, and which they are; empty if none is."""
+    if not JOB_ID.fullmatch(spec.id):
+        return f"uid: must match {JOB_ID.pattern}"
+    return (
+        _name_error(spec)
+        or _counts_error(spec.counts or {})
+        or _machine_types_error(spec)
+        or _amount_error(spec)
+    )
+
+
+def _name_error(spec: JobSpec) -> str:
+    names = {"flock": [spec.cls], "crew": [spec.team], "kit": [spec.image]}
+    names |= {"builds": spec.types or [], "roost": [spec.zone or ""]}
+    for name, values in names.items():
+        if not all(NAME.fullmatch(value) for value in values):
+            return f"{name}: at most {MAX_NAME_LENGTH} characters, none of them a control character"
+    return ""
+
+
+def _counts_error(counts: Mapping[str, int]) -> str:
+    if len(counts) > MAX_COUNTED_RESOURCES:
+        return f"counts: at most {MAX_COUNTED_RESOURCES}"
+    for name, units in counts.items():
+        if not COUNT.fullmatch(name):
+            return f"counts: no name of a count: must match {COUNT.pattern}"
+        if not 0 <= units <= MAX_UNITS:
+            return f"counts.{name}: from 0 to {MAX_UNITS}"
+    return ""
+
+
+def _machine_types_error(spec: JobSpec) -> str:
+    if len(spec.types or ()) > MAX_MACHINE_TYPES:
+        return f"builds: at most {MAX_MACHINE_TYPES} names"
+    return ""
+
+
+def _amount_error(spec: JobSpec) -> str:
+    sizes = {"cores": spec.cpus, "accelerators": spec.gpus, "ram_gb": spec.memory_gb}
+    amounts = sizes | {
+        "image_gb": spec.image_gb,
+        "guess_s": spec.estimate_s,
+        "mark_s": spec.checkpoint_s,
+        "stash_s": spec.save_s,
+        "due_s": spec.deadline_s or 0.0,
+    }
+    for name, value in amounts.items():
+        if value > MAX_AMOUNT:
+            return f"{name}: at most {MAX_AMOUNT:.0f}"
+    for name, value in sizes.items():
+        if 0 < value < MIN_SIZE:
+            return f"{name}: 0, or at least {MIN_SIZE:.6f}"
+    if not any(sizes.values()):
+        return "cores, accelerators, ram_gb: one of them must be over 0"
+    return ""
+
+
+def decode_report(body: bytes) -> Report:
+    """Decode a worker's report, a heartbeat or the answer to commands; raises ValidationError."""
+    try:
+        report = msgspec.json.decode(body, type=Report)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ValidationError(str(error)) from error
+    if max(report.session, report.seq, report.token) >> 64:
+        raise ValidationError("tenure, tally, baton: under 2^64")
+    return report
+
+
+def is_valid_machine_type(machine_type: MachineType) -> bool:
+    """Whether a machine type can be computed with: sizes within bounds, no negative amounts."""
+    sizes = (machine_type.cpus, machine_type.memory_gb, machine_type.gpus)
+    amounts = (
+        machine_type.fetch_gb_per_s,
+        machine_type.price,
+        machine_type.spot_price,
+        machine_type.boot_s,
+    )
+    sizes_valid = all(size == 0 or MIN_SIZE <= size <= MAX_AMOUNT for size in sizes)
+    return sizes_valid and any(sizes) and all(0 <= amount <= MAX_AMOUNT for amount in amounts)
+
+
+class _JobName(msgspec.Struct):
+    id: str = field(name="uid")
+
+
+def job_id_of(body: bytes) -> str:
+    """The job that a refused body names; empty if none."""
+    try:
+        name = msgspec.json.decode(body, type=_JobName).id
+    except (msgspec.DecodeError, UnicodeDecodeError):
+        return ""
+    return name if JOB_ID.fullmatch(name) else ""
--- /dev/null
+++ b/starlingdeck/protocol/workers.py
@@ -0,0 +1,109 @@
+"""The workers' JSON messages: heartbeats (reports), commands, task states and causes of ends."""
+
+import msgspec
+from msgspec import field
+
+from starlingdeck.protocol.bounds import (
+    JOB_ID,
+    MAX_TASK_DIGITS,
+    MAX_TASKS,
+    Attempt,
+    Counter,
+    HostName,
+    OtherName,
+)
+
+REPORT = "/v1/report"  # served by controllers
+COMMANDS = "/do"  # served by workers
+WORKER_STATUS = "/status"  # served by workers
+
+START, STOP, REAP = "launch", "stop", "reap"  # operations of commands
+
+# Numbers that stand for a task's state on a machine, in memory and between controllers.
+PENDING, FETCHING, ON, SAVING, EXITED = range(5)
+STATE_CODES = {"fetching": FETCHING, "running": ON, "flushing": SAVING, "exited": EXITED}
+
+# Numbers that stand for the cause of an attempt's end, in memory, records and between controllers.
+W_NONE, W_DONE, W_STOPPED, W_ERROR, W_NO_ROOM, W_BUSY, W_UNKNOWN = range(7)
+CAUSE_CODES = {
+    "done": W_DONE,
+    "halted": W_STOPPED,
+    "error": W_ERROR,
+    "full": W_NO_ROOM,
+    "in_use": W_BUSY,
+    "no_such": W_UNKNOWN,
+}
+CAUSE_NAMES = {code: name for name, code in CAUSE_CODES.items()}
+
+
+class ReportTask(msgspec.Struct):
+    """A task's attempt as its worker sees it."""
+
+    task: str = field(name="chore")
+    attempt: Attempt = field(name="try")
+    state: str = field(name="status")
+    why: str | None = field(name="cause", default=None)
+    saved: bool | None = field(name="kept", default=None)
+
+
+class Report(msgspec.Struct):
+    """A heartbeat: all that a worker runs, numbered by its session and a sequence number."""
+
+    machine: HostName = field(name="host")
+    addr: OtherName = field(name="endpoint")
+    type: OtherName = field(name="build")
+    zone: OtherName = field(name="roost")
+    session: Counter = field(name="tenure")
+    seq: Counter = field(name="tally")
+    token: Counter = field(name="baton")
+    spot: bool = field(name="loaners", default=False)
+    notice_s: float | None = field(name="warning_s", default=None)  # until it is terminated
+    tasks: list[ReportTask] = field(name="chores", default_factory=list)
+
+
+class Command(msgspec.Struct, omit_defaults=True):
+    """What a worker is to do with one attempt of a task."""
+
+    op: str = field(name="verb")
+    task: str = field(name="chore")
+    attempt: int = field(name="try")
+    grace_s: float | None = field(name="leeway_s", default=None)
+
+
+class ReportReply(msgspec.Struct):
+    """The answer to a heartbeat: it renews the worker's lease."""
+
+    token: int = field(name="baton")
+    commands: list[Command] = field(name="orders")
+
+
+class Redirect(msgspec.Struct, omit_defaults=True):
+    """The answer to a heartbeat at the wrong controller: the name of the right one, if known."""
+
+    report_to: str | None = field(name="answer_to", default=None)
+
+
+class Commands(msgspec.Struct):
+    """Commands that a controller sends of itself; refused if the token is an old one."""
+
+    token: int = field(name="baton")
+    session: int = field(name="tenure")
+    commands: list[Command] = field(name="orders")
+
+
+def task_name(job: str, number: int) -> str:
+    """The name of a job's task, as workers know it."""
+    return f"{job}/{number}"
+
+
+def parse_task(name: str) -> tuple[str, int]:
+    """A task's job and number.
+
+    The number is -1 for a name that no task can have: one over the limit would be taken for a
+    task of another job.
+    """
+    job, _, number = name.rpartition("/")
+    is_number = number.isascii() and number.isdigit() and len(number) <= MAX_TASK_DIGITS
+    if JOB_ID.fullmatch(job) and is_number and int(number) < MAX_TASKS:
+        return job, int(number)
+    return job, -1
