--- /dev/null
+++ b/starlingdeck/cli_counts.py
@@ -0,0 +1,98 @@
+"""The `counts` commands: list, show and change counted resources (docs/counts.md)."""
+
+from datetime import UTC, datetime
+from typing import Any
+
+import click
+import msgspec
+
+from starlingdeck.cli_client import request, server_option
+from starlingdeck.protocol import api
+
+
+@click.group()
+def counts() -> None:
+    """Counted resources: list, show, change (docs/counts.md)."""
+
+
+@counts.command("list")
+@server_option
+def counts_list(server: str) -> None:
+    """All counts: units held, ceiling, and the revision that `set` asks for."""
+    for count in _all_counts(server):
+        click.echo(_summary(count))
+
+
+@counts.command("show")
+@server_option
+@click.argument("name")
+def counts_show(server: str, name: str) -> None:
+    """One count, and the tasks that hold it at this controller's shards."""
+    count = msgspec.json.decode(request(server, "GET", f"{api.COUNTS}/{name}"))
+    click.echo(_summary(count))
+    for use in count.get("holders", []):
+        stopping = "  told to stop" if use["yields"] else ""
+        click.echo(
+            f"  {use['task']} attempt {use['attempt']}: {use['units']} on {use['machine']}, "
+            f"{use['state']}{stopping}"
+        )
+    shards = ", ".join(str(shard) for shard in count.get("shards", []))
+    click.echo(f"  held by shard: {count['held']}; listed are those of shards {shards or 'none'}")
+
+
+@counts.command("set")
+@server_option
+@click.argument("name")
+@click.argument("ceiling", type=click.IntRange(0, api.MAX_UNITS))
+@click.option("--rev", type=int, help="Only if it is still at this revision. Default: as it is.")
+@click.option("--stop", is_flag=True, help="Stop what is over it: lowest rank, youngest first.")
+@click.option("--preempt/--no-preempt", default=None, help="May higher work stop lower work?")
+@click.option("--by", default="", help="Who changes it, for the history.")
+def counts_set(server: str, name: str, rev: int | None, **change: Any) -> None:
+    """Make a count, or change its ceiling. 0 closes it."""
+    _change(server, name, rev, change)
+
+
+@counts.command("remove")
+@server_option
+@click.argument("name")
+@click.option("--rev", type=int, help="Only if it is still at this revision. Default: as it is.")
+@click.option("--by", default="", help="Who removes it, for the history.")
+def counts_remove(server: str, name: str, rev: int | None, by: str) -> None:
+    """Take a count away: what waits for it waits on, new jobs that name it are refused."""
+    _change(server, name, rev, {"ceiling": 0, "removed": True, "by": by})
+
+
+@counts.command("history")
+@server_option
+@click.argument("name")
+def counts_history(server: str, name: str) -> None:
+    """The last changes that operators made, oldest first."""
+    history = msgspec.json.decode(request(server, "GET", f"{api.COUNTS}/{name}/history"))
+    for change in history["changes"]:
+        at = datetime.fromtimestamp(change["at_ms"] / 1000, UTC).isoformat(timespec="seconds")
+        flags = [flag for flag in ("preempt", "removed", "stop") if change.get(flag)]
+        summary = f"{change['rev']:>4}  {at}  ceiling {change['ceiling']}"
+        click.echo("  ".join([summary, *flags, change.get("by", "")]).rstrip())
+
+
+def _all_counts(server: str) -> list[dict[str, Any]]:
+    found: list[dict[str, Any]] = msgspec.json.decode(request(server, "GET", api.COUNTS))["counts"]
+    return found
+
+
+def _change(server: str, name: str, revision: int | None, change: dict[str, Any]) -> None:
+    """Change a count at a revision, by default at its present one; 0 creates it."""
+    if revision is None:
+        matching = (c.get("rev", 1) for c in _all_counts(server) if c["name"] == name)
+        revision = next(matching, 0)
+    body = msgspec.json.encode({"rev": revision, **change})
+    changed = msgspec.json.decode(request(server, "POST", f"{api.COUNTS}/{name}", body))
+    click.echo(_summary(changed))
+
+
+def _summary(count: dict[str, Any]) -> str:
+    """One line on a count."""
+    flags = [flag for flag in ("preempt", "removed") if count.get(flag)]
+    use = f"{sum(count['held'])} of {count['ceiling']} held"
+    return "  ".join([f"{count['name']:<24} {use:<22} rev {count.get('rev', 1)}", *flags])
