--- a/starlingdeck/controller/machine_type_store.py
+++ b/starlingdeck/controller/machine_type_store.py
@@ -1,4 +1,4 @@
-"""Machine types kept in the state service, for a start while the cloud can't be reached."""
+"""Machine types stored in the state service, for a start while the cloud can't be reached."""
 
 import logging
 from collections.abc import Container
--- a/starlingdeck/controller/metrics_report.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -41,7 +41,7 @@
                     log.debug("%s", line)
 
     def lines(self) -> Iterator[str]:
-        """The lines of one interval; latencies and counters begin anew with the next."""
+        """The lines of one interval; latencies and counters are reset after it."""
         yield from self.context.latencies.lines()
         yield from self.context.counters.lines(waiting_tasks(self.context, self.writers))
         if self.admission.durable is not None:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""A whole node, driven without network or clock."""
+"""A whole controller, driven without network or clock."""
 
 import itertools
 import random
@@ -30,9 +30,9 @@
     )
 
 
-def test_a_worker_is_not_sent_to_a_silent_holder() -> None:
-    """A controller lost the network; its peers named it to its workers until its shard was
-    taken over, each of them waited for it in vain, and 50 tasks died with their leases."""
+def test_a_worker_is_not_redirected_to_an_unreachable_owner() -> None:
+    """A controller lost the network; its peers redirected its workers to it until its shard was
+    taken over, each of them waited for it in vain, and 50 tasks ended with their leases."""
     clock = Clock()
     node = Controller(make_world(clock))
     node.membership.owners[1] = ShardOwner(1, 5, 77)
@@ -41,38 +41,38 @@
 
     node.peers.last_heard_at[1] = clock.at
     node.heartbeat_api.sources[node.context.machine_names.intern("vm-1")] = clock.at
-    known = curio.run(node.serve, body)
-    assert (known.status, msgspec.json.decode(known.body)) == (421, {"answer_to": "n-1"})
+    reachable = curio.run(node.serve, body)
+    assert (reachable.status, msgspec.json.decode(reachable.body)) == (421, {"answer_to": "n-1"})
 
     clock.at += node.context.tuning.reply_wait_s + 0.1
-    silent = curio.run(node.serve, body)
-    assert (silent.status, msgspec.json.decode(silent.body)) == (421, {})
+    unreachable = curio.run(node.serve, body)
+    assert (unreachable.status, msgspec.json.decode(unreachable.body)) == (421, {})
 
 
-def test_a_worker_that_can_not_reach_its_holder_is_heard_through_us() -> None:
-    """A controller that lost only its workers kept its shard; peers sent the workers back
-    to it until their leases ended."""
+def test_heartbeats_of_a_worker_that_cannot_reach_its_owner_are_forwarded() -> None:
+    """A controller that lost only its workers went on owning its shard; peers redirected the
+    workers to it until their leases ended."""
     clock = Clock()
-    node, holder = Controller(make_world(clock)), Controller(make_world(clock, node=1))
-    holder.membership.lease_id, holder.membership.renewed_at = 1, clock.at
-    holder.machines[1] = MachineShard(holder.context, 1, 5, 77, 0.0)
+    node, owner = Controller(make_world(clock)), Controller(make_world(clock, node=1))
+    owner.membership.lease_id, owner.membership.renewed_at = 1, clock.at
+    owner.machines[1] = MachineShard(owner.context, 1, 5, 77, 0.0)
     node.membership.owners[1] = ShardOwner(1, 5, 77)
     node.peers.links[1] = FrameLink(None)
 
     async def call(node: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
-        reply = await holder.on_message(envelope)
+        reply = await owner.on_message(envelope)
         assert node == 1 and reply is not None
         return reply
 
     node.peers.call = call  # type: ignore[method-assign]
     statuses = []
     for step in range(9):
-        node.peers.last_heard_at[1] = holder.membership.renewed_at = clock.at
+        node.peers.last_heard_at[1] = owner.membership.renewed_at = clock.at
         body = report("vm-1", "b", seq=step + 1)
         statuses.append(curio.run(node.serve, Request("POST", api.REPORT, body)).status)
         clock.at += 5.0
     assert statuses == [200, 421, 200, 200, 200, 421, 200, 200, 200]
-    machine = holder.machines[1].machines[holder.context.machine_names.intern("vm-1")]
+    machine = owner.machines[1].machines[owner.context.machine_names.intern("vm-1")]
     assert clock.at - machine.lease_granted_at <= 10.0
 
 
@@ -80,10 +80,10 @@
     "state, peer, healthy",
     [(True, True, True), (True, False, True), (False, True, True), (False, False, False)],
 )
-def test_who_has_neither_state_service_nor_peers_is_not_healthy(
+def test_a_controller_with_neither_state_service_nor_peers_is_not_healthy(
     state: bool, peer: bool, healthy: bool
 ) -> None:
-    """It renewed its workers' leases for 20 s more, and refused the users that it was sent."""
+    """It renewed its workers' leases for 20 s more, and refused the users that were sent to it."""
     clock = Clock()
     node = Controller(make_world(clock))
     node.membership.lease_id, node.membership.renewed_at = 1, clock.at - (0.0 if state else 5.0)
@@ -92,9 +92,9 @@
     assert (node.http_router.health().status == 200) is healthy
 
 
-def test_a_shard_goes_back_to_a_living_controller_that_we_can_not_reach() -> None:
-    """Zones were cut while both controllers of one zone restarted: the other zone's kept
-    their shards, whose workers it couldn't reach, and their leases ended."""
+def test_a_shard_is_handed_back_to_a_live_controller_that_we_cannot_reach() -> None:
+    """Zones were partitioned while both controllers of one zone restarted: the other zone's went on
+    owning their shards, whose workers they couldn't reach, and the leases ended."""
     clock = Clock()
     node = Controller(make_world(clock))
     node.membership.lease_id, node.membership.renewed_at = 1, clock.at
@@ -104,7 +104,7 @@
     assert not node.peers.is_reachable(1) and node.may_hand_back(1)
 
 
-def test_a_controller_that_starts_while_the_cloud_is_down_knows_the_machine_types() -> None:
+def test_a_controller_that_starts_while_the_cloud_is_down_loads_the_machine_types() -> None:
     """All controllers restarted during a cloud outage, and none was healthy for 40 s."""
     state = PlainState(random.Random(1))
     first, second = Controller(make_world(Clock())), Controller(make_world(Clock(), node=1))
@@ -112,13 +112,13 @@
         node.machine_type_store.state = PlainClient(state, 0.0)  # type: ignore[assignment]
     types = list(first.context.machine_types.values())
     curio.run(first.machine_type_store.store, types)
-    assert curio.run(second.machine_type_store.load) == []  # only the holder of shard 0 keeps them
+    assert curio.run(second.machine_type_store.load) == []  # only the owner of shard 0 stores them
     curio.run(first.on_shard_acquired, 0, 1, 7, 0.0)
     curio.run(first.machine_type_store.store, types)
     assert curio.run(second.machine_type_store.load) == types
 
 
-def test_paths_methods_and_bodies_get_their_statuses() -> None:
+def test_paths_methods_and_bodies_are_answered_with_their_statuses() -> None:
     node = Controller(make_world(Clock()))
 
     def status(method: str, path: str, body: bytes = b"") -> int:
@@ -134,8 +134,8 @@
     assert status("GET", api.HEALTH) == 503
 
 
-def test_a_holder_that_was_cut_off_for_long_answers_no_worker() -> None:
-    """It keeps leases alive for a bounded time only: its successor counts on that."""
+def test_an_owner_cut_off_for_long_renews_no_worker_lease() -> None:
+    """It renews leases for a bounded time only: its successor relies on that."""
     clock = Clock()
     node = Controller(make_world(clock))
     node.membership.lease_id, node.membership.renewed_at = 1, clock.at
@@ -144,22 +144,22 @@
     first = curio.run(node.heartbeat_api.handle, report("vm-1", "b"))
     assert first.status == 200
     clock.at += node.context.outage_renewal_s - 0.1
-    kept = curio.run(node.heartbeat_api.handle, report("vm-1", "b", seq=2))
-    assert kept.status == 200 and not node.membership.lease_is_valid()
+    renewed = curio.run(node.heartbeat_api.handle, report("vm-1", "b", seq=2))
+    assert renewed.status == 200 and not node.membership.lease_is_valid()
     clock.at += 0.2
     assert curio.run(node.heartbeat_api.handle, report("vm-1", "b", seq=3)).status == 503
     s = node.context.settings.settings.workers
     assert node.context.outage_renewal_s + s.lease_s < s.cancel_s - 3
 
 
-def linked_nodes(clock: Clock, state: PlainState, holder: int) -> tuple[Controller, Controller]:
-    """Two nodes with a lease each; the first reaches the second, and `holder` of the two holds
+def linked_nodes(clock: Clock, state: PlainState, owner: int) -> tuple[Controller, Controller]:
+    """Two controllers with a lease each; the first reaches the second, and `owner` of the two owns
     the shard of j-000001."""
     ours, theirs = Controller(make_world(clock)), Controller(make_world(clock, node=1))
     for node in (ours, theirs):
         node.job_api.services.state = PlainClient(state, 0.0)  # type: ignore[assignment]
         node.membership.lease_id, node.membership.renewed_at = 1, clock.at
-    shard, node = shard_of_job("j-000001", 3), (ours, theirs)[holder]
+    shard, node = shard_of_job("j-000001", 3), (ours, theirs)[owner]
     jobs = JobShard(node.context, shard, 5, 77)
     jobs.loaded = True
     node.writers[shard] = RecordWriter(node.context, node.job_api.services.state, jobs)
@@ -175,8 +175,8 @@
     return ours, theirs
 
 
-def test_a_submission_goes_through_a_peer_when_the_state_service_refuses_only_us() -> None:
-    """The holder of the job's shard answered 503 until its own lease was over."""
+def test_a_submission_is_routed_through_a_peer_when_the_state_service_refuses_only_us() -> None:
+    """The owner of the job's shard answered 503 until its own lease was over."""
     state = PlainState(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 0)
     ours.job_api.services.state.cut = True  # type: ignore[attr-defined]
@@ -185,7 +185,7 @@
     assert curio.run(ours.serve, Request("POST", api.JOBS, body)).status == 201
     assert {k for k in state.keys if "j-000001" in k} == {
         records.job_key(shard, "j-000001"),
-        records.mailbox_key(shard, "j-000001"),  # so that the holder learns of it
+        records.mailbox_key(shard, "j-000001"),  # so that the owner learns of it
     }
     theirs.job_api.services.state.cut = True  # type: ignore[attr-defined]
     refused = curio.run(
@@ -194,8 +194,8 @@
     assert refused.status == 503 and dict(refused.headers)["retry-after"]
 
 
-def test_a_submission_is_kept_by_us_when_the_holder_is_refused_by_the_state_service() -> None:
-    """Its 503 was passed on to the user, though we could have recorded the job ourselves."""
+def test_a_submission_is_stored_by_us_when_the_state_service_refuses_the_owner() -> None:
+    """Its 503 was forwarded to the user, though we could have stored the job ourselves."""
     state = PlainState(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 1)
     theirs.job_api.services.state.cut = True  # type: ignore[attr-defined]
@@ -206,8 +206,8 @@
     assert records.mailbox_key(shard, "j-000001") in state.keys
 
 
-def test_the_living_share_the_budgets() -> None:
-    """One controller alone had the work of three, and a third of the calls."""
+def test_live_controllers_share_the_request_budgets() -> None:
+    """One controller alone had the work of three, and a third of the requests."""
     limit = RequestBudget(200.0, 60.0, 3, Clock().now)
     limit.share_among(1)
     assert limit.reads.rate == 180.0 and limit.writes.rate == 54.0
@@ -215,8 +215,8 @@
     assert limit.writes.rate == 18.0 and limit.writes.burst == 18.0
 
 
-def test_a_shard_that_came_back_is_not_handed_over_again_at_once() -> None:
-    """A controller back from a cut was alive but hung in its old watch: its shard was handed
+def test_a_shard_that_was_retaken_is_not_handed_back_again_at_once() -> None:
+    """A controller back from a partition was alive but hung in its old watch: its shard was handed
     back, retaken and handed back again, three times in two seconds (incident a99b)."""
     clock = Clock()
     node = Controller(make_world(clock))
@@ -225,20 +225,20 @@
     own.lease_id, own.renewed_at, own.live_nodes = 1, clock.at, {0: 0.0, 1: clock.at - 3.0}
     curio.run(own._take, 1, 0, 0.0)
     node.writers[1].shard.loaded = True
-    held = []
+    owned = []
     for _ in range(140):
         clock.at += 0.1
         own.renewed_at = clock.at
         curio.run(own._consider, 1)
         if 1 in node.writers:
             node.writers[1].shard.loaded = True
-        held.append(1 in own.held)
-    changes = sum(a != b for a, b in itertools.pairwise(held))
-    assert changes <= 3 and held.count(False) < 15
+        owned.append(1 in own.held)
+    changes = sum(a != b for a, b in itertools.pairwise(owned))
+    assert changes <= 3 and owned.count(False) < 15
 
 
-def test_a_write_that_meets_our_own_raised_token_loses_nothing() -> None:
-    """The key's new stamp was there before the answer that told us of it: the write's condition
+def test_a_write_that_conflicts_with_our_own_raised_token_loses_nothing() -> None:
+    """The key's new version was there before the response that reported it: the write's condition
     failed, and the shard's records would never have been written again."""
     clock = Clock()
     node = Controller(make_world(clock))
@@ -258,14 +258,14 @@
     value = records.ShardValue(0, own.held[1].epoch)
     assert not state.apply({key: own.held[1].token}, [put_change(key, value)])
     assert not curio.run(writer.flush) and writer.ownership_lost and not job.placements
-    told = api.Event(state.epoch, key, msgspec.Raw(msgspec.json.encode(value)))
-    curio.run(own._event, told)
+    event = api.Event(state.epoch, key, msgspec.Raw(msgspec.json.encode(value)))
+    curio.run(own._event, event)
     assert curio.run(writer.flush) and list(job.placements) == [0]
 
 
-def test_only_who_surely_holds_a_shard_says_what_it_wants() -> None:
-    """The first list to reach a new machine holder came from a former job holder, which named a
-    task that its successor had seen stopped and reaped: it was started once more."""
+def test_only_an_owner_with_a_valid_lease_sends_desired_state() -> None:
+    """The first desired state to reach a new owner of machines came from a former owner of jobs; it
+    named a task that its successor had seen stopped and reaped: it was started once more."""
     clock = Clock()
     node = Controller(make_world(clock))
     node.membership.lease_id, node.membership.renewed_at = 1, clock.at
--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -27,7 +27,7 @@
 from tests.support.counted_resources import CountedState, watch
 from tests.support.reference_model import PlainClient, at_once
 from tests.test_counted_resources import Books
-from tests.test_resource_bounds import Site
+from tests.test_resource_bounds import SingleControllerCluster
 
 ROOT = Path(__file__).resolve().parents[1]
 CORPUS = ROOT / "tests" / "corpus" / "counts"
@@ -387,7 +387,7 @@
     assert all(u.yields or u.rank < 2 for u in ledger.victims(uses, excess, new))
 
 
-class CountedSite(Site):
+class CountedSite(SingleControllerCluster):
     """A whole controller that keeps counts."""
 
     def __init__(self) -> None:
@@ -408,9 +408,9 @@
         watch(self.gate, self.state)
         await self.gate.declare()
 
-    async def go_round(self, times: int) -> None:
+    async def run_rounds(self, times: int) -> None:
         for _ in range(times):
-            await super().go_round(1)
+            await super().run_rounds(1)
             watch(self.gate, self.state)
             for writer in self.node.writers.values():
                 await self.gate.release(writer)
@@ -426,13 +426,13 @@
     async def drive() -> None:
         site = CountedSite()
         await site.start()
-        await site.go_round(1)
+        await site.run_rounds(1)
         assert await site.submit(uid="j-1", chores=9, counts={"engine": 1}) == 201
         limit = 0
         for turn in range(120):
             if turn in (9, 20):
                 await site.start()
-            await site.go_round(1)
+            await site.run_rounds(1)
             limit = max(limit, site.live())
         assert limit == 2
         assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
@@ -475,10 +475,10 @@
         await site.start()
         body = {"shape": "daemon", "guess_s": 0.0, "chores": 3, "counts": {"engine": 1}}
         assert await site.submit(uid="j-1", **body) == 201
-        await site.go_round(12)
+        await site.run_rounds(12)
         assert site.live() == 2 == cast(CountedState, site.state).ledger("engine").total
         assert (await site.ask("POST", f"{api.JOBS}/j-1/{api.CANCEL}"))[0] == 200
-        await site.go_round(20)
+        await site.run_rounds(20)
         assert site.live() == 0 == cast(CountedState, site.state).ledger("engine").total
 
     curio.run(drive)
@@ -498,9 +498,9 @@
 
 def test_without_the_section_no_count_is_known() -> None:
     async def drive() -> None:
-        site = Site()
+        site = SingleControllerCluster()
         await site.start()
-        await site.go_round(1)
+        await site.run_rounds(1)
         assert await site.submit(counts={"engine": 1}) == 422
         assert await site.submit(counts={}) == 201
         # Taken while counts were on, it waits now.
@@ -547,11 +547,11 @@
         assert await site.submit(uid="j-1", chores=1, counts={"engine": 1}) == 201
         await site.post("engine", ceiling=0, rev=2, removed=True)
         assert await site.submit(uid="j-2", chores=1, counts={"engine": 1}) == 422
-        await site.go_round(20)
+        await site.run_rounds(20)
         _, told = await site.ask("GET", f"{api.JOBS}/j-1")
         assert told["status"] == api.QUEUED and told["waits"] == ["count engine was removed"]
         await site.post("engine", ceiling=1, rev=3)
-        await site.go_round(40)
+        await site.run_rounds(40)
         assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
 
     curio.run(drive)
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -1,4 +1,4 @@
-"""What comes in from outside: bodies, settings, records, frames."""
+"""Validation of input from outside: request bodies, settings, records, frames."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "names"),
+    ("change", "field"),
     [
         ({"chores": 0}, "chores"),
         ({"chores": 100_001}, "chores"),
@@ -35,18 +35,18 @@
         ({"due_s": -1.0}, "due_s"),
     ],
 )
-def test_a_bad_field_is_named(change: dict[str, Any], names: str) -> None:
-    with pytest.raises(api.ValidationError, match=names):
+def test_an_invalid_field_is_named(change: dict[str, Any], field: str) -> None:
+    with pytest.raises(api.ValidationError, match=field):
         api.decode_job(msgspec.json.encode(job_body(**change)))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b'{"cores":NaN}', b"\xff\xfe"])
-def test_what_is_no_object_is_refused(body: bytes) -> None:
+def test_a_body_that_is_no_object_is_refused(body: bytes) -> None:
     with pytest.raises(api.ValidationError):
         api.decode_job(body)
 
 
-def test_null_fields_may_be_left_out_and_unknown_ones_are_ignored() -> None:
+def test_optional_fields_may_be_omitted_and_unknown_ones_are_ignored() -> None:
     body = job_body(novelty=7)
     for name in ("builds", "roost", "due_s"):
         del body[name]
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "expected"),
     [
         ({"crew": "green"}, "team"),
         ({"cores": 17.0}, "fits no"),
@@ -69,12 +69,12 @@
         ({}, ""),
     ],
 )
-def test_what_can_never_run(change: dict[str, Any], says: str) -> None:
+def test_a_job_that_can_never_run_is_infeasible(change: dict[str, Any], expected: str) -> None:
     reason = submission.infeasibility_reason(make_world(Clock()), spec(**change))
-    assert says in reason and bool(says) == bool(reason)
+    assert expected in reason and bool(expected) == bool(reason)
 
 
-def test_settings_faults_are_one_line_each(tmp_path) -> None:  # type: ignore[no-untyped-def]
+def test_settings_errors_are_one_line_each(tmp_path) -> None:  # type: ignore[no-untyped-def]
     path = tmp_path / "s.json"
     raw = settings_dict()
     raw["unknown"] = 1
@@ -102,7 +102,7 @@
     assert len(caught.value.lines) == 3
 
 
-def test_a_record_comes_back_as_it_was_written() -> None:
+def test_a_record_is_read_as_it_was_written() -> None:
     context = make_world(Clock())
     job = new_job(context, spec(chores=TASKS_PER_CHUNK + 10), 1, 5)
     placements = {
@@ -117,16 +117,17 @@
     late = {TASKS_PER_CHUNK + 3: placements[TASKS_PER_CHUNK + 3]}
     chunks = [encode_chunk(context, job, n, ends, late) for n in (0, 1)]
     copies = [msgspec.json.decode(msgspec.json.encode(c), type=type(c)) for c in chunks]
-    back = load_job(context, 1, JobRecord(job.spec, 5, False, copies[0]), {1: copies[1]})
-    assert back.completed == 1 and back.task_states[0] == 2 and back.task_states[7] == 0
-    assert list(back.placements) == [TASKS_PER_CHUNK + 3]
-    placement = back.placements[TASKS_PER_CHUNK + 3]
+    loaded = load_job(context, 1, JobRecord(job.spec, 5, False, copies[0]), {1: copies[1]})
+    assert loaded.completed == 1
+    assert loaded.task_states[0] == 2 and loaded.task_states[7] == 0
+    assert list(loaded.placements) == [TASKS_PER_CHUNK + 3]
+    placement = loaded.placements[TASKS_PER_CHUNK + 3]
     assert (placement.machine, placement.session, placement.attempt) == (
         placements[TASKS_PER_CHUNK + 3].machine,
         3,
         2,
     )
-    assert back.attempts[7] == 1 and back.attempts[TASKS_PER_CHUNK + 3] == 2
+    assert loaded.attempts[7] == 1 and loaded.attempts[TASKS_PER_CHUNK + 3] == 2
 
 
 def test_a_full_chunk_fits_a_value() -> None:
@@ -160,19 +161,19 @@
     assert written == 4 and not job.pending_starts and len(job.placements) == job.spec.tasks
 
 
-def test_the_detour_carries_messages_and_refuses_garbage() -> None:
+def test_a_relayed_batch_carries_messages_and_refuses_garbage() -> None:
     sent = [
         pb.Envelope(sender=1, snapshot=pb.Snapshot(shard=2, epoch=9)),
         pb.Envelope(empty=pb.Empty()),
     ]
-    back = peers.decode_batch(peers.encode_batch(sent))
-    assert back[0].snapshot.epoch == 9 and len(back) == 2
+    received = peers.decode_batch(peers.encode_batch(sent))
+    assert received[0].snapshot.epoch == 9 and len(received) == 2
     for text in ("!!", "AAAA", peers.encode_batch(sent)[:-9]):
         with pytest.raises(ValueError):
             peers.decode_batch(text)
 
 
-def test_the_limiter_keeps_the_rate_and_a_reserve_for_the_urgent() -> None:
+def test_the_limiter_keeps_its_rate_and_reserves_some_for_urgent_requests() -> None:
     clock = Clock()
     limiter = TokenBucket(10.0, 1.0, clock.now)
     ordinary = urgent = 0
@@ -188,12 +189,12 @@
     assert 95 <= granted <= 101
 
 
-def test_meters_show_each_minute_of_its_own() -> None:
-    meters = LatencyHistograms()
+def test_latency_histograms_are_reset_after_each_report() -> None:
+    latencies = LatencyHistograms()
     for ms in range(1, 101):
-        meters.record("answer look", ms / 1000)
-    meters.record("wait prod", 1e9)
-    first, second = meters.lines()
+        latencies.record("answer look", ms / 1000)
+    latencies.record("wait prod", 1e9)
+    first, second = latencies.lines()
     assert first == "answer look: 100, p50/p90/p99 50/90/99 ms, most 100"
     assert second.startswith("wait prod: 1, ")
-    assert meters.lines() == []
+    assert latencies.lines() == []
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -1,4 +1,4 @@
-"""What comes in from outside goes through every loop or stops at the door, and stops no other."""
+"""Input from outside is handled by every loop or refused at once, and stops no other work."""
 
 import contextlib
 import random
@@ -42,8 +42,8 @@
         return await super().transact(conditions, changes, urgent)
 
 
-class Plain(Model):
-    """Just what a worker needs of it."""
+class WorkerModel(Model):
+    """The part of the reference model that a worker needs."""
 
     def __init__(self) -> None:
         self.finished = set()
@@ -55,7 +55,7 @@
         pass
 
 
-class Site:
+class SingleControllerCluster:
     """One controller, its state service and three machines; it may be restarted."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
         self.state = PlainState(random.Random(1))
         self.client = StrictClient(self.state, 0.0)
         self.workers = {
-            f"w-{i}:1": PlainWorker(f"vm-{i}", "a", Plain(), slots=400) for i in range(3)
+            f"w-{i}:1": PlainWorker(f"vm-{i}", "a", WorkerModel(), slots=400) for i in range(3)
         }
 
     async def start(self) -> None:
@@ -83,8 +83,8 @@
 
         node.http.call = call  # type: ignore[method-assign]
         for _ in range(3):
-            await curio.sleep(0)  # the shard is read
-        await node.reconcile()  # reports wait for its first list
+            await curio.sleep(0)  # the shard is loaded
+        await node.reconcile()  # heartbeats wait for its first desired state
 
     def body(self, address: str, report: api.Report) -> bytes:
         return msgspec.json.encode(msgspec.structs.replace(report, addr=address, type="big"))
@@ -96,26 +96,26 @@
     async def submit(self, **fields: Any) -> int:
         return (await self.ask("POST", api.JOBS, msgspec.json.encode(job_body(**fields))))[0]
 
-    async def serves(self) -> None:
-        """A sound job comes in, runs and ends."""
+    async def check_serves(self) -> None:
+        """A valid job is accepted, runs and completes."""
         assert await self.submit(uid=GOOD, chores=2) == 201
-        await self.go_round(40)
+        await self.run_rounds(40)
         assert (await self.ask("GET", f"{api.JOBS}/{GOOD}"))[1]["status"] == api.DONE
 
-    async def go_round(self, times: int) -> None:
-        """Every loop of the controller, and the machines' work."""
+    async def run_rounds(self, times: int) -> None:
+        """Run every loop of the controller, and the machines' work."""
         node = self.node
         for _ in range(times):
             self.clock.at += 0.3
             node.membership.renewed_at = self.clock.at
             for address, worker in self.workers.items():
                 worker.expire(self.clock.at)
-                sent, session = self.clock.at, worker.session
-                status, told = await self.ask(
+                sent_at, session = self.clock.at, worker.session
+                status, reply = await self.ask(
                     "POST", api.REPORT, self.body(address, worker.report())
                 )
-                assert status == 200, told
-                worker.answer(msgspec.convert(told, api.ReportReply), session, sent)
+                assert status == 200, reply
+                worker.answer(msgspec.convert(reply, api.ReportReply), session, sent_at)
                 worker.progress(self.state.rng)
             await node.planner.run_cycle()
             for _ in range(3):
@@ -160,24 +160,24 @@
 @example([{"cores": 1e-320}, {"cores": 0, "ram_gb": 0}])
 @example([{"kit": "x" * 120, "chores": 256, "cores": 0.1, "ram_gb": 0.1, "builds": ["big"] * 60}])
 @given(st.lists(FIELDS, min_size=1, max_size=4))
-def test_what_the_door_accepts_goes_through_every_loop(bodies: list[dict[str, Any]]) -> None:
+def test_accepted_jobs_are_handled_by_every_loop(bodies: list[dict[str, Any]]) -> None:
     async def drive() -> None:
-        site = Site()
-        await site.start()
-        await site.go_round(1)
+        cluster = SingleControllerCluster()
+        await cluster.start()
+        await cluster.run_rounds(1)
         statuses = [
-            await site.submit(uid=f"j-{n + 100}", **fields) for n, fields in enumerate(bodies)
+            await cluster.submit(uid=f"j-{n + 100}", **fields) for n, fields in enumerate(bodies)
         ]
         assert set(statuses) <= {201, 400, 422}
-        assert await site.submit(uid=GOOD, rank="prod", chores=1) == 201
-        await site.go_round(12)
-        await site.start()
-        await site.go_round(12)
-        assert not site.node.context.quarantine.entries
-        assert (await site.ask("GET", f"{api.JOBS}/{GOOD}"))[1]["status"] != api.QUEUED
+        assert await cluster.submit(uid=GOOD, rank="prod", chores=1) == 201
+        await cluster.run_rounds(12)
+        await cluster.start()
+        await cluster.run_rounds(12)
+        assert not cluster.node.context.quarantine.entries
+        assert (await cluster.ask("GET", f"{api.JOBS}/{GOOD}"))[1]["status"] != api.QUEUED
         for n, status in enumerate(statuses):
-            code, told = await site.ask("GET", f"{api.JOBS}/j-{n + 100}")
-            assert code == (200 if status == 201 else 404) and "fault" not in told
+            code, job_status = await cluster.ask("GET", f"{api.JOBS}/j-{n + 100}")
+            assert code == (200 if status == 201 else 404) and "fault" not in job_status
 
     curio.run(drive)
 
@@ -192,40 +192,40 @@
         {"guess_s": 1e308, "image_gb": 1e308, "due_s": 1e308},
     ],
 )
-def test_a_record_from_before_the_bounds_stops_nothing_else(fields: dict[str, Any]) -> None:
+def test_a_record_older_than_the_bounds_stops_nothing_else(fields: dict[str, Any]) -> None:
     """One such job ended renting, planning, or all writing of its shard, at every controller,
-    and again after each restart; now it is set aside at worst, and its user is told."""
+    and again after each restart; now it is quarantined at worst, and its user is told so."""
 
     async def drive() -> None:
-        site = Site()
-        record = JobRecord(spec("j-7", **fields), site.clock.wall_ms())
-        assert not site.state.apply({}, [put_change(records.job_key(0, "j-7"), record)])
-        await site.start()
-        await site.go_round(2)
-        await site.serves()
-        status, told = await site.ask("GET", f"{api.JOBS}/j-7")
+        cluster = SingleControllerCluster()
+        record = JobRecord(spec("j-7", **fields), cluster.clock.wall_ms())
+        assert not cluster.state.apply({}, [put_change(records.job_key(0, "j-7"), record)])
+        await cluster.start()
+        await cluster.run_rounds(2)
+        await cluster.check_serves()
+        status, job_status = await cluster.ask("GET", f"{api.JOBS}/j-7")
         assert status == 200
-        assert ("fault" in told) == bool(site.node.context.quarantine.reason("job", "j-7"))
+        assert ("fault" in job_status) == bool(cluster.node.context.quarantine.reason("job", "j-7"))
         # The same submission once more is not refused: it was accepted.
-        assert await site.submit(uid="j-7", **fields) == 200
+        assert await cluster.submit(uid="j-7", **fields) == 200
 
     curio.run(drive)
 
 
-def test_a_record_that_can_not_be_read_stops_nothing_else() -> None:
+def test_an_unreadable_record_stops_nothing_else() -> None:
     async def drive() -> None:
-        site = Site()
+        cluster = SingleControllerCluster()
         for key in (records.job_key(0, "j-7"), records.chunk_key(0, "j-8", 1)):
-            assert not site.state.apply({}, [put_change(key, {"spec": 7, "tries": 7})])
-        assert not site.state.apply(
+            assert not cluster.state.apply({}, [put_change(key, {"spec": 7, "tries": 7})])
+        assert not cluster.state.apply(
             {}, [put_change(records.job_key(0, "j-8"), JobRecord(spec("j-8", chores=300), 0))]
         )
-        await site.start()
-        await site.serves()
-        assert (await site.ask("GET", f"{api.JOBS}/j-7"))[0] == 503
+        await cluster.start()
+        await cluster.check_serves()
+        assert (await cluster.ask("GET", f"{api.JOBS}/j-7"))[0] == 503
         # What runs of a job is not known when a part of it can't be read: it starts nothing.
-        assert all("j-8/" not in name for w in site.workers.values() for name in w.completed)
-        found = {name for _, name in site.node.context.quarantine.entries}
+        assert all("j-8/" not in name for w in cluster.workers.values() for name in w.completed)
+        found = {name for _, name in cluster.node.context.quarantine.entries}
         assert found == {records.job_key(0, "j-7"), records.chunk_key(0, "j-8", 1), "j-7"}
 
     curio.run(drive)
@@ -260,35 +260,35 @@
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(st.lists(REPORTS, min_size=1, max_size=5))
-def test_what_workers_say_goes_through_every_loop(reports: list[dict[str, Any]]) -> None:
+def test_any_heartbeats_are_handled_by_every_loop(reports: list[dict[str, Any]]) -> None:
     async def drive() -> None:
-        site = Site()
-        await site.start()
-        await site.go_round(2)
+        cluster = SingleControllerCluster()
+        await cluster.start()
+        await cluster.run_rounds(2)
         for report in reports:
-            status, _ = await site.ask("POST", api.REPORT, msgspec.json.encode(report))
-            assert status in (200, 400, 421, 503)  # 503: no news of a first session
-        site.clock.at += 30.0
-        site.node.membership.renewed_at = site.clock.at
-        assert await site.submit(uid="j-000002", chores=1) == 201
-        await site.go_round(20)
-        assert not site.node.context.quarantine.entries
-        assert (await site.ask("GET", f"{api.JOBS}/j-000002"))[1]["status"] != api.QUEUED
+            status, _ = await cluster.ask("POST", api.REPORT, msgspec.json.encode(report))
+            assert status in (200, 400, 421, 503)  # 503: a stale one of a first session
+        cluster.clock.at += 30.0
+        cluster.node.membership.renewed_at = cluster.clock.at
+        assert await cluster.submit(uid="j-000002", chores=1) == 201
+        await cluster.run_rounds(20)
+        assert not cluster.node.context.quarantine.entries
+        assert (await cluster.ask("GET", f"{api.JOBS}/j-000002"))[1]["status"] != api.QUEUED
 
     curio.run(drive)
 
 
-def test_a_loop_that_stumbles_over_one_machine_serves_the_others() -> None:
+def test_a_loop_that_fails_on_one_machine_handles_the_others() -> None:
     async def drive() -> None:
-        site = Site()
-        await site.start()
-        await site.go_round(2)
-        machines = site.node.machines[0]
-        bad = machines.machines[site.node.context.machine_names.intern("vm-1")]
+        cluster = SingleControllerCluster()
+        await cluster.start()
+        await cluster.run_rounds(2)
+        machines = cluster.node.machines[0]
+        bad = machines.machines[cluster.node.context.machine_names.intern("vm-1")]
         bad.type = None  # type: ignore[assignment]
         machines.mark_changed(bad.index)
-        await site.serves()
-        assert list(site.node.context.quarantine.entries) == [("machine", "vm-1")]
+        await cluster.check_serves()
+        assert list(cluster.node.context.quarantine.entries) == [("machine", "vm-1")]
 
     curio.run(drive)
 
@@ -307,15 +307,15 @@
         pb.Envelope(gossip=pb.Gossip(team_jobs=[pb.TeamJob(team=99, cpus=float("nan"))])),
     ],
 )
-def test_what_peers_say_stops_nothing(message: pb.Envelope) -> None:
+def test_no_message_of_a_peer_stops_the_controller(message: pb.Envelope) -> None:
     async def drive() -> None:
-        site = Site()
-        await site.start()
+        cluster = SingleControllerCluster()
+        await cluster.start()
         if message.HasField("desired_state"):
-            message.desired_state.to_epoch = site.node.machines[0].epoch
+            message.desired_state.to_epoch = cluster.node.machines[0].epoch
         with contextlib.suppress(LookupError, ValueError):  # its link ends: `Peers.serve`
-            await site.node.on_message(message)
-        await site.serves()
+            await cluster.node.on_message(message)
+        await cluster.check_serves()
 
     curio.run(drive)
 
@@ -330,15 +330,15 @@
         api.MachineType("odd", 4.0, 16.0, ["a"], fetch_gb_per_s=-1.0),
     ],
 )
-def test_a_machine_type_that_can_not_be_is_set_aside(kind: api.MachineType) -> None:
+def test_an_invalid_machine_type_is_quarantined(kind: api.MachineType) -> None:
     async def drive() -> None:
-        site = Site()
-        await site.start()
-        before = dict(site.node.context.machine_types)
-        site.node.context.update_machine_types([kind])
-        assert site.node.context.machine_types == before
-        assert list(site.node.context.quarantine.entries) == [("machine type", "odd")]
-        await site.serves()
+        cluster = SingleControllerCluster()
+        await cluster.start()
+        before = dict(cluster.node.context.machine_types)
+        cluster.node.context.update_machine_types([kind])
+        assert cluster.node.context.machine_types == before
+        assert list(cluster.node.context.quarantine.entries) == [("machine type", "odd")]
+        await cluster.check_serves()
 
     curio.run(drive)
 
@@ -357,17 +357,17 @@
         api.Event(9, delete="c/s/99"),
     ],
 )
-def test_what_stands_under_the_cluster_keys_stops_nothing(event: api.Event) -> None:
+def test_no_value_of_a_cluster_key_stops_the_controller(event: api.Event) -> None:
     async def drive() -> None:
-        site = Site()
-        await site.start()
-        await site.node.membership._event(event)
-        await site.serves()
+        cluster = SingleControllerCluster()
+        await cluster.start()
+        await cluster.node.membership._event(event)
+        await cluster.check_serves()
 
     curio.run(drive)
 
 
-def test_bodies_are_refused_with_the_field_and_its_bound() -> None:
+def test_invalid_bodies_are_refused_with_the_field_and_its_bound() -> None:
     for change, names in (
         ({"uid": "j-1\n"}, "uid"),
         ({"kit": "x" * 121}, "kit.*120"),
