--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -212,7 +212,7 @@
         membership = node.membership
         for part in (
             node,
-            node.job_api,
+            node.job_api.services,
             membership,
             membership.lease,
             membership.ownership,
