--- a/starlingdeck/machines/machine.py
+++ b/starlingdeck/machines/machine.py
@@ -1,4 +1,4 @@
-"""A machine as its owner has it: what was heard of it, what runs there, what is promised."""
+"""The record of a machine at its shard's owner: last report, tasks, launches, reservations."""
 
 from typing import Protocol
 
@@ -10,18 +10,23 @@
 
 
 class PreemptionAttributes(Protocol):
-    """What preemption asks of a job."""
+    """The attributes of a job that decide who may preempt whom."""
 
     @property
-    def team(self) -> int: ...
+    def team(self) -> int:
+        """The index of its team."""
+
     @property
-    def rank(self) -> int: ...
+    def rank(self) -> int:
+        """Its priority rank; the higher preempts the lower."""
+
     @property
-    def guaranteed(self) -> bool: ...
+    def guaranteed(self) -> bool:
+        """Whether it is within its team's guaranteed share."""
 
 
 class JobInfo(Struct):
-    """What a machine's owner must know of a job that runs there."""
+    """What the owner of a machine must know of a job with tasks there. Times in seconds."""
 
     team: int
     rank: int
@@ -37,7 +42,7 @@
 
 
 class ObservedTask(Struct):
-    """A task as the newest report has it."""
+    """A task as shown by the machine's newest report."""
 
     attempt: int
     state: int
@@ -47,7 +52,7 @@
 
 
 class PendingLaunch(Struct):
-    """A start that no report has shown yet. `sent` counts tries to deliver it."""
+    """A start that no report has shown yet; `deliveries` counts the attempts to send it."""
 
     attempt: int
     requested_at: float
@@ -55,6 +60,8 @@
 
 
 class DesiredTask(Struct):
+    """A task that its job shard wants to run on a machine, or to be stopped there."""
+
     attempt: int
     session: int
     stop: bool
@@ -62,49 +69,55 @@
 
 
 class Reservation(Struct):
-    """Room kept for a task whose record is being written."""
+    """Capacity reserved for a task whose placement record is being written."""
 
     attempt: int
     expires_at: float
 
 
 class Machine(Reachability, kw_only=True):
+    """A machine of a shard. Tasks are keyed by `interning.task_key`; times are steady seconds."""
+
     index: int
     name: str
     address: str
     type: int
     zone: int
     spot: bool
-    termination_at: float | None = None
+    termination_at: float | None = None  # when the cloud takes it away, once it has given notice
     tasks: dict[int, ObservedTask] = field(default_factory=dict)
     pending_launches: dict[int, PendingLaunch] = field(default_factory=dict)
-    orphan_stops: list[api.Command] = field(default_factory=list)  # stops, for a life not yet begun
+    orphan_stops: list[api.Command] = field(default_factory=list)  # for an incarnation not begun
     reservations: dict[int, Reservation] = field(default_factory=dict)
-    refused_attempts: set[tuple[int, int]] = field(default_factory=set)
-    evictions: dict[int, float] = field(default_factory=dict)
+    refused_attempts: set[tuple[int, int]] = field(default_factory=set)  # task key and attempt
+    evictions: dict[int, float] = field(default_factory=dict)  # task key -> seconds to save
     descheduled: set[int] = field(default_factory=set)
-    images: dict[str, float] = field(default_factory=dict)
+    images: dict[str, float] = field(default_factory=dict)  # image -> when last known to be used
+    # The highest token of a start without an answer, which may still act; 0: none.
     unconfirmed_token: int = 0
-    piggybacked_at: float = -1e9  # when starts last went out in a report's answer
+    piggybacked_at: float = -1e9  # when starts last went out in the answer to a report
     lost: bool = False
     draining: bool = False
-    faulty_since: float | None = None  # since when; its work may still show that it isn't
+    faulty_since: float | None = None  # None: not faulty; a task's success may still clear it
     command_in_flight: bool = False
     retry_at: float = 0.0
     empty_since: float = 0.0
-    published_schedulable: bool = False  # whether it was drawable when last shown
-    last_reported_tasks: list[api.ReportTask] | None = None  # what `tasks` was made of
-    reconciled: bool = False  # nothing to be stopped or reaped until a list or a report changes
+    published_schedulable: bool = False  # whether it was schedulable in the newest snapshot
+    last_reported_tasks: list[api.ReportTask] | None = None  # the source of `tasks`
+    reconciled: bool = False  # no stop or reap is due until desired state or report change
 
 
-def may_preempt(new: PreemptionAttributes, old: PreemptionAttributes, pressing: bool) -> bool:
-    """PROTOCOL, "Preemption": higher rank, or a guarantee against another team's surplus.
+def may_preempt(
+    new: PreemptionAttributes, running: PreemptionAttributes, quota_pressure: bool
+) -> bool:
+    """Whether a new job may preempt a running one (PROTOCOL, "Preemption").
 
-    Work of higher rank gives way to a guarantee only when that presses: at first there may
-    be lower work to stop elsewhere, and a stopped service is missed at once.
+    It may by higher rank, or by a guarantee against another team's use beyond its own. Work of
+    higher rank gives way to a guarantee only under quota pressure: before that there may be lower
+    work to preempt elsewhere, and a stopped service is missed at once.
     """
-    if new.rank > old.rank:
-        return new.team == old.team or new.guaranteed or not old.guaranteed
-    if old.rank > new.rank and not pressing:
+    if new.rank > running.rank:
+        return new.team == running.team or new.guaranteed or not running.guaranteed
+    if running.rank > new.rank and not quota_pressure:
         return False
-    return new.guaranteed and not old.guaranteed and new.team != old.team
+    return new.guaranteed and not running.guaranteed and new.team != running.team
--- a/starlingdeck/machines/reachability.py
+++ b/starlingdeck/machines/reachability.py
@@ -1,54 +1,59 @@
-"""What is known of a machine's two directions, and how fresh that is. Pure.
+"""What a controller knows of the two directions of its link to a machine. Pure.
 
-Its reports come to us; our answers and commands go to it. Each direction may fail alone, copies
-of reports come late, and a machine may be back at once, counting from the beginning. What each
-message proves is in `docs/design/hearing.md`.
+A machine's reports come to its controller; answers and commands go to the machine. Each direction
+may fail alone, copies of reports arrive late, and a machine may restart within its lease and count
+its sessions from 1 again. What each message proves is described in `docs/design/hearing.md`.
 """
 
 from enum import Enum
 
 from msgspec import Struct
 
-MASS_UNREACHABLE_SHARE = (
-    0.05  # (start) of the machines heard: when more hear nothing, the network is to blame
-)
-MIN_RELEASABLE = 2  # (start) may be returned however few machines there are
+# (start) of the reporting machines: when more are unreachable at once, the network is to blame.
+MASS_UNREACHABLE_SHARE = 0.05
+MIN_RELEASABLE = 2  # (start) machines that may be released however small the fleet is
+MIN_UNCONFIRMED_S = 0.001  # keeps a machine that has just become unconfirmed apart from the others
 
 
 class HeartbeatOrder(Enum):
-    """What a message is to us."""
+    """A message's position among the messages that came from its machine before."""
 
     NEWER = 1  # newer than all before
-    OVERTAKEN = 2  # a report that another message has overtaken: its answer renews, no more
-    STALE = 3  # a copy, or of another life of the machine: it proves nothing
+    OVERTAKEN = 2  # a report that another message has overtaken: its answer only renews the lease
+    STALE = 3  # a copy, or of another incarnation of the machine: it proves nothing
 
 
 class Reachability(Struct, kw_only=True):
-    """`session` counts over a machine's lives: `ended` is what its earlier ones took of it."""
-
-    last_message_at: float  # when the newest message first came
-    lease_granted_at: (
-        float  # no lease of its began later: a lease counts from the sending of a report,
-    )
-    # and that of a new session from its beginning
-    last_heartbeat_at: float  # when its newest report came: an answer to a call renews no lease
-    unconfirmed_since: float | None = (
-        None  # since when nothing proves that it hears us; None: proven
-    )
+    """The newest message of a machine, its lease, and whether it receives what is sent to it.
+
+    Times are in seconds of the controller's steady clock. `session` counts over all incarnations
+    of a machine; `prior_sessions` of them belong to its earlier incarnations, so the machine's own
+    count is the difference.
+    """
+
+    last_message_at: float  # when the newest message arrived
+    # No lease of the machine began later: a lease counts from the sending of a report, and that
+    # of a new session from the session's beginning.
+    lease_granted_at: float
+    last_heartbeat_at: float  # when the newest report arrived; command answers renew no lease
+    # Since when nothing proves that the machine receives our messages; None: it does.
+    unconfirmed_since: float | None = None
     session: int = 0
     seq: int = 0
     token: int = 0
     prior_sessions: int = 0
-    last_heartbeat: tuple[int, int] = (0, 0)  # its own session and number, of the newest report
-    unanswered_commands: int = 0  # calls in a row without an answer
-    probe_needed: bool = False  # something foreign came: only an answer to a call tells what it is
+    last_heartbeat: tuple[int, int] = (0, 0)  # own session and number of the newest report
+    unanswered_commands: int = 0  # consecutive commands without an answer
+    # A message of another incarnation came: only the answer to a command tells which is current.
+    probe_needed: bool = False
     probed_at: float = 0.0
-    # The session of a life that an answer has shown, until its former life's commands are fenced.
+    # The session of an incarnation that an answer has shown, until the commands sent to the one
+    # before are fenced; 0: none.
     new_incarnation_session: int = 0
 
     @property
     def needs_probe(self) -> bool:
-        """Whether it is to be called only to see whether it answers."""
+        """Whether a command is to be sent only to see whether it is answered."""
         return self.unconfirmed_since is not None or self.probe_needed
 
     def position(self) -> tuple[int, int]:
@@ -56,47 +61,62 @@
         return (self.session - self.prior_sessions, self.seq)
 
     def classify(self, session: int, seq: int, token: int, report: bool) -> HeartbeatOrder:
-        """A life's tokens only rise, so that what counts on from a former life shows itself."""
+        """The order of a message among those before; `report`: not the answer to a command.
+
+        Within one incarnation tokens only rise, so a message of an earlier incarnation is
+        recognised by its lower token.
+        """
         if (session, seq) > self.position():
             return HeartbeatOrder.NEWER if token >= self.token else HeartbeatOrder.STALE
-        # Renewed by every report, a lease of a dead machine was put off by copies of its own.
+        # Were every report to renew the lease, late copies would keep a lost machine alive.
         fresh = report and (session, seq) > self.last_heartbeat
         return HeartbeatOrder.OVERTAKEN if fresh else HeartbeatOrder.STALE
 
     def is_new_incarnation(self, asked: tuple[int, int] | None, session: int, seq: int) -> bool:
-        """Whether an answer to a call shows a new life: it was made after `asked` was known, and
-        in one life numbers only rise. A report that does so may as well be a late copy."""
+        """Whether the answer to a command shows a new incarnation of the machine.
+
+        `asked` is the position known when the command was sent. The answer was made later, and
+        within one incarnation numbers only rise. A report with low numbers proves nothing: it
+        may be a late copy.
+        """
         return asked is not None and (session, seq) < asked
 
     def begin_incarnation(self, session: int) -> int:
-        """The number of the first session of a life that has just shown itself."""
-        (
-            self.prior_sessions,
-            self.new_incarnation_session,
-            self.probe_needed,
-            self.last_heartbeat,
-        ) = self.session, 0, False, (0, 0)
+        """Switch to a new incarnation; returns its first session, counted over all of them."""
+        self.prior_sessions = self.session
+        self.new_incarnation_session = 0
+        self.probe_needed = False
+        self.last_heartbeat = (0, 0)
         return session + self.prior_sessions
 
-    def catch_up(self, listed: int) -> bool:
-        """Lists name a later session than its newest word, of which it is known that it is its
-        present one: it began anew under a former holder, who alone knew its earlier lives."""
-        if listed <= self.session:
+    def catch_up(self, desired_session: int) -> bool:
+        """Adopt the session that the desired state names, if it is later than the known one.
+
+        The machine then restarted under a former owner of its shard, and only that owner knew of
+        the earlier incarnations. The newest message is known to be of the current one.
+        """
+        if desired_session <= self.session:
             return False
-        self.prior_sessions += listed - self.session
-        self.session = listed
+        self.prior_sessions += desired_session - self.session
+        self.session = desired_session
         return True
 
     def unconfirmed_s(self, now: float, within_s: float) -> float:
-        """How long a machine that reports has shown nothing that proves that it hears us, 0 for
-        others; in a view it is as of then, and goes on."""
+        """For how long a reporting machine has not proved that it receives our messages.
+
+        0 for a machine that has proved it, or has sent nothing for `within_s`. In a snapshot the
+        figure is as of the snapshot's time.
+        """
         if self.unconfirmed_since is None or now - self.last_message_at > within_s:
             return 0.0
-        return max(0.001, now - self.unconfirmed_since)
+        return max(MIN_UNCONFIRMED_S, now - self.unconfirmed_since)
+
 
+def releasable_count(unreachable: int, reporting: int) -> int:
+    """How many unreachable machines may be returned to the cloud now.
 
-def releasable_count(deaf: int, heard: int) -> int:
-    """How many machines that hear nothing may be returned now: when many are so at once (a zone,
-    half the fleet), the network is to blame, and others would hear as little."""
-    few = max(MIN_RELEASABLE, int(heard * MASS_UNREACHABLE_SHARE))
-    return deaf if deaf <= few else 0
+    When many are unreachable at once (a zone, half the fleet), the network is to blame and
+    replacements would be unreachable too: then none.
+    """
+    limit = max(MIN_RELEASABLE, int(reporting * MASS_UNREACHABLE_SHARE))
+    return unreachable if unreachable <= limit else 0
