--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -15,7 +15,7 @@
 LINE = re.compile(r"\s*([\d.]+) (\S+) [A-Z] \S+: (.*)")
 RAN = re.compile(r"ran (\S+): (\d+) times, ([\d.]+) s, longest ([\d.]+) s")
 ANSWER = re.compile(r"answer (\w+): (\d+), p50/p90/p99 [\d.]+/[\d.]+/([\d.]+) ms")
-FIRST = re.compile(r"machine (\S+): first report")
+FIRST = re.compile(r"machine registered: machine=(\S+)")
 TAKEN = re.compile(r"shard (\d+): taken over")
 READ = re.compile(r"shard (\d+): (\d+) unfinished jobs read")
 GONE = "returned to the cloud: "
--- /dev/null
+++ b/starlingdeck/machines/commands.py
@@ -0,0 +1,131 @@
+"""Builds the commands to a shard's workers, and notes how they were answered."""
+
+import logging
+
+from starlingdeck.machines.desired_state import DesiredStateTracker
+from starlingdeck.machines.machine import Machine
+from starlingdeck.machines.shard_state import ShardState
+from starlingdeck.protocol import api
+
+log = logging.getLogger(__name__)
+
+# Consecutive unanswered commands after which starts go only with the answers to reports.
+MAX_UNANSWERED_COMMANDS = 2
+UNANSWERED_BACKOFF_S = 0.5  # for each consecutive command without an answer
+MAX_UNANSWERED_BACKOFF_S = 3.0
+REJECTED_BACKOFF_S = 0.3
+
+
+class CommandBuilder:
+    """Stops, reaps and starts for the machines of a shard."""
+
+    def __init__(self, state: ShardState, desired: DesiredStateTracker) -> None:
+        self.state = state
+        self.desired = desired
+
+    def pending(self, machine: Machine, reaps: bool) -> list[api.Command]:
+        """The stops and reaps that the newest report calls for; starts go by `commands_for`."""
+        if machine.reconciled:
+            return []
+        find_desired, is_synced = self.desired.find, self.desired.is_synced
+        commands: list[api.Command] = []
+        reconciled = True
+        for key, observed in machine.tasks.items():
+            desired = find_desired(machine.index, key)
+            wanted = desired is not None and desired.attempt == observed.attempt
+            stopping = desired is not None and desired.stop
+            exited = observed.state == api.EXITED
+            reconciled = reconciled and wanted and not exited and not stopping
+            operation, grace_s = None, None
+            if exited:
+                # Reap only what the job's record no longer has here, and only when no
+                # start of this attempt can still arrive.
+                if reaps and not wanted and is_synced(key) and self.state.is_fenced(machine):
+                    operation = api.REAP
+            elif wanted and desired is not None and desired.stop:
+                operation, grace_s = api.STOP, desired.grace_s
+            elif key in machine.evictions:
+                if observed.state != api.SAVING:
+                    operation, grace_s = api.STOP, machine.evictions[key]
+            elif not wanted and is_synced(key):
+                operation, grace_s = api.STOP, 0.0
+            if operation is not None:
+                name = self.state.task_name(key)
+                commands.append(api.Command(operation, name, observed.attempt, grace_s))
+        machine.reconciled = reconciled and not machine.evictions
+        return commands
+
+    def piggybacked_starts(self, machine: Machine) -> list[api.Command]:
+        """Starts for a worker that reports but doesn't answer commands.
+
+        They may go with the answer to its report: a worker executes answers in order and drops
+        late ones, and reaps go the same way, so no start can follow its own reap.
+        """
+        if (
+            machine.unanswered_commands < MAX_UNANSWERED_COMMANDS
+            or machine.new_incarnation_session
+            or not machine.pending_launches
+        ):
+            return []
+        commands: list[api.Command] = []
+        for key, launch in machine.pending_launches.items():
+            if not self._may_start(machine, key):
+                continue
+            launch.deliveries += 1
+            commands.append(api.Command(api.START, self.state.task_name(key), launch.attempt))
+        if commands:
+            machine.piggybacked_at = self.state.context.now()
+        return commands
+
+    def commands_for(self, machine: Machine, starts: bool) -> api.Commands:
+        """What to send to a worker now. Launches are counted as delivered before they are sent."""
+        token = self.state.token
+        if machine.new_incarnation_session:
+            return api.Commands(token, machine.new_incarnation_session, machine.orphan_stops)
+        commands = [c for c in self.pending(machine, starts) if c.op != api.REAP]
+        # A start without an answer raises the token for all: not repeatedly for one machine.
+        if starts and machine.unanswered_commands < MAX_UNANSWERED_COMMANDS:
+            commands += self._direct_starts(machine)
+        return api.Commands(token, machine.session - machine.prior_sessions, commands)
+
+    def _direct_starts(self, machine: Machine) -> list[api.Command]:
+        commands: list[api.Command] = []
+        for key, launch in machine.pending_launches.items():
+            if not self._may_start(machine, key):
+                continue
+            name = self.state.task_name(key)
+            old = machine.tasks.get(key)
+            if old is not None and old.state == api.EXITED and self.state.is_fenced(machine):
+                commands.append(api.Command(api.REAP, name, old.attempt))
+            launch.deliveries += 1
+            commands.append(api.Command(api.START, name, launch.attempt))
+            if launch.deliveries == 1:
+                log.info(
+                    "task start sent: task=%s attempt=%d machine=%s",
+                    name,
+                    launch.attempt,
+                    machine.name,
+                )
+        return commands
+
+    def _may_start(self, machine: Machine, key: int) -> bool:
+        desired = self.desired.find(machine.index, key)
+        return desired is not None and not desired.stop and self.desired.is_confirmed(key)
+
+    def on_unanswered(self, machine: Machine, orders: api.Commands, maybe_sent: bool) -> None:
+        """Commands got no answer; if they were sent they may act at any later time."""
+        state = self.state
+        starts = any(c.op == api.START for c in orders.commands)
+        if maybe_sent and starts and orders.session == machine.session - machine.prior_sessions:
+            machine.unconfirmed_token = max(machine.unconfirmed_token, orders.token)
+            state.mark_changed(machine.index)
+            log.info("start unanswered: machine=%s token=%d", machine.name, orders.token)
+        machine.unanswered_commands += 1
+        if machine.unanswered_commands == MAX_UNANSWERED_COMMANDS and not machine.lost:
+            state.mark_unconfirmed(machine)
+        backoff_s = UNANSWERED_BACKOFF_S * machine.unanswered_commands
+        machine.retry_at = state.context.now() + min(backoff_s, MAX_UNANSWERED_BACKOFF_S)
+
+    def on_rejected(self, machine: Machine) -> None:
+        """The worker answered 409: nothing was executed."""
+        machine.retry_at = self.state.context.now() + REJECTED_BACKOFF_S
--- a/starlingdeck/machines/descheduling.py
+++ b/starlingdeck/machines/descheduling.py
@@ -1,87 +1,110 @@
-"""DESIGN 3: which tasks an overfull machine gives up, picked by tabu search."""
+"""Chooses the tasks that a shard's machines give up: descheduling (DESIGN 3)."""
 
-import random
-from collections.abc import Sequence
+from starlingdeck.context import fits
+from starlingdeck.interning import split_key
+from starlingdeck.machines import tabu_search
+from starlingdeck.machines.machine import JobInfo, Machine, ObservedTask
+from starlingdeck.machines.shard_state import ShardState
+from starlingdeck.protocol import api
+from starlingdeck.protocol.api import MachineType
 
-from msgspec import Struct
+ESTIMATE_MARGIN = 1.2  # a job's run time may exceed its estimate by a fifth
+SAVE_MARGIN_S = 1.0  # allowed beyond the time that a job says it needs to save
+LAST_SAVE_MARGIN_S = 2.0  # before a termination, beyond the time to save
+LAST_SAVE_SHARE = 0.1  # of the time left, beyond the time to save
 
-from starlingdeck.machines.scoring import start_score
 
+class Descheduler:
+    """Marks tasks as descheduled; their job shards place them elsewhere."""
 
-class RunningTask(Struct, frozen=True):
-    """A task on the machine: its index, its size, and what moving it would cost."""
+    def __init__(self, state: ShardState) -> None:
+        self.state = state
 
-    key: int
-    size: tuple[float, float, float]
-    cost: float
-    pinned: bool = False
+    def run(self) -> None:
+        """Choose for each changed machine: what breaks a constraint, then by tabu search.
 
+        A termination notice breaks the constraint of all tasks that won't end in time.
+        """
+        state, context = self.state, self.state.context
+        now = context.now()
+        for index in state.to_reconcile | state.termination_noticed:
+            machine = state.machines.get(index)
+            if machine is None:
+                state.termination_noticed.discard(index)
+                continue
+            if not context.is_quarantined("machine", machine.name):
+                try:
+                    self._deschedule(machine, now)
+                except Exception as error:  # the outermost edge for one machine: others go on
+                    context.quarantine_failed("machine", machine.name, error)
 
-def move_cost(ran_s: float, saves: bool, checkpoint_s: float, fetch_s: float) -> float:
-    """Ours: lost run time plus the fetch of an image the target doesn't have, in seconds."""
-    lost = min(ran_s, checkpoint_s) if saves else ran_s
-    return 1.0 + lost + fetch_s
+    def _deschedule(self, machine: Machine, now: float) -> None:
+        live = {k: t for k, t in machine.tasks.items() if t.state in (api.FETCHING, api.ON)}
+        if machine.termination_at is not None and not machine.lost:
+            chosen = self._ending_too_late(machine, live, machine.termination_at, now)
+        else:
+            chosen = self._overcommitted(machine, live)
+        if chosen != machine.descheduled:
+            machine.descheduled = chosen
+            self.state.mark_changed(machine.index)
 
+    def _ending_too_late(
+        self, machine: Machine, live: dict[int, ObservedTask], termination_at: float, now: float
+    ) -> set[int]:
+        """The tasks that won't end before the machine is taken away."""
+        chosen: set[int] = set()
+        left = termination_at - now
+        for key, observed in live.items():
+            info = self.state.jobs.get(split_key(key)[0])
+            if info is None:
+                continue
+            remaining = info.estimate_s * ESTIMATE_MARGIN - (now - observed.state_since)
+            if info.service or observed.state == api.FETCHING or remaining > left:
+                chosen.add(key)
+            last_save_s = info.save_s + LAST_SAVE_MARGIN_S + LAST_SAVE_SHARE * left
+            if info.checkpoint_s > 0 and left < last_save_s:
+                # Not placed elsewhere in time: at least its progress is saved.
+                machine.evictions.setdefault(key, info.save_s + SAVE_MARGIN_S)
+                self.state.schedule_reconcile(machine.index)
+        return chosen
 
-def choose_tasks(
-    total: Sequence[float],
-    loads: Sequence[RunningTask],
-    restarts: int,
-    steps: int,
-    patience: int,
-    rng: random.Random,
-) -> list[int]:
-    """Keys of a cheap set of tasks whose removal makes the rest fit.
-
-    Fitness is the score after removal over the move cost; a set that still overfills
-    the machine ranks by how much it overfills.
-    """
-    movable = [i for i, load in enumerate(loads) if not load.pinned]
-    use = [sum(load.size[d] for load in loads) for d in range(3)]
-
-    def over(gone: frozenset[int]) -> float:
-        worst = 0.0
-        for d in range(3):
-            if total[d] > 0:
-                left = use[d] - sum(loads[i].size[d] for i in gone)
-                worst = max(worst, left / total[d] - 1)
-        return worst
-
-    def fitness(gone: frozenset[int]) -> float:
-        excess = over(gone)
-        if excess > 1e-9:
-            return -excess
-        shares = [
-            (use[d] - sum(loads[i].size[d] for i in gone)) / total[d]
-            for d in range(3)
-            if total[d] > 0
+    def _overcommitted(self, machine: Machine, live: dict[int, ObservedTask]) -> set[int]:
+        """The tasks that make an overcommitted machine fit, by what its report shows alone."""
+        total = self.state.capacity(machine)
+        if total is None or machine.lost:
+            return set()
+        infos: dict[int, JobInfo] = {}
+        use = [0.0, 0.0, 0.0]
+        for key in live:
+            info = self.state.jobs.get(split_key(key)[0])
+            if info is None:
+                return set()
+            infos[key] = info
+            use = [a + b for a, b in zip(use, info.size, strict=True)]
+        if fits(use, total):
+            return set()
+        context = self.state.context
+        kind, now = context.machine_types[machine.type], context.now()
+        tasks = [
+            _running_task(key, observed, infos[key], kind, now) for key, observed in live.items()
         ]
-        cost = sum(loads[i].cost for i in gone)
-        return (3 + start_score(shares)) / (1 + cost)
+        tuning = context.tuning
+        return set(
+            tabu_search.choose_tasks(
+                total,
+                tasks,
+                tuning.tabu_restarts,
+                tuning.tabu_steps,
+                tuning.tabu_patience,
+                context.rng,
+            )
+        )
+
 
-    if not movable or over(frozenset()) <= 1e-9:
-        return []
-    best = frozenset(movable)
-    best_fit = fitness(best)
-    for _ in range(restarts):
-        order = movable[:]
-        rng.shuffle(order)
-        gone: frozenset[int] = frozenset()
-        for i in order:
-            if over(gone) <= 1e-9:
-                break
-            gone |= {i}
-        tabu: set[int] = set()
-        idle = 0
-        for _ in range(steps):
-            moves = [(fitness(gone ^ {i}), i) for i in movable if i not in tabu]
-            if not moves:
-                break
-            gain, i = max(moves)
-            gone, idle = gone ^ {i}, idle + 1
-            tabu.add(i)
-            if gain > best_fit:
-                best, best_fit, idle = gone, gain, 0
-            if idle >= patience:
-                break
-    return [loads[i].key for i in sorted(best)]
+def _running_task(
+    key: int, observed: ObservedTask, info: JobInfo, kind: MachineType, now: float
+) -> tabu_search.RunningTask:
+    fetch_s = info.image_gb / kind.fetch_gb_per_s if kind.fetch_gb_per_s > 0 else 0.0
+    ran_s = now - observed.state_since if observed.state == api.ON else 0.0
+    cost = tabu_search.move_cost(ran_s, info.checkpoint_s > 0, info.checkpoint_s, fetch_s)
+    return tabu_search.RunningTask(key, info.size, cost)
--- a/starlingdeck/machines/failure_attribution.py
+++ b/starlingdeck/machines/failure_attribution.py
@@ -1,72 +1,77 @@
 """Whether a machine or a job is at fault for tasks that failed. Pure.
 
 A faulty machine fails whatever starts there; a job that was submitted with a mistake fails wherever
-it starts. What fails together says nothing: what counts is where else each has gone well or failed.
+it starts. A single failure says nothing about either: what counts is where else the job and the
+machine have succeeded or failed.
 """
 
 from collections.abc import Iterable
 
+# What is known of a job: nothing, that it succeeds, or that it fails on every machine.
 UNKNOWN, FINE, BROKEN = range(3)
-BROKEN_JOB_MACHINES = (
-    2  # machines that a job has failed on without a success: its errors blame none
-)
-MAX_UNCERTAIN_FAULTY_SHARE = (
-    0.1  # (start) of the machines: more aren't called sick by jobs of which nothing is known
-)
+# Machines that a job has failed on, without a success, before its errors blame no machine.
+BROKEN_JOB_MACHINES = 2
+# (start) of the machines: no more of them are marked faulty by jobs of which nothing is known.
+MAX_UNCERTAIN_FAULTY_SHARE = 0.1
 
 
 class FailureAttribution:
-    """Of one machine shard: errors by machine since its last success, and what jobs are like.
+    """The task failures of one machine shard: by machine since its last success, and by job.
 
-    Three errors in a row of a job that had failed on no third machine made a machine sick. Thirty
-    tasks of a wrong job on one large machine did that at once, and the machine was returned.
+    A rule of three errors in a row marked a large machine faulty when thirty tasks of one broken
+    job failed there at once, and the machine was returned. So a job's errors count by what is
+    known of the job.
     """
 
-    def __init__(self, enough: int) -> None:
-        self.enough = enough  # errors that make a machine sick
+    def __init__(self, min_errors: int) -> None:
+        self.min_errors = min_errors  # errors that mark a machine faulty
         self.errors: dict[int, set[tuple[int, int]]] = {}  # machine -> job, an attempt's key
         self.failed: dict[int, set[int]] = {}  # job -> machines
-        self.known: dict[int, int] = {}  # job -> what its holder or a success here says of it
+        self.evidence: dict[int, int] = {}  # job -> what its owner or a success here says of it
 
-    def learn(self, job: int, known: int) -> bool:
-        """What a job's holder says of it; True when that is news."""
-        if known == UNKNOWN or self.known.get(job) in (known, FINE):
+    def learn(self, job: int, evidence: int) -> bool:
+        """Take what a job's owner knows of it; returns whether that is new."""
+        if evidence == UNKNOWN or self.evidence.get(job) in (evidence, FINE):
             return False
-        self.known[job] = known
+        self.evidence[job] = evidence
         return True
 
-    def done(self, machine: int, job: int) -> None:
+    def record_success(self, machine: int, job: int) -> None:
+        """A task of the job has completed on the machine."""
         self.errors.pop(machine, None)
         if job in self.failed:
-            self.known[job] = FINE
+            self.evidence[job] = FINE
 
-    def error(self, machine: int, job: int, attempt: int) -> None:
-        self.errors.setdefault(machine, set()).add((job, attempt))
+    def record_error(self, machine: int, job: int, attempt_key: int) -> None:
+        """An attempt of the job has failed on the machine."""
+        self.errors.setdefault(machine, set()).add((job, attempt_key))
         self.failed.setdefault(job, set()).add(machine)
 
-    def of(self, job: int) -> int:
-        known = self.known.get(job, UNKNOWN)
-        if known == UNKNOWN and len(self.failed.get(job, ())) >= BROKEN_JOB_MACHINES:
+    def evidence_of(self, job: int) -> int:
+        """What is known of a job: UNKNOWN, FINE or BROKEN."""
+        evidence = self.evidence.get(job, UNKNOWN)
+        if evidence == UNKNOWN and len(self.failed.get(job, ())) >= BROKEN_JOB_MACHINES:
             return BROKEN
-        return known
+        return evidence
 
     def is_faulty(self, machine: int) -> bool:
-        """By errors of jobs that go well elsewhere; of others, each job counts once."""
-        found = self.errors.get(machine, ())
-        doubtful = {job for job, _ in found if self.of(job) == UNKNOWN}
-        return self._sure(machine) + len(doubtful) >= self.enough
+        """Whether a machine has errors enough: all those of jobs that succeed elsewhere, and one
+        for each job of which nothing is known."""
+        errors = self.errors.get(machine, ())
+        uncertain = {job for job, _ in errors if self.evidence_of(job) == UNKNOWN}
+        return self._certain_errors(machine) + len(uncertain) >= self.min_errors
 
     def is_certain(self, machine: int) -> bool:
-        """Sick by the errors of jobs alone that go well elsewhere."""
-        return self._sure(machine) >= self.enough
+        """Whether the errors of jobs that succeed elsewhere are enough by themselves."""
+        return self._certain_errors(machine) >= self.min_errors
 
-    def _sure(self, machine: int) -> int:
-        return sum(self.of(job) == FINE for job, _ in self.errors.get(machine, ()))
+    def _certain_errors(self, machine: int) -> int:
+        return sum(self.evidence_of(job) == FINE for job, _ in self.errors.get(machine, ()))
 
-    def keep(self, jobs: Iterable[int], machines: Iterable[int]) -> None:
-        """Forget all others."""
-        live, here = set(jobs), set(machines)
-        self.errors = {m: found for m, found in self.errors.items() if m in here}
-        live.update(job for found in self.errors.values() for job, _ in found)
-        self.failed = {j: found for j, found in self.failed.items() if j in live}
-        self.known = {j: known for j, known in self.known.items() if j in live}
+    def retain(self, jobs: Iterable[int], machines: Iterable[int]) -> None:
+        """Forget all jobs and machines but these, and the jobs with errors on these machines."""
+        live_jobs, live_machines = set(jobs), set(machines)
+        self.errors = {m: errors for m, errors in self.errors.items() if m in live_machines}
+        live_jobs.update(job for errors in self.errors.values() for job, _ in errors)
+        self.failed = {j: found for j, found in self.failed.items() if j in live_jobs}
+        self.evidence = {j: evidence for j, evidence in self.evidence.items() if j in live_jobs}
--- /dev/null
+++ b/starlingdeck/machines/reconciler.py
@@ -0,0 +1,180 @@
+"""Turns the desired state of a shard's machines into launches, refusals and commands due."""
+
+from starlingdeck.interning import split_key
+from starlingdeck.machines.desired_state import DesiredStateTracker
+from starlingdeck.machines.fault_detection import FaultDetector
+from starlingdeck.machines.machine import DesiredTask, Machine, ObservedTask, PendingLaunch
+from starlingdeck.machines.shard_state import ShardState
+from starlingdeck.protocol import api
+
+PIGGYBACK_TIMEOUT_S = 5.0  # a worker waits 4 s for the answer to its report
+FULL_RECONCILE_INTERVAL_S = 2.0  # between reconciling all machines, changed or not
+PRUNE_INTERVAL_S = 60.0  # between forgetting the jobs that left no trace here
+PROBE_INTERVAL_S = 0.5  # between probes of one machine after a message of another incarnation
+MAX_PROBES = 32  # commands in flight at once that only probe a machine
+
+
+class Reconciler:
+    """Compares the desired state with what the machines report; may be repeated at any time.
+
+    Work is done for the machines that changed. All are reconciled once in a while, so that a
+    change that was not marked is late, not lost.
+    """
+
+    def __init__(
+        self, state: ShardState, desired: DesiredStateTracker, faults: FaultDetector
+    ) -> None:
+        self.state = state
+        self.desired = desired
+        self.faults = faults
+        self.to_recheck: set[int] = set()  # machines with something pending at the last run
+        self.next_full_run_at = 0.0
+        self.next_prune_at = state.context.now() + PRUNE_INTERVAL_S
+
+    def run(self) -> list[Machine]:
+        """Reconcile the machines due; returns those with something to send."""
+        state, context = self.state, self.state.context
+        now = context.now()
+        if now >= self.next_full_run_at:
+            self.next_full_run_at = now + FULL_RECONCILE_INTERVAL_S
+            state.to_reconcile.update(state.machines)
+        if now >= self.next_prune_at:
+            self.next_prune_at = now + PRUNE_INTERVAL_S
+            self.prune()
+        due, state.to_reconcile = state.to_reconcile | self.to_recheck, set()
+        self.to_recheck = set()
+        found = [state.machines[i] for i in due if i in state.machines]
+        # Commands without an answer would take the connections that the state service needs.
+        probes_left = MAX_PROBES - sum(m.command_in_flight and m.needs_probe for m in found)
+        to_send: list[Machine] = []
+        for machine in found:
+            if not self._try_reconcile(machine, now):
+                continue
+            probes_left -= machine.needs_probe
+            if not machine.needs_probe or probes_left >= 0:
+                to_send.append(machine)
+        self.desired.applied_seqs = dict(self.desired.received_seqs)
+        return to_send
+
+    def _try_reconcile(self, machine: Machine, now: float) -> bool:
+        """Reconcile one machine; what fails stays due, for nothing there may be called absent."""
+        context = self.state.context
+        if context.is_quarantined("machine", machine.name):
+            self.state.to_reconcile.add(machine.index)
+            return False
+        try:
+            return self._reconcile(machine, now)
+        except Exception as error:  # the outermost edge for one machine: others go on
+            context.quarantine_failed("machine", machine.name, error)
+            self.state.to_reconcile.add(machine.index)
+            return False
+
+    def _reconcile(self, machine: Machine, now: float) -> bool:
+        """Returns whether something is to be sent to the machine now."""
+        state = self.state
+        for key in [k for k, r in machine.reservations.items() if r.expires_at < now]:
+            del machine.reservations[key]
+            state.schedule_publish(machine)
+        if (machine.lost or machine.token >= state.base_token) and machine.catch_up(
+            self.desired.latest_session(machine.index)
+        ):
+            state.schedule_publish(machine)
+        stops = not machine.lost and (self._compare(machine, now) | _has_evictions(machine))
+        # A lost machine may have restarted with low numbers: only an answer tells.
+        probe = machine.probe_needed and machine.probed_at <= now
+        if probe:
+            machine.probed_at = now + PROBE_INTERVAL_S
+        unconfirmed = machine.unconfirmed_since is not None and not machine.lost
+        send = stops or bool(machine.pending_launches) or unconfirmed or probe
+        if send or machine.probe_needed or machine.reservations:
+            self.to_recheck.add(machine.index)
+        return send and not machine.command_in_flight and machine.retry_at <= now
+
+    def _compare(self, machine: Machine, now: float) -> bool:
+        """Compare the desired with the reported tasks; returns whether any is to be stopped."""
+        stops = False
+        to_run: set[int] = set()
+        for table in self.desired.desired_tasks.values():
+            for key, desired in table.get(machine.index, {}).items():
+                observed = machine.tasks.get(key)
+                if not desired.stop:
+                    to_run.add(key)
+                    self._consider_launch(machine, key, desired, observed, now)
+                elif observed is not None:
+                    stops |= observed.state in (api.FETCHING, api.ON)
+                elif key not in machine.pending_launches:
+                    machine.refused_attempts.add((key, desired.attempt))
+        if machine.refused_attempts:
+            machine.refused_attempts = {
+                (key, attempt)
+                for key, attempt in machine.refused_attempts
+                if (wanted := self.desired.find(machine.index, key)) and wanted.attempt == attempt
+            }
+        self._drop_launches(machine, to_run)
+        return stops
+
+    def _consider_launch(
+        self,
+        machine: Machine,
+        key: int,
+        desired: DesiredTask,
+        observed: ObservedTask | None,
+        now: float,
+    ) -> None:
+        """Launch a desired task, or refuse it for want of capacity."""
+        if (
+            observed is not None and observed.attempt == desired.attempt
+        ) or desired.session != machine.session:
+            return
+        if key in machine.pending_launches or (key, desired.attempt) in machine.refused_attempts:
+            return
+        state = self.state
+        reservation = machine.reservations.pop(key, None)
+        info = state.jobs[split_key(key)[0]]
+        if reservation is not None or state.has_capacity_for(machine, info):
+            machine.pending_launches[key] = PendingLaunch(desired.attempt, now)
+        else:
+            # A refusal stands while the task is desired: the job shard may free the task on it.
+            machine.refused_attempts.add((key, desired.attempt))
+        state.schedule_publish(machine)
+
+    def _drop_launches(self, machine: Machine, to_run: set[int]) -> None:
+        """Drop launches that are not desired any more, once their starts can't act any more."""
+        for key, launch in list(machine.pending_launches.items()):
+            if key in to_run:
+                continue
+            since_piggyback_s = self.state.context.now() - machine.piggybacked_at
+            may_act = (
+                machine.command_in_flight
+                or machine.unconfirmed_token
+                or since_piggyback_s < PIGGYBACK_TIMEOUT_S
+            )
+            if not launch.deliveries or not may_act:
+                del machine.pending_launches[key]
+                machine.refused_attempts.add((key, launch.attempt))
+                self.state.schedule_publish(machine)
+
+    def prune(self) -> None:
+        """Forget the jobs that no desired state names and no machine shows, and the machines
+        deleted long ago. A desired state or a reservation that names a job describes it again."""
+        keys = self.desired.task_keys()
+        for machine in self.state.machines.values():
+            keys.update(
+                machine.tasks,
+                machine.pending_launches,
+                machine.reservations,
+                machine.evictions,
+                machine.descheduled,
+            )
+            keys.update(key for key, _ in machine.refused_attempts)
+        live_jobs = {split_key(key)[0] for key in keys}
+        self.state.retain_jobs(live_jobs)
+        self.faults.failures.retain(live_jobs, self.state.machines)
+        self.state.retain_deleted(self.desired.machines())
+
+
+def _has_evictions(machine: Machine) -> bool:
+    return any(
+        key in machine.evictions and observed.state in (api.FETCHING, api.ON)
+        for key, observed in machine.tasks.items()
+    )
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -1,103 +1,119 @@
-"""What a machine shard shows: everything, or what has changed."""
+"""Publishes a machine shard's state: snapshots in full, or of what has changed."""
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 
 from starlingdeck.interning import split_key
-from starlingdeck.machines.machine import Machine
-from starlingdeck.machines.reservations import ReservationManager
+from starlingdeck.machines.desired_state import DesiredStateTracker
+from starlingdeck.machines.lease_monitor import FAULTY_DRAIN_DELAY_S
+from starlingdeck.machines.machine import JobInfo, Machine
+from starlingdeck.machines.shard_state import ShardState
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
-FAULTY_DRAIN_DELAY_S = 10.0  # (start) a sick machine is not returned sooner
+NO_TASK_S = -1.0  # the run time of the youngest task of a rank that has none
 
 
-class SnapshotPublisher(ReservationManager):
-    """Messages to who follows this shard."""
+class SnapshotPublisher:
+    """Builds the snapshot messages to the followers of a shard; `seq` numbers the differences."""
+
+    def __init__(self, state: ShardState, desired: DesiredStateTracker) -> None:
+        self.state = state
+        self.desired = desired
+        self.seq = 0
 
     def never_reported(self) -> Iterable[int]:
         """Machines that jobs name and that are proven gone without ever reporting here."""
-        late = self.context.now() > self.former_leases_end_at
-        named = {m for table in self.desired_tasks.values() for m in table}
-        return [m for m in named if m in self.deleted_machines or (late and m not in self.machines)]
+        state = self.state
+        expired = state.context.now() > state.former_leases_end_at
+        return [
+            m
+            for m in self.desired.machines()
+            if m in state.deleted_machines or (expired and m not in state.machines)
+        ]
 
-    def snapshot_update(self, valid: bool) -> pb.Snapshot:
-        """What has changed since the last view.
+    def update(self, valid: bool) -> pb.Snapshot:
+        """What has changed since the last snapshot.
 
-        A machine that is due again since its lists were reconciled is shown as not fenced, and
-        once more later: left out, its last showing would stand beside the news that the lists
-        are applied, and a start under way would pass for refused.
+        A machine that became due again since the desired state was applied is shown as not fenced,
+        and once more later: left out, its last entry would stand beside the acknowledgement of
+        the desired state, and a start under way would pass for refused.
         """
+        state = self.state
         self.seq += 1
-        shown, self.to_publish = self.to_publish, self.to_publish & self.to_reconcile
-        removed, self.removed_machines = self.removed_machines, set()
-        self.changed = bool(self.to_publish)
-        out = self._header(valid)
-        out.removed_machines.extend(self.context.machine_names[m] for m in removed)
-        self._entries(out, shown)
-        return out
-
-    def full_snapshot(self, valid: bool) -> pb.Snapshot:
-        """Everything, for who has not followed; numbered like the last difference."""
-        out = self._header(valid)
-        out.full = True
-        self._entries(out, self.machines)
-        self.to_publish |= self.to_reconcile
-        self.changed |= bool(self.to_reconcile)
-        return out
+        published, state.to_publish = state.to_publish, state.to_publish & state.to_reconcile
+        removed, state.removed_machines = state.removed_machines, set()
+        state.changed = bool(state.to_publish)
+        message = self._header(valid)
+        message.removed_machines.extend(state.context.machine_names[m] for m in removed)
+        self._add_entries(message, published)
+        return message
+
+    def full(self, valid: bool) -> pb.Snapshot:
+        """Everything, for a new follower; numbered like the last difference."""
+        state = self.state
+        message = self._header(valid)
+        message.full = True
+        self._add_entries(message, state.machines)
+        state.to_publish |= state.to_reconcile
+        state.changed |= bool(state.to_reconcile)
+        return message
 
     def _header(self, valid: bool) -> pb.Snapshot:
-        out = pb.Snapshot(shard=self.shard, epoch=self.epoch, seq=self.seq, valid=valid)
-        out.timestamp_ms = int(self.context.now() * 1000)
-        for shard, (token, seq) in self.applied_seqs.items():
-            out.acks.add(shard=shard, token=token, seq=seq)
-        out.lost_machines.extend(self.context.machine_names[m] for m in self.never_reported())
-        return out
-
-    def _entries(self, out: pb.Snapshot, shown: Iterable[int]) -> None:
-        for index in shown:
-            machine = self.machines.get(index)
+        state, context = self.state, self.state.context
+        message = pb.Snapshot(shard=state.shard, epoch=state.epoch, seq=self.seq, valid=valid)
+        message.timestamp_ms = int(context.now() * 1000)
+        for shard, (token, seq) in self.desired.applied_seqs.items():
+            message.acks.add(shard=shard, token=token, seq=seq)
+        message.lost_machines.extend(context.machine_names[m] for m in self.never_reported())
+        return message
+
+    def _add_entries(self, message: pb.Snapshot, indices: Iterable[int]) -> None:
+        state = self.state
+        for index in indices:
+            machine = state.machines.get(index)
             if machine is None:
                 continue
-            before = len(out.machines)
+            before = len(message.machines)
             try:
-                self._entry(out, machine)
-            except Exception as error:
-                # Nothing may be concluded from what was shown of it before.
-                self.context.quarantine_failed("machine", machine.name, error)
-                del out.machines[before:]
-                out.machines.add(id=machine.name, session=machine.session)
-
-    def _entry(self, out: pb.Snapshot, machine: Machine) -> None:
-        context = self.context
-        free = self.available(machine)
-        machine.published_schedulable = self.is_schedulable(machine)
-        entry = out.machines.add(
+                self._add_entry(message, machine)
+            except Exception as error:  # the outermost edge for one machine: others are published
+                # Nothing may be concluded from what was published of it before.
+                state.context.quarantine_failed("machine", machine.name, error)
+                del message.machines[before:]
+                message.machines.add(id=machine.name, session=machine.session)
+
+    def _add_entry(self, message: pb.Snapshot, machine: Machine) -> None:
+        state, context = self.state, self.state.context
+        now = context.now()
+        free = state.available(machine)
+        machine.published_schedulable = state.is_schedulable(machine)
+        entry = message.machines.add(
             id=machine.name,
             address=machine.address,
             type=context.type_names[machine.type],
             zone=context.zone_names[machine.zone],
             spot=machine.spot,
             session=machine.session,
-            # Of a machine that is due nothing may be called absent yet.
-            fenced=self.is_fenced(machine) and machine.index not in self.to_reconcile,
+            # Of a machine that is due to be reconciled nothing may be called absent yet.
+            fenced=state.is_fenced(machine) and machine.index not in state.to_reconcile,
             lost=machine.lost,
             schedulable=free is not None and machine.published_schedulable,
             images=list(machine.images),
-            # Returned when it is empty: not before others had the time to speak for it.
+            # Returned when it is empty: not before other jobs had the time to succeed on it.
             draining=machine.draining
             or (
                 machine.faulty_since is not None
-                and context.now() - machine.faulty_since > FAULTY_DRAIN_DELAY_S
+                and now - machine.faulty_since > FAULTY_DRAIN_DELAY_S
             ),
             termination_notice=machine.termination_at is not None,
-            silent_s=context.now() - machine.last_message_at,
-            idle_s=context.now() - machine.empty_since,
-            unconfirmed_s=machine.unconfirmed_s(context.now(), self.lease_s),
+            silent_s=now - machine.last_message_at,
+            idle_s=now - machine.empty_since,
+            unconfirmed_s=machine.unconfirmed_s(now, state.lease_s),
         )
-        entry.fetching.extend(self._fetching(machine))
+        entry.fetching.extend(_fetching_images(machine, state.jobs))
         entry.youngest_s.extend(self._youngest(machine))
         if free is None:
-            self.awaiting_job_info.add(machine.index)
+            state.awaiting_job_info.add(machine.index)
         else:
             entry.available_cpus, entry.available_gpus, entry.available_memory_gb = free
         for key, observed in machine.tasks.items():
@@ -116,3 +132,33 @@
             entry.tasks.add(
                 job=context.job_names[job], task=number, attempt=launch.attempt, state=api.PENDING
             )
+
+    def _youngest(self, machine: Machine) -> list[float]:
+        """By rank: the shortest run time, in seconds, that preempting a task would lose."""
+        jobs, protected = self.state.jobs, self.desired.protected_tasks
+        now = self.state.context.now()
+        youngest = [NO_TASK_S] * len(api.RANKS)
+        for key, observed in machine.tasks.items():
+            info = jobs.get(split_key(key)[0])
+            if (
+                info is None
+                or observed.state not in (api.FETCHING, api.ON)
+                or key in machine.evictions
+                or key in protected
+            ):
+                continue
+            ran_s = now - observed.state_since if observed.state == api.ON else 0.0
+            if info.checkpoint_s > 0:
+                ran_s = min(ran_s, info.checkpoint_s)
+            rank = min(info.rank, len(youngest) - 1)
+            if youngest[rank] < 0 or ran_s < youngest[rank]:
+                youngest[rank] = ran_s
+        return youngest
+
+
+def _fetching_images(machine: Machine, jobs: Mapping[int, JobInfo]) -> set[str]:
+    """The images that are being fetched, or will be for the tasks about to start."""
+    waiting = {k for k, observed in machine.tasks.items() if observed.state == api.FETCHING}
+    waiting |= machine.pending_launches.keys() | machine.reservations.keys()
+    infos = [jobs.get(split_key(key)[0]) for key in waiting]
+    return {i.image for i in infos if i is not None and i.image not in machine.images}
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -11,8 +11,8 @@
 from starlingdeck.interning import task_key
 from starlingdeck.jobs import job_shard
 from starlingdeck.jobs.job import new_job
+from starlingdeck.machines.commands import MAX_UNANSWERED_COMMANDS
 from starlingdeck.machines.machine import DesiredTask, PendingLaunch
-from starlingdeck.machines.machine_shard import MAX_UNANSWERED_COMMANDS
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.limiter import TokenBucket
--- a/tests/test_cost_table.py
+++ b/tests/test_cost_table.py
@@ -8,8 +8,8 @@
 LOG = """\
     0.30 n-0 I starlingdeck.coordination.membership: shard 0: taken over with token 4
     0.35 n-0 I starlingdeck.coordination.writer: shard 0: 12 unfinished jobs read
-    1.00 n-0 I starlingdeck.machines: machine vm-1: first report, session 1
-    2.00 n-0 I starlingdeck.coordination.machines: machine vm-2: first report, session 1
+    1.00 n-0 I starlingdeck.machines: machine registered: machine=vm-1 session=1
+    2.00 n-0 I starlingdeck.coordination.machines: machine registered: machine=vm-2 session=1
    60.20 n-0 I starlingdeck.coordination.node: answer change: 60, p50/p90/p99 13/24/48 ms, most 48
    60.20 n-0 D starlingdeck.coordination.node: ran Planner.run: 100 times, 6.000 s, longest 0.007 s
    60.21 n-1 I starlingdeck.node: answer change: 40, p50/p90/p99 13/24/50 ms, most 51
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -2,9 +2,10 @@
 
 from starlingdeck.jobs.job import new_job
 from starlingdeck.jobs.job_shard import job_message
-from starlingdeck.machines.desired_state import DELETED_RETENTION_S, PRUNE_INTERVAL_S
 from starlingdeck.machines.machine import JobInfo, may_preempt
-from starlingdeck.machines.machine_shard import MAX_PROBES, MachineShard
+from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.machines.reconciler import MAX_PROBES, PRUNE_INTERVAL_S
+from starlingdeck.machines.shard_state import DELETED_RETENTION_S
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from tests.support.builders import Clock, make_world, spec
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -90,7 +90,7 @@
     pair = Pair()
     full = ("j-000009/0", 1, "running"), ("j-000009/1", 1, "running")
     pair.report(*full)
-    pair.machines._learn_job(pb.Job(id="j-000009", cpus=2.0))
+    pair.machines.desired.learn_job(pb.Job(id="j-000009", cpus=2.0))
     job = pair.place()
     assert pair.exchange() == [] and job.pending_ends  # no room: refused, and so freed
     pair.held()
@@ -265,9 +265,9 @@
     elsewhere: bool = False,
 ) -> None:
     for job in jobs:
-        failures.error(machine, job, 1)
+        failures.record_error(machine, job, 1)
         if elsewhere:
-            failures.error(machine + 1, job, 2)
+            failures.record_error(machine + 1, job, 2)
         if well:
             failures.learn(job, FINE)
 
@@ -288,9 +288,9 @@
     failures = FailureAttribution(3)
     failing(failures, jobs, 5, well, elsewhere)
     for attempt in range(30):
-        failures.error(5, jobs[0], attempt)
+        failures.record_error(5, jobs[0], attempt)
     assert failures.is_faulty(5) is sick, case
-    failures.done(5, 99)
+    failures.record_success(5, 99)
     assert not failures.is_faulty(5)
 
 
@@ -315,7 +315,7 @@
         assert len(ill) <= 4
     for number in range(3):  # their holders say that these go well elsewhere
         job = f"j-{8000 + number:06d}"
-        machines._learn_job(pb.Job(id=job, failure_evidence=FINE))
+        machines.desired.learn_job(pb.Job(id=job, failure_evidence=FINE))
         tasks = [api.ReportTask(f"{job}/0", 1, "exited", "error")]
         body = api.Report("vm-7", "x", "small", "a", 1, 9000 + number, 3, tasks=tasks)
         machines.apply_report(body, True)
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -9,7 +9,7 @@
 
 from starlingdeck.cluster import sharding
 from starlingdeck.jobs.job import new_job
-from starlingdeck.machines import descheduling, scoring
+from starlingdeck.machines import scoring, tabu_search
 from starlingdeck.machines.scoring import Candidate
 from starlingdeck.protocol.config import Objective, Team
 from starlingdeck.scheduling import scheduler
@@ -66,10 +66,10 @@
 ) -> None:
     total = (10.0, 0.0, 100.0)
     tasks = [
-        descheduling.RunningTask(i, (c, 0.0, 1.0), float(cost), pinned)
+        tabu_search.RunningTask(i, (c, 0.0, 1.0), float(cost), pinned)
         for i, (c, cost, pinned) in enumerate(loads)
     ]
-    got = descheduling.choose_tasks(total, tasks, 25, 5, 6, random.Random(1))
+    got = tabu_search.choose_tasks(total, tasks, 25, 5, 6, random.Random(1))
     left = sum(t.size[0] for t in tasks if t.key not in got)
     movable = [t.key for t in tasks if not t.pinned]
     possible = any(
