--- a/starlingdeck/machines/scoring.py
+++ b/starlingdeck/machines/scoring.py
@@ -8,16 +8,19 @@
 
 from starlingdeck.context import fits
 
-HIGH_UTILIZATION = 0.9
-NO_RANK = 99
-NO_PREEMPTIBLE_WORK_S = 1e6
+HIGH_UTILIZATION = 0.9  # of a resource: machines used more than this come last
+NO_RANK = 99  # above every rank: there is no preemptible work
+NO_PREEMPTIBLE_WORK_S = 1e6  # run time lost by preemption where there is no preemptible work
+HIGH_UTILIZATION_PENALTY = 2  # more than the range of the scores of machines below that use
+MIN_DRAW_WEIGHT = 1e-6  # keeps candidates of score 0 in the draw
 
 
 class Candidate(Struct):
-    """A machine as the scorers see it. Amounts are cpus, gpus, memory.
+    """A machine that tasks may be placed on. Resources are cpus, gpus, memory in GB.
 
-    `silent_s` and `idle_s` are as of `at`; `open` is what its owner says, and `drawable`
-    whether its owner can also be asked.
+    `silent_s`, `idle_s`, `unconfirmed_s` and `youngest_s` are as of `observed_at`.
+    `owner_schedulable` is what the machine's owner says; `schedulable` also requires that the
+    owner can be reached.
     """
 
     index: int
@@ -39,25 +42,26 @@
     fetch_gb_per_s: float = 1.0
     images: set[str] = field(default_factory=set)
     fetching: set[str] = field(default_factory=set)
-    youngest_s: list[float] = field(default_factory=list)  # by rank, as of `at`; -1: none
+    youngest_s: list[float] = field(default_factory=list)  # by rank; -1: none
     tasks: set[tuple[int, int]] = field(default_factory=set)
-    unconfirmed_s: float = 0.0  # for how long it has reported without hearing its owner, as of `at`
-    lowest_rank: int = NO_RANK  # of the work that may be stopped
+    unconfirmed_s: float = 0.0  # for how long it has reported without receiving answers
+    lowest_rank: int = NO_RANK  # of the preemptible work
 
     def __post_init__(self) -> None:
-        """Asked of every machine in every plan."""
+        """Compute `lowest_rank` once: each scheduling cycle asks for it of every machine."""
         ranks = (rank for rank, age in enumerate(self.youngest_s) if age >= 0)
         self.lowest_rank = next(ranks, NO_RANK)
 
     def utilization_with(self, size: Sequence[float]) -> list[float]:
+        """The share of each resource in use once a task of this size is added."""
         return [
-            (t - f + s) / t
-            for t, f, s in zip(self.capacity, self.available, size, strict=True)
-            if t > 0
+            (total - free + added) / total
+            for total, free, added in zip(self.capacity, self.available, size, strict=True)
+            if total > 0
         ]
 
     def fetch_s(self, image: str, image_gb: float) -> float:
-        """How long a task would wait for its image. Fetches under way share the rate."""
+        """How long a task would wait for its image. Fetches under way share the bandwidth."""
         if image in self.images or self.fetch_gb_per_s <= 0:
             return 0.0
         if image in self.fetching:
@@ -65,29 +69,32 @@
         return image_gb / self.fetch_gb_per_s * (1 + len(self.fetching))
 
     def lost_s(self, rank: int, now: float) -> float:
-        """How much run time is lost by stopping lower work here; FAR where there is none."""
+        """The run time lost by preempting work below a rank; NO_PREEMPTIBLE_WORK_S if none."""
         ran = [age for age in self.youngest_s[:rank] if age >= 0]
         return min(ran) + now - self.observed_at if ran else NO_PREEMPTIBLE_WORK_S
 
     def fits(self, size: Sequence[float]) -> bool:
+        """Whether a task of this size fits beside all that is allocated."""
         return fits(size, self.available)
 
 
-def start_score(shares: Sequence[float]) -> float:
-    """DESIGN 2: 1 minus the highest share minus half the spread; over-full fits rank last."""
-    high, low = max(shares), min(shares)
+def start_score(utilization: Sequence[float]) -> float:
+    """DESIGN 2: 1 minus the highest share minus half the spread; highly used machines last."""
+    high, low = max(utilization), min(utilization)
     score = 1 - high - (high - low) / 2
-    return score - 2 if high > HIGH_UTILIZATION else score
+    return score - HIGH_UTILIZATION_PENALTY if high > HIGH_UTILIZATION else score
 
 
-def refit_score(shares: Sequence[float]) -> float:
-    """DESIGN 4: tight fits first; nothing above 90% use. (Ours: mean share minus spread.)"""
-    high, low = max(shares), min(shares)
-    return 0.0 if high > HIGH_UTILIZATION else max(0.0, sum(shares) / len(shares) - (high - low))
+def refit_score(utilization: Sequence[float]) -> float:
+    """DESIGN 4: tight fits first; nothing above HIGH_UTILIZATION. (Our own: mean minus spread.)"""
+    high, low = max(utilization), min(utilization)
+    if high > HIGH_UTILIZATION:
+        return 0.0
+    return max(0.0, sum(utilization) / len(utilization) - (high - low))
 
 
 class CandidateSample:
-    """Up to `most` machines that fit a task of one size, best first (DESIGN 2).
+    """At most `limit` machines that fit a task of one size, best first (DESIGN 2).
 
     Exception to DESIGN 2, recorded in docs/design.md: among machines that fit, the one that
     has the image soonest comes first, because the fetch is the longest part of a start.
@@ -120,8 +127,11 @@
         )
 
     def best(self, able: Callable[[Candidate], bool]) -> Candidate | None:
-        """The best that is able; its free room may be changed only until the next call."""
-        passed, found = [], None
+        """The best that is able to take the task; None if there is none.
+
+        The caller may change its available resources until the next call, and not later.
+        """
+        skipped, found = [], None
         if self.chosen is not None:
             # A fetch begun there makes it better for the next task, not worse.
             heapq.heappush(self.heap, (*self._rank(self.pool[self.chosen]), self.chosen))
@@ -135,38 +145,47 @@
             if rank != entry:
                 heapq.heappush(self.heap, rank)
                 continue
-            passed.append(entry)
+            skipped.append(entry)
             if able(candidate):
                 found, self.chosen = candidate, entry[-1]
                 break
-        for entry in passed:
+        for entry in skipped:
             heapq.heappush(self.heap, entry)
         return found
 
 
 def choose_refit(
-    rooms: Sequence[Candidate],
+    machines: Sequence[Candidate],
     size: Sequence[float],
     limit: int,
     candidates: int,
     rng: random.Random,
 ) -> list[Candidate]:
-    """Candidates drawn by score, best first; those fitting only by total room come last."""
-    pool = rng.sample(list(rooms), limit) if len(rooms) > limit else list(rooms)
-    open_, forced = [], []
+    """Where a descheduled task may go: at most `candidates` of `limit` machines, best first.
+
+    Machines with enough available are drawn at random, weighted by score; those that fit the
+    task only by their whole capacity come last.
+    """
+    pool = rng.sample(list(machines), limit) if len(machines) > limit else list(machines)
+    fitting: list[tuple[float, Candidate]] = []
+    forced: list[Candidate] = []
     for candidate in pool:
         score = refit_score(candidate.utilization_with(size))
         if candidate.fits(size):
-            open_.append((score + 1e-6, candidate))
+            fitting.append((score + MIN_DRAW_WEIGHT, candidate))
         elif fits(size, candidate.capacity):
             forced.append(candidate)
     drawn: list[Candidate] = []
-    while open_ and len(drawn) < candidates:
-        total = sum(score for score, _ in open_)
-        mark = rng.random() * total
-        for i, (score, _) in enumerate(open_):
-            mark -= score
-            if mark <= 0 or i == len(open_) - 1:
-                drawn.append(open_.pop(i)[1])
-                break
+    while fitting and len(drawn) < candidates:
+        drawn.append(_draw_weighted(fitting, rng))
     return drawn + forced[: candidates - len(drawn)]
+
+
+def _draw_weighted(weighted: list[tuple[float, Candidate]], rng: random.Random) -> Candidate:
+    """Remove one at random, with a probability in proportion to its weight."""
+    mark = rng.random() * sum(weight for weight, _ in weighted)
+    for i, (weight, _) in enumerate(weighted):
+        mark -= weight
+        if mark <= 0:
+            return weighted.pop(i)[1]
+    return weighted.pop()[1]
--- a/starlingdeck/machines/shard_snapshot.py
+++ b/starlingdeck/machines/shard_snapshot.py
@@ -1,15 +1,27 @@
-"""What this node sees of a machine shard, here or at a peer, kept up from its views."""
+"""A follower's copy of a machine shard's state, kept up to date from its snapshots."""
+
+from typing import NamedTuple
 
 from msgspec import Struct, field
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.protocol import peer_pb2 as pb
 
-TIMESTAMP_INTERVAL_S = 0.5
+TIMESTAMP_INTERVAL_S = 0.5  # the resolution of the recorded arrival times
 MAX_TIMESTAMPS = 60
+NEVER_S = -1e9  # before any time of a steady clock
+
+
+class Timestamp(NamedTuple):
+    """When a snapshot was received and when it was built."""
+
+    received_at: float  # by our steady clock, in seconds
+    built_ms: int  # by its owner's clock
 
 
 class ShardSnapshot(Struct):
+    """The state of one machine shard under one ownership, which `epoch` names."""
+
     context: ControllerContext
     shard: int
     epoch: int
@@ -18,56 +30,59 @@
     applied_seqs: dict[int, tuple[int, int]] = field(default_factory=dict)
     lost_machines: set[int] = field(default_factory=set)
     machines: dict[int, pb.MachineState] = field(default_factory=dict)
-    received_at: float = 0.0  # when a view last came
-    # When views came, and when they were made by their holder's clock; the newest last.
-    timestamps: list[tuple[float, int]] = field(default_factory=list)
-    evaluated_at: float = -1e9  # when every attempt there was last judged
+    received_at: float = 0.0  # when a snapshot last arrived
+    timestamps: list[Timestamp] = field(default_factory=list)  # the newest last
+    evaluated_at: float = NEVER_S  # when every attempt there was last evaluated
+    # By machine: its tasks by job, number and attempt; indexed when first asked for.
     tasks: dict[int, dict[tuple[str, int, int], pb.ObservedTask]] = field(default_factory=dict)
 
     def apply(self, message: pb.Snapshot) -> set[int] | None:
-        """The machines that a view changed; None when it doesn't follow what is known."""
-        context = self.context
+        """Take a snapshot; returns the machines it changed, or None when it doesn't follow the
+        last one."""
         if not message.full and message.seq != self.seq + 1:
             return None
-        touched = {
-            context.machine_names.intern(machine.id): machine for machine in message.machines
-        }
-        changed = set(touched)
+        changed = self._apply_machines(message)
+        if message.valid != self.owner_valid:
+            changed |= self.machines.keys()
+        machine_names = self.context.machine_names
+        self.seq, self.owner_valid = message.seq, message.valid
+        self.applied_seqs = {a.shard: (a.token, a.seq) for a in message.acks}
+        self.lost_machines = {machine_names.intern(name) for name in message.lost_machines}
+        self.received_at = self.context.now()
+        if message.timestamp_ms:
+            self._record_timestamp(Timestamp(self.received_at, message.timestamp_ms))
+        return changed
+
+    def _apply_machines(self, message: pb.Snapshot) -> set[int]:
+        machine_names = self.context.machine_names
+        entries = {machine_names.intern(machine.id): machine for machine in message.machines}
+        changed = set(entries)
         if message.full:
             changed |= self.machines.keys()
-            self.machines = touched
+            self.machines = entries
         else:
-            self.machines.update(touched)
+            self.machines.update(entries)
             for name in message.removed_machines:
-                index = context.machine_names.intern(name)
+                index = machine_names.intern(name)
                 changed.add(index)
                 self.machines.pop(index, None)
         for index in changed:
             self.tasks.pop(index, None)
-        if message.valid != self.owner_valid:
-            changed |= self.machines.keys()
-        self.seq, self.owner_valid = message.seq, message.valid
-        self.applied_seqs = {a.shard: (a.token, a.seq) for a in message.acks}
-        self.lost_machines = {context.machine_names.intern(name) for name in message.lost_machines}
-        self.received_at = context.now()
-        if message.timestamp_ms:
-            if (
-                len(self.timestamps) > 1
-                and self.received_at - self.timestamps[-2][0] < TIMESTAMP_INTERVAL_S
-            ):
-                self.timestamps[-1] = (self.received_at, message.timestamp_ms)
-            else:
-                self.timestamps = [
-                    *self.timestamps[-MAX_TIMESTAMPS:],
-                    (self.received_at, message.timestamp_ms),
-                ]
         return changed
 
+    def _record_timestamp(self, timestamp: Timestamp) -> None:
+        known = self.timestamps
+        if len(known) > 1 and timestamp.received_at - known[-2].received_at < TIMESTAMP_INTERVAL_S:
+            known[-1] = timestamp
+        else:
+            self.timestamps = [*known[-MAX_TIMESTAMPS:], timestamp]
+
     def watermark_ms(self, before: float) -> int:
-        """The latest time by its holder's clock that had come here by then; 0 if none had."""
-        return next((stamp for at, stamp in reversed(self.timestamps) if at <= before), 0)
+        """The latest time of the owner's clock that had arrived here by then; 0 if none had."""
+        return next((built for at, built in reversed(self.timestamps) if at <= before), 0)
 
     def task(self, machine: int, job: str, task: int, attempt: int) -> pb.ObservedTask | None:
+        """A task's attempt as its machine last reported it."""
         found = self.tasks.get(machine)
         if found is None:
             entry = self.machines.get(machine)
@@ -79,9 +94,9 @@
 def apply_snapshot_message(
     context: ControllerContext, snapshots: dict[int, ShardSnapshot], message: pb.Snapshot
 ) -> set[int] | None:
-    """Take a view into what is known of its shard; None when the whole is needed.
+    """Apply a snapshot to the copy of its shard; None when a full snapshot is needed.
 
-    A view older than the one last taken says nothing new, and changes nothing.
+    A snapshot older than the last one applied changes nothing.
     """
     snapshot = snapshots.get(message.shard)
     if snapshot is None or snapshot.epoch != message.epoch:
