--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -11,16 +11,18 @@
 from tests.support.builders import Clock, make_world, spec
 
 
-def ask(machines: MachineShard, uid: str, preempt: bool, **other: object) -> list[pb.GrantedTask]:
+def request_capacity(
+    machines: MachineShard, uid: str, preempt: bool, **other: object
+) -> list[pb.GrantedTask]:
     job = new_job(machines.context, spec(uid, **other), 0, 0)
     message = pb.ReserveRequest(to_epoch=machines.epoch, job=job_message(job), preempt=preempt)
     message.tasks.add(task=0, attempt=1, machine="vm-1")
     return list(machines.reserve(message).granted)
 
 
-def test_room_made_by_preemption_is_kept_for_who_asked() -> None:
-    """A stopped task came back into the room made for another before that one asked again,
-    and was stopped again, up to eleven times."""
+def test_capacity_freed_by_preemption_is_reserved_for_the_requester() -> None:
+    """A preempted task came back into the capacity freed for another before that one requested
+    it again, and was preempted again, up to eleven times."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
 
@@ -31,24 +33,24 @@
     report(1)
     low = {"cores": 4.0, "chores": 1, "rank": "normal"}
     high = {"cores": 2.0, "chores": 1, "rank": "urgent"}
-    assert [g.evicting for g in ask(machines, "j-1", False, **low)] == [False]
+    assert [g.evicting for g in request_capacity(machines, "j-1", False, **low)] == [False]
     report(2, api.ReportTask("j-1/0", 1, "running"))
     machines.machines[0].reservations.clear()
-    assert [g.evicting for g in ask(machines, "j-2", True, **high)] == [True]
+    assert [g.evicting for g in request_capacity(machines, "j-2", True, **high)] == [True]
     report(3)
-    assert ask(machines, "j-3", False, **low) == []
-    assert [g.evicting for g in ask(machines, "j-2", True, **high)] == [False]
+    assert request_capacity(machines, "j-3", False, **low) == []
+    assert [g.evicting for g in request_capacity(machines, "j-2", True, **high)] == [False]
     clock.at += 60.0
-    # A minute later an answer to a call alone doesn't make it drawable, nor does a report alone.
+    # A minute later neither a command's answer nor a report alone makes it schedulable.
     report(4, renews=True)
     report(5)
     machines.reconcile()
-    assert len(ask(machines, "j-3", False, **low)) == 1
+    assert len(request_capacity(machines, "j-3", False, **low)) == 1
 
 
-def test_a_service_beyond_its_guarantee_gives_way_only_when_that_presses() -> None:
-    """A replica was stopped at once for another team's guaranteed array, while lower work
-    that could have given way ran elsewhere."""
+def test_a_service_beyond_its_guarantee_is_preempted_only_under_quota_pressure() -> None:
+    """A replica was preempted at once for another team's guaranteed array, while work of lower
+    rank that could have been preempted ran elsewhere."""
 
     def info(team: int, rank: int, guaranteed: bool) -> JobInfo:
         size = (1.0, 0.0, 1.0)
@@ -59,21 +61,21 @@
     assert not may_preempt(array, service, False)
     assert may_preempt(array, service, True)
     assert not may_preempt(info(1, 1, True), service, True)  # its own team
-    # A guarantee is against other teams: a team's urgent work stops its own low work.
+    # A guarantee is against other teams: a team's urgent work preempts its own low work.
     assert may_preempt(info(0, 2, False), array, False)
     assert not may_preempt(info(1, 2, False), array, False)
     assert not may_preempt(info(1, 3, False), info(0, 2, True), True)
 
 
-def test_work_is_stopped_without_saving_for_who_can_not_wait_that_long() -> None:
+def test_a_task_is_preempted_without_saving_when_the_new_one_cannot_wait() -> None:
     """A replica with 2 s to start waited 3 s for an array's task to save."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
     low = {"cores": 4.0, "chores": 1, "rank": "normal", "mark_s": 10.0, "stash_s": 3.0}
-    ask(machines, "j-1", False, **low)
+    request_capacity(machines, "j-1", False, **low)
     tasks = [api.ReportTask("j-1/0", 1, "running")]
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3, tasks=tasks), False)
-    ask(machines, "j-1", False, **low)
+    request_capacity(machines, "j-1", False, **low)
     machine = machines.machines[machines.context.machine_names.intern("vm-1")]
     for wait_s, grace_s in ((0.0, 4.0), (6.0, 4.0), (2.0, 0.0)):
         machine.evictions.clear()
@@ -85,17 +87,17 @@
         assert list(machine.evictions.values()) == [grace_s]
 
 
-def test_jobs_that_left_no_trace_are_forgotten() -> None:
-    """What was known of a job stayed for as long as the shard was held."""
+def test_jobs_without_tasks_here_are_pruned() -> None:
+    """What was known of a job stayed for as long as the shard was owned."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
     for number in range(50):
-        ask(machines, f"j-{number}", False, chores=1)
+        request_capacity(machines, f"j-{number}", False, chores=1)
         machines.machines[0].reservations.clear()
     tasks = [api.ReportTask("j-7/0", 1, "running")]
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 2, 3, tasks=tasks), True)
-    ask(machines, "j-8", False, chores=1)
+    request_capacity(machines, "j-8", False, chores=1)
     machines.machines[0].reservations[next(iter(machines.machines[0].reservations))].expires_at = (
         clock.at + 100.0
     )
@@ -110,9 +112,9 @@
     assert not machines.deleted_machines
 
 
-def test_a_machine_back_from_a_cut_is_drawn_only_when_its_word_is_new() -> None:
-    """Held reports of a session long over brought it back to life; tasks were placed there, freed
-    by the next held report, which showed a newer session, and placed again."""
+def test_a_machine_back_from_a_partition_is_schedulable_only_by_fresh_messages() -> None:
+    """Delayed reports of a session long over revived it; tasks were placed there, freed by the
+    next delayed report, which showed a newer session, and placed again."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
 
@@ -121,34 +123,38 @@
 
     report(1, 1)
     (machine,) = machines.reconcile()
-    assert not ask(machines, "j-1", False) and not machines.commands_for(machine, True).commands
+    assert (
+        not request_capacity(machines, "j-1", False)
+        and not machines.commands_for(machine, True).commands
+    )
     report(1, 2, renews=False)
-    assert ask(machines, "j-1", False)
+    assert request_capacity(machines, "j-1", False)
     clock.at += 30.0
     machines.expire_leases()
     assert machine.lost
     for session, seq in ((1, 3), (1, 4), (2, 5)):
         report(session, seq)
-        assert not machine.lost and not ask(machines, "j-2", False)
-    assert machine in machines.reconcile()  # to be called
+        assert not machine.lost and not request_capacity(machines, "j-2", False)
+    assert machine in machines.reconcile()  # to be sent a command
     report(3, 6, renews=False)
-    assert machine.session == 3 and ask(machines, "j-2", False)
-    # One that can't be called is believed when it has heard of a later token: one is raised.
+    assert machine.session == 3 and request_capacity(machines, "j-2", False)
+    # One that answers no command is confirmed by reporting a later token: one is raised.
     clock.at += 30.0
     report(3, 7)
-    assert not ask(machines, "j-3", False) and not machines.needs_new_token()
+    assert not request_capacity(machines, "j-3", False) and not machines.needs_new_token()
     machines.on_command_unanswered(machine, machines.commands_for(machine, True), True)
     assert machines.needs_new_token() and not machines.needs_new_token()
     machines.token = 4
     report(3, 8)
-    assert not ask(machines, "j-3", False)
+    assert not request_capacity(machines, "j-3", False)
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 3, 9, 4), True)
-    assert ask(machines, "j-3", False) and machine.unconfirmed_since is None
+    assert request_capacity(machines, "j-3", False) and machine.unconfirmed_since is None
 
 
-def test_calls_that_only_ask_who_is_there_are_few_at_once() -> None:
-    """A controller cut off from its workers hears them through its peers, and each call to one of
-    them hangs: two hundred at once would leave no socket for the state service."""
+def test_probes_in_flight_are_limited() -> None:
+    """A controller partitioned from its workers gets their reports through its peers, and each
+    command to one of them hangs: two hundred at once would leave no socket for the state
+    service."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
     for number in range(3 * MAX_PROBES):
@@ -165,87 +171,96 @@
     assert len(second) == MAX_PROBES and not {m.index for m in first} & {m.index for m in second}
 
 
-def wants(seq: int, machines: MachineShard, *items: pb.DesiredTask, whole: bool = False) -> None:
+def send_desired_state(
+    seq: int, machines: MachineShard, *items: pb.DesiredTask, full: bool = False
+) -> None:
     job = new_job(machines.context, spec("j-1", cores=4.0, chores=1), 0, 0)
     message = pb.DesiredState(
         from_shard=machines.shard_of_task(0), from_token=5, to_epoch=machines.epoch, seq=seq
     )
-    message.full = whole
+    message.full = full
     message.jobs.append(job_message(job))
     message.tasks.extend(items)
-    if not (items or whole):
+    if not (items or full):
         message.removed.add(job="j-1", task=0, machine="vm-1")
     assert machines.apply_desired_state(message)
 
 
-def test_reports_that_say_what_the_last_one_said_still_bring_what_lists_call_for() -> None:
-    """They are passed over, and most are; a stop that came by list since must not be."""
+def test_unchanged_reports_are_answered_with_the_commands_that_became_due() -> None:
+    """An unchanged report is skipped, as most are; a stop desired since then must be sent."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
     seq = iter(range(1, 99))
 
-    def told(*tasks: api.ReportTask) -> list[str]:
+    def commands_after(*tasks: api.ReportTask) -> list[str]:
         body = api.Report("vm-1", "x", "small", "a", 1, next(seq), 3, tasks=list(tasks))
         return [c.op for c in machines.pending_commands(machines.apply_report(body, True), True)]
 
-    assert told() == []
+    assert commands_after() == []
     machines.context.job_names.intern("j-1")
     running = api.ReportTask("j-1/0", 1, "running")
     wanted = pb.DesiredTask(task=0, attempt=1, machine="vm-1", session=1)
-    wants(1, machines, wanted, whole=True)
-    assert told(running) == [] and told(running) == []
+    send_desired_state(1, machines, wanted, full=True)
+    assert commands_after(running) == [] and commands_after(running) == []
     clock.at += 50.0
-    assert told(running) == []
+    assert commands_after(running) == []
     assert machines.machines[0].empty_since == clock.at
     wanted.stop = True
-    wants(2, machines, wanted)
-    assert told(running) == [api.STOP] and told(running) == [api.STOP]
+    send_desired_state(2, machines, wanted)
+    assert commands_after(running) == [api.STOP] and commands_after(running) == [api.STOP]
     wanted.stop = False
-    wants(3, machines, wanted)
-    assert told(running) == []
+    send_desired_state(3, machines, wanted)
+    assert commands_after(running) == []
     machines.machines[0].evictions[0] = 0.0
     machines.mark_changed(0)
-    assert told(running) == [api.STOP]
+    assert commands_after(running) == [api.STOP]
     machines.machines[0].evictions.clear()
-    wants(4, machines)
-    assert told(running) == [api.STOP]  # no list names it any more
+    send_desired_state(4, machines)
+    assert commands_after(running) == [api.STOP]  # no desired state names it any more
     ended = api.ReportTask("j-1/0", 1, "exited", "halted")
-    assert told(ended) == [api.REAP] and told(ended) == [api.REAP]
-    assert told() == []
+    assert commands_after(ended) == [api.REAP] and commands_after(ended) == [api.REAP]
+    assert commands_after() == []
 
 
-def test_what_is_kept_is_not_stopped_and_room_is_gathered_for_one_at_a_time() -> None:
-    """Small tasks took each bit of room that came free, and a larger one never fitted."""
+def test_protected_tasks_stay_and_capacity_accumulates_for_one_task_at_a_time() -> None:
+    """Small tasks took all capacity that came free, and a larger one never fitted."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
     small = {"cores": 1.0, "chores": 1, "rank": "urgent"}
     for n in range(2, 6):
-        ask(machines, f"j-{n}", False, **small)
+        request_capacity(machines, f"j-{n}", False, **small)
     running = [api.ReportTask(f"j-{n}/0", 1, "running") for n in range(2, 6)]
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 2, 3, tasks=running), False)
     machines.machines[0].reservations.clear()
 
-    def gather(uid: str) -> list[bool]:
+    def accumulate(uid: str) -> list[bool]:
         job = new_job(machines.context, spec(uid, cores=4.0, chores=1), 0, 0)
         message = pb.ReserveRequest(to_epoch=machines.epoch, job=job_message(job), accumulate=True)
         message.tasks.add(task=0, attempt=1, machine="vm-1")
         return [g.evicting for g in machines.reserve(message).granted]
 
-    assert gather("j-8") == [True] and gather("j-9") == [] and not machines.machines[0].evictions
+    assert (
+        accumulate("j-8") == [True]
+        and accumulate("j-9") == []
+        and not machines.machines[0].evictions
+    )
     # What comes free isn't given to the next small task, and goes to the large one in the end.
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 3, 3, tasks=running[:1]), False)
-    assert ask(machines, "j-7", False, **small) == [] and gather("j-8") == [True]
+    assert request_capacity(machines, "j-7", False, **small) == [] and accumulate("j-8") == [True]
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 4, 3), False)
-    assert gather("j-8") == [False]
-    # A task that is kept is stopped for nobody, whatever their rank.
+    assert accumulate("j-8") == [False]
+    # A protected task is preempted for no job, whatever its rank.
     machines.machines[0].reservations.clear()
     machines.context.job_names.intern("j-1")
     wanted = pb.DesiredTask(task=0, attempt=1, machine="vm-1", session=1, protected=True)
-    wants(1, machines, wanted, whole=True)
+    send_desired_state(1, machines, wanted, full=True)
     low = [api.ReportTask("j-1/0", 1, "running")]
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 5, 3, tasks=low), False)
-    assert ask(machines, "j-6", True, cores=1.0, chores=1, rank="prod") == []
+    assert request_capacity(machines, "j-6", True, cores=1.0, chores=1, rank="prod") == []
     wanted.protected = False
-    wants(2, machines, wanted)
-    assert [g.evicting for g in ask(machines, "j-6", True, cores=1.0, chores=1, rank="prod")]
+    send_desired_state(2, machines, wanted)
+    assert [
+        g.evicting
+        for g in request_capacity(machines, "j-6", True, cores=1.0, chores=1, rank="prod")
+    ]
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""What machines and controllers hear of each other: copies, half-open links, new lives."""
+"""Reachability of machines: stale reports, one-way partitions, new incarnations."""
 
 import random
 from dataclasses import dataclass, field
@@ -25,20 +25,20 @@
 
 @dataclass
 class Pair:
-    """A job shard, and the holder of the shard that vm-1 belongs to."""
+    """A job shard, and the owner of the machine shard that vm-1 belongs to."""
 
     clock: Clock = field(default_factory=Clock)
-    sights: dict[int, ShardSnapshot] = field(default_factory=dict)
+    snapshots: dict[int, ShardSnapshot] = field(default_factory=dict)
     token: int = 5
     seq: int = 0
 
     def __post_init__(self) -> None:
         self.world: ControllerContext = make_world(self.clock)
         self.jobs = JobShard(self.world, shard_of_job("j-000001", 3), 3, 9)
-        self.machines = self.held()
+        self.machines = self.change_owner()
 
-    def held(self, wait_s: float = 0.0) -> MachineShard:
-        """By a new holder, who knows nothing of what the former one saw."""
+    def change_owner(self, wait_s: float = 0.0) -> MachineShard:
+        """A new owner, without what the former one knew."""
         self.token += 1
         self.machines = MachineShard(self.world, 1, self.token, self.token, wait_s)
         return self.machines
@@ -49,16 +49,16 @@
         session: int = 1,
         seq: int = 0,
         token: int | None = None,
-        called: bool = False,
+        answer: bool = False,
     ) -> bool:
-        """A worker's report, or the answer to a call; whether it was taken as news."""
+        """A worker's report, or the answer to a command; returns whether it was newer."""
         self.seq = seq or self.seq + 1
         body = [api.ReportTask(n, a, s, "halted" if s == "exited" else None) for n, a, s in tasks]
         seen = self.token if token is None else token
         report = api.Report("vm-1", "x", "small", "b", session, self.seq, seen, tasks=body)
         before = self.machines.machines.get(0)
         mark = (before.session, before.seq) if before is not None else None
-        machine = self.machines.apply_report(report, not called)
+        machine = self.machines.apply_report(report, not answer)
         return (machine.session, machine.seq) != mark
 
     def place(self, attempt: int = 1) -> Job:
@@ -71,7 +71,7 @@
         return job
 
     def exchange(self) -> list[tuple[str, int]]:
-        """Lists, reconciling and views once; the starts sent."""
+        """Desired state, reconciling and snapshots once; returns the starts sent."""
         self.machines.apply_desired_state(
             self.jobs.desired_state_message(1, self.machines.epoch, True, self.clock.wall_ms())
         )
@@ -79,27 +79,27 @@
         for machine in self.machines.reconcile():
             orders = self.machines.commands_for(machine, True)
             sent += [(c.task, c.attempt) for c in orders.commands if c.op == api.START]
-        apply_snapshot_message(self.world, self.sights, self.machines.full_snapshot(True))
-        self.jobs.apply_snapshot(self.sights[1], None)
+        apply_snapshot_message(self.world, self.snapshots, self.machines.full_snapshot(True))
+        self.jobs.apply_snapshot(self.snapshots[1], None)
         return sent
 
 
-def test_what_one_holder_refused_is_not_started_by_the_next() -> None:
+def test_what_one_owner_refused_is_not_started_by_the_next() -> None:
     """A refused start was freed and its end not yet recorded when its machine's owner crashed;
-    the next one was told of the attempt again and started it, 12 times beside a second one."""
+    the next one got the attempt again and started it, 12 times beside a second one."""
     pair = Pair()
     full = ("j-000009/0", 1, "running"), ("j-000009/1", 1, "running")
     pair.report(*full)
     pair.machines.desired.learn_job(pb.Job(id="j-000009", cpus=2.0))
     job = pair.place()
-    assert pair.exchange() == [] and job.pending_ends  # no room: refused, and so freed
-    pair.held()
+    assert pair.exchange() == [] and job.pending_ends  # no capacity: refused, and so freed
+    pair.change_owner()
     pair.report()
-    assert pair.exchange() == [] and job.pending_ends  # there is room now
+    assert pair.exchange() == [] and job.pending_ends  # there is capacity now
 
 
-def test_copies_renew_revive_and_prove_nothing() -> None:
-    """Each report put off the proof of its machine's silence, a copy of an old one as well."""
+def test_stale_reports_renew_revive_and_prove_nothing() -> None:
+    """Each report renewed its machine's lease, a copy of an old one as well."""
     pair = Pair()
     running = ("j-000001/0", 1, "running")
     pair.report(running, seq=40)
@@ -121,13 +121,13 @@
     assert pair.machines.is_stale_report(copy) and not pair.machines.machines
 
 
-def test_a_copy_that_comes_to_a_new_holder_proves_nothing() -> None:
-    """The worker is still answered by the former holder, whose token it knows; what the new one has
-    of it is a copy, or a report whose answer was lost. Silence after it proved a lease over."""
+def test_a_stale_report_to_a_new_owner_proves_nothing() -> None:
+    """The worker is still answered by the former owner, whose token it has; what the new one got
+    is a copy, or a report whose answer was lost. Silence after it expired the lease."""
     pair = Pair()
     pair.report()
     former = pair.token
-    pair.held(wait_s=20.0)
+    pair.change_owner(wait_s=20.0)
     job = pair.place()
     pair.report(("j-000001/0", 1, "running"), token=former)
     machine = pair.machines.machines[0]
@@ -135,26 +135,26 @@
         pair.clock.at += 0.5
         pair.machines.expire_leases()
         assert pair.exchange() == [] and not pair.machines.is_schedulable(machine)
-        assert not machine.lost and not job.pending_ends, "before the former holder was quiet"
+        assert not machine.lost and not job.pending_ends, "before the former leases ended"
     pair.clock.at += 0.5
     pair.machines.expire_leases()
     pair.exchange()
     assert machine.lost and job.pending_ends
 
 
-def test_a_session_that_a_call_shows_lasts_a_lease_from_then() -> None:
-    """A machine's reports reach nobody, and calls reach it. Its lease had just ended and no word
-    of it had come when the answer to a call showed the next session: room in it was given away,
-    and by the old silence it was called over at once; what had been started there ran twice."""
+def test_a_session_shown_by_a_command_answer_lasts_a_lease_from_then() -> None:
+    """A machine's reports are lost, and commands reach it. Its lease had just ended when the
+    answer to a command showed the next session: capacity there was allocated, and by the earlier
+    silence the machine was lost at once; what had been started there ran twice."""
     pair = Pair()
     pair.report()
     pair.clock.at += 10.1  # its lease is over, and surely so only 0.2 s later
-    pair.report(session=2, seq=1, called=True)
+    pair.report(session=2, seq=1, answer=True)
     job = pair.place()
     job.placements[0].session = 2
     machine = pair.machines.machines[0]
     pair.exchange()
-    pair.report(("j-000001/0", 1, "running"), session=2, called=True)
+    pair.report(("j-000001/0", 1, "running"), session=2, answer=True)
     for _ in range(99):
         assert not machine.lost and not job.pending_ends
         # Nothing new is begun there: no start renews a lease.
@@ -168,11 +168,11 @@
     assert machine.lost and job.pending_ends
 
 
-def test_a_machine_that_reports_and_hears_nothing_is_told_and_not_drawn() -> None:
-    """Its reports alone kept it drawable, and each start that it didn't answer raised the token of
-    its whole shard, which all other machines had to learn."""
+def test_an_unreachable_machine_that_reports_is_counted_and_not_schedulable() -> None:
+    """Its reports alone kept it schedulable, and each start that it didn't answer raised the
+    token of its whole shard, which all other machines had to learn."""
     pair = Pair()
-    pair.report(called=True)
+    pair.report(answer=True)
     machine, machines, first = pair.machines.machines[0], pair.machines, pair.token
     assert machines.is_schedulable(machine)
     job, tokens = pair.place(), 0
@@ -191,14 +191,14 @@
     assert job.pending_ends  # its session ended: proven
     # Once it answers it is used again.
     pair.token = machines.token
-    pair.report(session=5, called=True)
+    pair.report(session=5, answer=True)
     assert machines.is_schedulable(machine) and machines.unreachable_counts() == []
 
 
-@pytest.mark.parametrize("sign", ["two calls without an answer", "a new session", "silence"])
-def test_each_sign_that_a_machine_hears_nothing_counts_alone(sign: str) -> None:
+@pytest.mark.parametrize("sign", ["two unanswered commands", "a new session", "silence"])
+def test_each_sign_of_an_unreachable_machine_suffices_alone(sign: str) -> None:
     pair = Pair()
-    pair.report(called=True)
+    pair.report(answer=True)
     machine, machines = pair.machines.machines[0], pair.machines
     for _ in range(2 if sign.startswith("two") else 0):
         assert machines.is_schedulable(machine)
@@ -207,19 +207,19 @@
     pair.report(session=2 if sign == "a new session" else 1)
     assert not machines.is_schedulable(machine)
     pair.clock.at += 2.0
-    assert machine in machines.reconcile()  # it is to be called
-    pair.report(session=machine.session, called=True)
+    assert machine in machines.reconcile()  # it is to be sent a command
+    pair.report(session=machine.session, answer=True)
     assert machines.is_schedulable(machine)
 
 
-def test_only_few_that_hear_nothing_are_returned() -> None:
+def test_only_a_limited_number_of_unreachable_machines_is_released() -> None:
     assert [releasable_count(n, 100) for n in (0, 1, 5, 6, 60)] == [0, 1, 5, 0, 0]
     assert [releasable_count(n, 4) for n in (2, 3)] == [2, 0]
 
 
-def test_a_machine_back_at_once_counts_anew_only_by_an_answer_to_a_call() -> None:
-    """Its low numbers passed for old ones, and it was passed over for ever. A late copy looks just
-    the same, and a start sent to its former life may still come."""
+def test_a_new_incarnation_is_recognised_only_by_a_command_answer() -> None:
+    """Its low numbers passed for stale ones, and it was ignored for ever. A late copy looks just
+    the same, and a start sent to its former incarnation may still arrive."""
     pair = Pair()
     machines = pair.machines
     pair.report(("j-000001/0", 1, "running"), seq=40)
@@ -229,11 +229,11 @@
     machine.unconfirmed_token = 0
     body = api.Report("vm-1", "x", "small", "b", 1, 3, 0)
     assert machines.is_stale_report(body) and machine.probe_needed
-    assert machine in machines.reconcile()  # it is to be called
+    assert machine in machines.reconcile()  # it is to be sent a command
     asked = machine.position()
     assert asked == (1, 40)
-    # The answer may come before a start of its former life, which it must not know the token of,
-    # or after, which must have stopped.
+    # The answer may come before a start for its former incarnation, whose token it must not have,
+    # or after the start, which must then be stopped.
     held = api.ReportTask("j-000001/0", 1, "running")
     for token, tasks in ((6, []), (7, [held])):
         body = api.Report("vm-1", "x", "small", "b", 1, 4, token, tasks=tasks)
@@ -246,11 +246,11 @@
     assert machine.session == 2 and machines.commands_for(machine, True).session == 1
     pair.exchange()
     assert job.pending_ends and machines.is_schedulable(machine)
-    # What comes late of its former life has lost: by its token.
+    # What comes late of its former incarnation is stale: by its token.
     assert machines.is_stale_report(api.Report("vm-1", "x", "small", "b", 1, 900, 6))
     assert not machines.is_stale_report(api.Report("vm-1", "x", "small", "b", 1, 6, 7))
-    # A new holder learns from the lists that it has had more lives than it says.
-    pair.held()
+    # A new owner learns from the desired state that it had earlier incarnations.
+    pair.change_owner()
     job.pending_ends.clear()
     job.placements[0].session = 2
     pair.report(session=1, seq=8)
@@ -261,41 +261,41 @@
     failures: FailureAttribution,
     jobs: range,
     machine: int,
-    well: bool = False,
-    elsewhere: bool = False,
+    succeeds: bool = False,
+    fails_elsewhere: bool = False,
 ) -> None:
     for job in jobs:
         failures.record_error(machine, job, 1)
-        if elsewhere:
+        if fails_elsewhere:
             failures.record_error(machine + 1, job, 2)
-        if well:
+        if succeeds:
             failures.learn(job, FINE)
 
 
 @pytest.mark.parametrize(
-    "case, jobs, well, elsewhere, sick",
+    "case, jobs, succeeds, fails_elsewhere, faulty",
     [
-        ("one wrong job's many tasks", range(1), False, False, False),
-        ("wrong jobs that failed elsewhere too", range(9), False, True, False),
+        ("one broken job's many tasks", range(1), False, False, False),
+        ("broken jobs that failed elsewhere too", range(9), False, True, False),
         ("jobs of which nothing is known", range(3), False, False, True),
-        ("jobs that go well elsewhere", range(3), True, False, True),
+        ("jobs that succeed elsewhere", range(3), True, False, True),
     ],
 )
-def test_a_machine_is_told_from_jobs_that_fail_everywhere(
-    case: str, jobs: range, well: bool, elsewhere: bool, sick: bool
+def test_a_faulty_machine_is_told_apart_from_jobs_that_fail_everywhere(
+    case: str, jobs: range, succeeds: bool, fails_elsewhere: bool, faulty: bool
 ) -> None:
-    """Three tasks of one wrong job made a large machine sick, and it was returned."""
+    """Three tasks of one broken job marked a large machine faulty, and it was returned."""
     failures = FailureAttribution(3)
-    failing(failures, jobs, 5, well, elsewhere)
+    failing(failures, jobs, 5, succeeds, fails_elsewhere)
     for attempt in range(30):
         failures.record_error(5, jobs[0], attempt)
-    assert failures.is_faulty(5) is sick, case
+    assert failures.is_faulty(5) is faulty, case
     failures.record_success(5, 99)
     assert not failures.is_faulty(5)
 
 
-def test_thousands_of_jobs_that_fail_everywhere_take_few_machines() -> None:
-    """And a faulty machine is told in spite of them."""
+def test_thousands_of_jobs_that_fail_everywhere_mark_a_limited_number_of_machines() -> None:
+    """And a faulty machine is recognised in spite of them."""
     clock = Clock()
     machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
     rng = random.Random(4)
@@ -307,13 +307,13 @@
         machines.apply_report(
             api.Report(vm, "x", "small", "a", 1, number + 1, 3, tasks=tasks), True
         )
-        ill = [
+        faulty = [
             machine.name
             for machine in machines.machines.values()
             if machine.faulty_since is not None
         ]
-        assert len(ill) <= 4
-    for number in range(3):  # their holders say that these go well elsewhere
+        assert len(faulty) <= 4
+    for number in range(3):  # their owners say that these succeed elsewhere
         job = f"j-{8000 + number:06d}"
         machines.desired.learn_job(pb.Job(id=job, failure_evidence=FINE))
         tasks = [api.ReportTask(f"{job}/0", 1, "exited", "error")]
@@ -322,7 +322,7 @@
     assert machines.machines[machines.context.machine_names.intern("vm-7")].faulty_since is not None
 
 
-def test_the_chunks_with_most_in_them_are_written_first_and_the_lowest_with_them() -> None:
+def test_the_densest_chunks_are_written_first_and_the_lowest_with_them() -> None:
     starts, ends = (
         range(10 * TASKS_PER_CHUNK, 10 * TASKS_PER_CHUNK + 100),
         [n * TASKS_PER_CHUNK for n in range(8)],
@@ -331,7 +331,7 @@
     assert densest_chunks([*starts, *ends], 1) == [0] and densest_chunks([], 3) == []
 
 
-def test_starts_whose_room_is_gone_are_not_recorded() -> None:
+def test_starts_whose_reservation_expired_are_not_recorded() -> None:
     pair = Pair()
     job = pair.place()
     placement = job.placements.pop(0)
@@ -343,9 +343,9 @@
     assert pair.jobs.draft_update(job) is None and job.pending(1) == [0]
 
 
-def test_who_is_back_in_an_election_goes_on_counting_until_all_are_quiet() -> None:
-    """A controller took a shard from one that is cut off and goes on answering its workers, died
-    and was back at once: it took its own key over, and judged silence at once."""
+def test_a_restarted_owner_waits_until_former_leases_ended() -> None:
+    """A controller took a shard over from one that is partitioned and goes on answering its
+    workers, crashed and restarted at once: it took its own key over, and expired leases at once."""
     clock = Clock()
     context = make_world(clock)
     membership = Membership(context, None, None)  # type: ignore[arg-type]
@@ -361,25 +361,25 @@
     assert membership._left_s(ShardValue(0, 7)) == 0.0  # nobody was before
 
 
-def test_a_stray_is_not_sent_again_to_a_holder_that_does_not_answer_it() -> None:
-    """The holder was cut off from its workers and the third controller was down: a worker was back
-    10 s after it was sent away, 2 s too late to be told, and was sent away each time."""
+def test_a_misrouted_worker_is_not_redirected_again_to_an_owner_that_does_not_answer() -> None:
+    """The owner was partitioned from its workers and the third controller was down: a worker was
+    back 10 s after its redirect, 2 s too late to be recognised, and was redirected each time."""
     clock = Clock()
     node = Controller(make_world(clock, zones=("a",) * 3, node=1))
     names = [f"vm-{i}" for i in range(40)]
     mine = [n for n in names if shard_of_machine(n, "a", ("a",) * 3) == 0]
     node.membership.owners[0] = ShardOwner(0, 7, 7)
     node.peers.is_reachable = lambda n: n == 0  # type: ignore[method-assign, assignment]
-    passed: list[float] = []
+    forwarded: list[float] = []
 
     async def call(to: int, ask: pb.Envelope, wait_s: float) -> pb.Envelope:
-        passed.append(clock.at)
+        forwarded.append(clock.at)
         return pb.Envelope(forward_reply=pb.ForwardReply(status=200, body=b"{}"))
 
     node.peers.call = call  # type: ignore[method-assign, assignment]
 
     def report(name: str) -> bool:
-        """Whether it is sent to its holder."""
+        """Whether it is redirected to its owner."""
         body = {
             "host": name, "endpoint": "x:1", "build": "small", "roost": "a", "tenure": 1,
             "tally": int(clock.at * 100), "baton": 7, "chores": [],
@@ -388,16 +388,16 @@
         return bool(reply.status == 421)
 
     report(mine[0])
-    clock.at += 60.0  # the hold is an old one: who comes now was served by it
+    clock.at += 60.0  # the ownership is an old one: who comes now was served by it
     sent: dict[str, int] = dict.fromkeys(mine, 0)
     until = dict.fromkeys(mine, clock.at)  # when each is here (again)
     for _ in range(90):
         for name in mine:
             if clock.at >= until[name] and report(name):
                 sent[name] += 1
-                until[name] = clock.at + 10.5  # two nodes that don't answer
+                until[name] = clock.at + 10.5  # two controllers that don't answer
         clock.at += 1.0
-    assert sum(sent.values()) <= 4 and len(passed) > 60 * len(mine)
+    assert sum(sent.values()) <= 4 and len(forwarded) > 60 * len(mine)
     # When one doesn't come back, the others follow.
     for _ in range(40):
         for name in mine:
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -39,7 +39,7 @@
     need = (size, 0.0, size)
     got = scoring.CandidateSample(
         candidates, need, lambda candidate: candidate.fetch_s("img", 2.0), 200, random.Random(1)
-    ).best(lambda room: True)
+    ).best(lambda candidate: True)
     fitting = [
         candidate
         for candidate in candidates
@@ -61,7 +61,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(amounts, st.integers(1, 50), st.booleans()), min_size=1, max_size=6))
-def test_shed_makes_the_rest_fit_whenever_that_is_possible(
+def test_descheduling_makes_the_remaining_tasks_fit_whenever_possible(
     loads: list[tuple[float, int, bool]],
 ) -> None:
     total = (10.0, 0.0, 100.0)
@@ -84,14 +84,14 @@
         assert got == []
 
 
-def test_refit_draws_machines_with_room_before_forced_ones() -> None:
+def test_refit_draws_machines_that_fit_before_forced_ones() -> None:
     candidates = [
         Candidate(i, 0, 0, False, 0, (8.0, 0.0, 8.0), [float(i), 0.0, 8.0]) for i in range(9)
     ]
     got = scoring.choose_refit(candidates, (2.0, 0.0, 2.0), 2000, 15, random.Random(3))
     open_ = [candidate.index for candidate in got if candidate.available[0] >= 2]
     assert sorted(candidate.index for candidate in got) == list(range(9)) and len(open_) == 7
-    # Forced candidates, fitting only by total room, come last.
+    # Forced candidates, fitting only by their whole capacity, come last.
     assert [candidate.index for candidate in got][: len(open_)] == open_
 
 
@@ -117,19 +117,21 @@
         max_size=16,
     )
 )
-def test_what_controllers_tell_each_other_decides_the_guarantees(
+def test_the_jobs_exchanged_between_controllers_decide_the_guarantees(
     jobs: list[tuple[int, int, int, int]],
 ) -> None:
-    """Each tells only its jobs that bear on them; together they say the same as all jobs."""
+    """Each sends only its jobs that bear on them; together they decide as all jobs would."""
     context = make_world(Clock())
     found = [
         TeamJob(team, at, f"j-{i:02d}", float(cpus), 0.0, rank)
         for i, (team, at, cpus, rank) in enumerate(jobs)
     ]
-    told = [
+    exchanged = [
         j for part in range(3) for j in scheduler.guarantee_relevant_jobs(context, found[part::3])
     ]
-    assert scheduler.guaranteed_jobs(context, told) == scheduler.guaranteed_jobs(context, found)
+    assert scheduler.guaranteed_jobs(context, exchanged) == scheduler.guaranteed_jobs(
+        context, found
+    )
 
 
 def test_a_guarantee_is_its_own_teams() -> None:
@@ -167,7 +169,7 @@
     assert len(zones) == 5 and max(zones.count(0), zones.count(1)) == 3
 
 
-def test_work_with_an_aim_on_waiting_asks_once_for_room_beside_its_image() -> None:
+def test_a_job_with_a_wait_objective_preempts_once_where_its_image_is() -> None:
     context = make_world(Clock())
     context.settings.settings.objectives.append(Objective("wait", "batch", 1.0, 0.8))
     job = new_job(context, spec(chores=1, rank="prod", image_gb=8.0), 0, 0)
@@ -176,7 +178,7 @@
     full = Candidate(
         0, kind, 0, False, 0, total, [0.0, 0.0, 8.0], images={"img"}, youngest_s=[-1, 5, -1, -1]
     )
-    # Has the image too, and nothing that may be stopped.
+    # Has the image too, and nothing that may be preempted.
     stuck = Candidate(
         2, kind, 0, False, 0, total, [0.0, 0.0, 8.0], images={"img"}, youngest_s=[-1, -1, -1, 5]
     )
