--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -16,7 +16,7 @@
 LINE = re.compile(r"\s*([\d.]+) (\S+) [A-Z] \S+: (.*)")
 RAN = re.compile(r"ran (\S+): (\d+) times, ([\d.]+) s, longest ([\d.]+) s")
 ANSWER = re.compile(r"answer (\w+): (\d+), p50/p90/p99 [\d.]+/[\d.]+/([\d.]+) ms")
-FIRST = re.compile(r"machine (\S+): first report")
+FIRST = re.compile(r"machine registered: machine=(\S+)")
 TAKEN = re.compile(r"shard acquired: shard=(\d+)\b")
 READ = re.compile(r"shard jobs loaded: shard=(\d+) unfinished_jobs=(\d+)")
 GONE = "returned to the cloud: "
--- a/tests/test_cost_table.py
+++ b/tests/test_cost_table.py
@@ -8,14 +8,14 @@
 LOG = """\
     0.30 n-0 I starlingdeck.cluster.ownership: shard acquired: shard=0 token=4
     0.35 n-0 I starlingdeck.jobs.loader: shard jobs loaded: shard=0 unfinished_jobs=12
-    1.00 n-0 I starlingdeck.machines: machine vm-1: first report, session 1
-    2.00 n-0 I starlingdeck.coordination.machines: machine vm-2: first report, session 1
-   60.20 n-0 I starlingdeck.coordination.node: answer change: 60, p50/p90/p99 13/24/48 ms, most 48
-   60.20 n-0 D starlingdeck.coordination.node: ran Planner.run: 100 times, 6.000 s, longest 0.007 s
+    1.00 n-0 I starlingdeck.machines: machine registered: machine=vm-1 session=1
+    2.00 n-0 I starlingdeck.machines.report_intake: machine registered: machine=vm-2 session=1
+   60.20 n-0 I starlingdeck.metrics.latency: answer change: 60, p50/p90/p99 13/24/48 ms, most 48
+   60.20 n-0 D starlingdeck.metrics.latency: ran Planner.run: 100 times, 6.000 s, longest 0.007 s
    60.21 n-1 I starlingdeck.node: answer change: 40, p50/p90/p99 13/24/50 ms, most 51
-   60.21 n-1 D starlingdeck.coordination.node: ran Planner.run: 50 times, 3.000 s, longest 0.009 s
+   60.21 n-1 D starlingdeck.metrics.latency: ran Planner.run: 50 times, 3.000 s, longest 0.009 s
 a line of something else
-   70.00 n-0 I starlingdeck.coordination.cloud: returned to the cloud: vm-1 vm-9
+   70.00 n-0 I starlingdeck.autoscaling.autoscaler: returned to the cloud: vm-1 vm-9
   120.20 n-0 D starlingdeck.node: ran Node.step_loop: 10 times, 1.500 s, longest 0.001 s
 """
 
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -335,7 +335,7 @@
                 # What only time changes is counted on by who sees it. It alone also ends the time
                 # unconfirmed of a machine that has been silent for a lease.
                 silent_s = clock.at - machines.machines[index].last_message_at
-                unconfirmed = entry.unconfirmed_s > 0 and silent_s <= machines.lease_s
+                unconfirmed = entry.unconfirmed_s > 0 and silent_s <= machines.state.lease_s
                 entry.silent_s = entry.idle_s = 0.0
                 entry.unconfirmed_s = float(unconfirmed)
                 del entry.youngest_s[:]
