--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -12,8 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingdeck.jobs import commit_log as ring_module
-from starlingdeck.jobs import group_commit
+from starlingdeck.jobs import commit_log, group_commit
 from starlingdeck.jobs.commit_log import CommitLog
 from starlingdeck.jobs.group_commit import GroupCommit
 from starlingdeck.jobs.job import Job, TaskPlacement, new_job
@@ -50,15 +49,15 @@
 
 
 @dataclass
-class Strict:
-    """`fate` of the next transactions: executed, refused, or unanswered in three ways."""
+class StrictStateClient:
+    """Refuses what the protocol refuses; `outcomes` are those of the next transactions."""
 
     state: PlainState
-    fates: list[str] = field(default_factory=list)
+    outcomes: list[str] = field(default_factory=list)
     late: list[tuple[dict[str, int], list[api.Change]]] = field(default_factory=list)
     refuse: Callable[[list[api.Change]], bool] = lambda changes: False
     changes: int = 0
-    values: int = 0
+    largest_value: int = 0  # in bytes
 
     def writable(self, urgent: bool) -> tuple[int, float]:
         return 1000, 0.0
@@ -71,14 +70,14 @@
             for c in changes
         ]
         self.check_limits(conditions, changes)
-        fate = self.fates.pop(0) if self.fates else "executed"
-        if fate == "refused" or self.refuse(changes):
+        outcome = self.outcomes.pop(0) if self.outcomes else "executed"
+        if outcome == "refused" or self.refuse(changes):
             raise StateError("429")
-        if fate == "late":
+        if outcome == "late":
             self.late.append((dict(conditions), changes))
             raise OutcomeUnknownError("no answer, yet")
         failed = self.state.apply(conditions, changes)
-        if fate == "mute":
+        if outcome == "unanswered":
             raise OutcomeUnknownError("no answer")
         if failed:
             raise TransactionConflictError(failed)
@@ -88,14 +87,14 @@
     def check_limits(self, conditions: dict[str, int], changes: list[api.Change]) -> None:
         assert len(changes) <= TXN_OPS and len(conditions) <= 4 * TXN_OPS
         sizes = [len(bytes(c.value)) for c in changes if c.put is not None]
-        self.values = max([self.values, *sizes])
+        self.largest_value = max([self.largest_value, *sizes])
         body = api.Transaction([api.Condition(k, v) for k, v in conditions.items()], changes)
-        assert self.values <= VALUE_BYTES and len(msgspec.json.encode(body)) <= TXN_BYTES
+        assert self.largest_value <= VALUE_BYTES and len(msgspec.json.encode(body)) <= TXN_BYTES
 
-    def carry_out_late(self) -> list[list[str]]:
-        """What was held up arrives; the conditions of each that failed."""
-        held, self.late = self.late, []
-        return [self.state.apply(conditions, changes) for conditions, changes in held]
+    def execute_late(self) -> list[list[str]]:
+        """What was delayed arrives; the conditions of each that failed."""
+        delayed, self.late = self.late, []
+        return [self.state.apply(conditions, changes) for conditions, changes in delayed]
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
         found = self.state.keys.get(key)
@@ -110,26 +109,26 @@
         return found, self.state.epoch
 
 
-class Holder:
-    """One hold of a shard: a writer with the log, and what a test does with it."""
+class ShardOwner:
+    """A shard's owner: its writer with the commit log, and what tests do with it."""
 
-    def __init__(self, client: Strict, clock: Clock, tuning: Tuning = LOGGED) -> None:
+    def __init__(self, client: StrictStateClient, clock: Clock, tuning: Tuning = LOGGED) -> None:
         self.client, self.clock = client, clock
-        self.world = make_world(clock)
-        self.world.tuning = tuning
-        self.world.machine_names.intern("vm-0")
-        self.world.zone_names.intern("a")
+        self.context = make_world(clock)
+        self.context.tuning = tuning
+        self.context.machine_names.intern("vm-0")
+        self.context.zone_names.intern("a")
         key = records.shard_key(SHARD)
-        held = client.state.keys.get(key, (b"", 0))[1]
-        assert not client.state.apply({key: held}, [put_change(key, records.ShardValue(0, 1))])
+        version = client.state.keys.get(key, (b"", 0))[1]
+        assert not client.state.apply({key: version}, [put_change(key, records.ShardValue(0, 1))])
         self.token = client.state.epoch
-        self.shard = JobShard(self.world, SHARD, self.token, 1)
-        self.writer = RecordWriter(self.world, client, self.shard)  # type: ignore[arg-type]
+        self.shard = JobShard(self.context, SHARD, self.token, 1)
+        self.writer = RecordWriter(self.context, client, self.shard)  # type: ignore[arg-type]
         curio.run(self.writer.load)
 
     def accept(self, name: str = JOB, tasks: int = 3, **other: Any) -> Job:
         body = spec(name, chores=tasks, **other)
-        job = new_job(self.world, body, SHARD, 0)
+        job = new_job(self.context, body, SHARD, 0)
         main = records.job_key(SHARD, name)
         assert not self.client.state.apply({main: 0}, [put_change(main, JobRecord(body, 0))])
         job.key_versions[0] = self.client.state.epoch
@@ -137,12 +136,12 @@
         return job
 
     def job(self, name: str = JOB) -> Job:
-        return self.shard.jobs[self.world.job_names.find(name) or 0]
+        return self.shard.jobs[self.context.job_names.find(name) or 0]
 
     def start(self, *tasks: int, name: str = JOB, machine: str = "vm-0") -> None:
         job = self.job(name)
         for task in tasks:
-            index = self.world.machine_names.intern(machine)
+            index = self.context.machine_names.intern(machine)
             job.pending_starts[task] = TaskPlacement(
                 index, 1, job.attempts[task] + 1, 0, 0, state_since=self.clock.at
             )
@@ -165,7 +164,7 @@
                 except StateError:
                     continue
 
-    def seen(self, name: str = JOB) -> tuple[dict[int, int], int]:
+    def recorded(self, name: str = JOB) -> tuple[dict[int, int], int]:
         """Attempts that are recorded, and how many tasks are done."""
         job = self.job(name)
         return {
@@ -176,13 +175,13 @@
         return [k for k in self.client.state.keys if k.startswith(stored.LOG)]
 
 
-def site() -> tuple[Strict, Clock]:
-    return Strict(PlainState(random.Random(1))), Clock()
+def new_site() -> tuple[StrictStateClient, Clock]:
+    return StrictStateClient(PlainState(random.Random(1))), Clock()
 
 
-def succeed(before: Holder, tuning: Tuning = LOGGED) -> Holder:
+def take_over(before: ShardOwner, tuning: Tuning = LOGGED) -> ShardOwner:
     """The shard is taken over by another process."""
-    return Holder(before.client, before.clock, tuning)
+    return ShardOwner(before.client, before.clock, tuning)
 
 
 # --- the stored form
@@ -209,7 +208,7 @@
 
 
 def change_of(history: list[list[Step]], number: int, tasks: int) -> stored.JobChange:
-    """The difference that one commit makes, as a holder would write it."""
+    """The difference that one commit makes, as an owner would write it."""
     before, after = plain(history[:number], tasks), plain(history[: number + 1], tasks)
     ended = [t for t, attempt in before[0].items() if after[0].get(t) != attempt]
     return stored.JobChange(
@@ -263,294 +262,294 @@
 
 def test_without_a_log_records_are_written_as_before() -> None:
     """An earlier version reads them: no field is added until there is a log."""
-    holder = Holder(*site(), tuning=Tuning())
-    holder.accept()
-    holder.start(0, 1)
-    holder.flush()
-    text = holder.client.state.keys[records.job_key(SHARD, JOB)][0]
-    assert b"upto" not in text and not holder.log_keys()
-    assert b"logged" not in holder.client.state.keys[records.shard_key(SHARD)][0]
-    assert holder.seen() == ({0: 1, 1: 1}, 0)
+    owner = ShardOwner(*new_site(), tuning=Tuning())
+    owner.accept()
+    owner.start(0, 1)
+    owner.flush()
+    text = owner.client.state.keys[records.job_key(SHARD, JOB)][0]
+    assert b"upto" not in text and not owner.log_keys()
+    assert b"logged" not in owner.client.state.keys[records.shard_key(SHARD)][0]
+    assert owner.recorded() == ({0: 1, 1: 1}, 0)
 
 
 def test_many_jobs_are_one_change() -> None:
-    holder = Holder(*site())
+    owner = ShardOwner(*new_site())
     names = [f"j-{n:06d}" for n in range(40)]
     for name in names:
-        holder.accept(name)
-        holder.start(0, 1, name=name)
-    holder.flush(2)
-    assert holder.client.changes == 1 and len(holder.log_keys()) == 1
-    assert all(holder.seen(name) == ({0: 1, 1: 1}, 0) for name in names)
+        owner.accept(name)
+        owner.start(0, 1, name=name)
+    owner.flush(2)
+    assert owner.client.changes == 1 and len(owner.log_keys()) == 1
+    assert all(owner.recorded(name) == ({0: 1, 1: 1}, 0) for name in names)
 
 
 def test_urgent_starts_do_not_wait_for_the_others() -> None:
-    holder = Holder(*site())
-    holder.accept(JOB)
-    holder.accept(OTHER, rank="urgent")
-    holder.start(0)
-    curio.run(holder.writer.flush)
-    holder.clock.at += 0.2
-    curio.run(holder.writer.flush)
-    assert holder.seen() == ({}, 0)  # not yet due
-    holder.start(0, name=OTHER)
-    curio.run(holder.writer.flush)
-    holder.clock.at += 0.11
-    curio.run(holder.writer.flush)
+    owner = ShardOwner(*new_site())
+    owner.accept(JOB)
+    owner.accept(OTHER, rank="urgent")
+    owner.start(0)
+    curio.run(owner.writer.flush)
+    owner.clock.at += 0.2
+    curio.run(owner.writer.flush)
+    assert owner.recorded() == ({}, 0)  # not yet due
+    owner.start(0, name=OTHER)
+    curio.run(owner.writer.flush)
+    owner.clock.at += 0.11
+    curio.run(owner.writer.flush)
     # Due for the urgent one, it takes along what waits.
-    assert holder.seen(OTHER) == ({0: 1}, 0) and holder.seen() == ({0: 1}, 0)
+    assert owner.recorded(OTHER) == ({0: 1}, 0) and owner.recorded() == ({0: 1}, 0)
 
 
-# --- the hard cases: each a story that raises AssertionError where it goes wrong
+# --- the hard cases: each raises AssertionError where it goes wrong
 
 
 def lost_answer() -> None:
-    """Carried out, its answer lost: known after the next look, and nothing is written twice."""
-    holder = Holder(*site())
-    holder.accept()
-    holder.start(0, 1)
-    holder.client.fates = ["mute"]
-    holder.flush()
-    assert holder.seen() == ({0: 1, 1: 1}, 0)
-    holder.end(0)
-    holder.flush()
-    assert succeed(holder).seen() == holder.seen() == ({1: 1}, 1)
+    """Executed, its answer lost: resolved before the next write, and nothing is written twice."""
+    owner = ShardOwner(*new_site())
+    owner.accept()
+    owner.start(0, 1)
+    owner.client.outcomes = ["unanswered"]
+    owner.flush()
+    assert owner.recorded() == ({0: 1, 1: 1}, 0)
+    owner.end(0)
+    owner.flush()
+    assert take_over(owner).recorded() == owner.recorded() == ({1: 1}, 1)
 
 
 def late_commit() -> None:
-    """Held up, given up, and carried out after newer ones: it changes nothing any more."""
-    holder = Holder(*site())
-    holder.accept()
-    holder.start(0, machine="vm-1")
-    holder.client.fates = ["late"]
-    holder.flush(1)
-    # Meanwhile its room was given away; it arrives before anything else is written.
-    holder.job().pending_starts.clear()
-    holder.flush(1)
-    holder.client.carry_out_late()
-    assert succeed_reading(holder).seen() == holder.seen() == ({}, 0)
-    holder.start(0, machine="vm-2")
-    holder.flush(2)
-    after = succeed(holder)
-    assert after.world.machine_names[after.job().placements[0].machine] == "vm-2"
-    assert after.seen() == holder.seen()
+    """Delayed, given up, and executed after newer ones: it changes nothing any more."""
+    owner = ShardOwner(*new_site())
+    owner.accept()
+    owner.start(0, machine="vm-1")
+    owner.client.outcomes = ["late"]
+    owner.flush(1)
+    # Meanwhile its reservation expired; it arrives before anything else is written.
+    owner.job().pending_starts.clear()
+    owner.flush(1)
+    owner.client.execute_late()
+    assert read_elsewhere(owner).recorded() == owner.recorded() == ({}, 0)
+    owner.start(0, machine="vm-2")
+    owner.flush(2)
+    after = take_over(owner)
+    assert after.context.machine_names[after.job().placements[0].machine] == "vm-2"
+    assert after.recorded() == owner.recorded()
 
 
 def takeover_in_the_middle() -> None:
-    """A commit of the former holder arrives when another holds the shard."""
-    holder = Holder(*site())
-    holder.accept()
-    holder.start(0)
-    holder.client.fates = ["late"]
-    holder.flush(1)
-    after = succeed(holder)
-    assert all(holder.client.carry_out_late())
+    """A commit of the former owner arrives when another owns the shard."""
+    owner = ShardOwner(*new_site())
+    owner.accept()
+    owner.start(0)
+    owner.client.outcomes = ["late"]
+    owner.flush(1)
+    after = take_over(owner)
+    assert all(owner.client.execute_late())
     after.start(0, machine="vm-9")
     after.flush()
-    last = succeed(after)
-    assert last.world.machine_names[last.job().placements[0].machine] == "vm-9"
+    last = take_over(after)
+    assert last.context.machine_names[last.job().placements[0].machine] == "vm-9"
 
 
 def checkpoint_and_crash() -> None:
-    """Slots are used again only when records hold what they said, whoever reads after a crash."""
-    holder = Holder(*site())
-    holder.accept(JOB, tasks=3 * TASKS_PER_CHUNK)
+    """Slots are reused only when records contain what they said, whoever reads after a crash."""
+    owner = ShardOwner(*new_site())
+    owner.accept(JOB, tasks=3 * TASKS_PER_CHUNK)
     expected = {}
     for number in range(40):
         task = (number * 37) % (3 * TASKS_PER_CHUNK)
-        holder.start(task)
-        holder.flush(1)
+        owner.start(task)
+        owner.flush(1)
         expected[task] = 1
         if number % 7 == 0:
-            assert succeed_reading(holder).seen() == (expected, 0)
-    assert len(holder.log_keys()) <= 6
-    assert succeed(holder).seen() == (expected, 0)
+            assert read_elsewhere(owner).recorded() == (expected, 0)
+    assert len(owner.log_keys()) <= 6
+    assert take_over(owner).recorded() == (expected, 0)
 
 
-def succeed_reading(holder: Holder) -> Holder:
+def read_elsewhere(owner: ShardOwner) -> ShardOwner:
     """What another process would read now; the shard stays where it is."""
-    copy = PlainState(holder.client.state.rng)
-    copy.keys, copy.epoch = dict(holder.client.state.keys), holder.client.state.epoch
-    return Holder(Strict(copy), holder.clock)
+    copy = PlainState(owner.client.state.rng)
+    copy.keys, copy.epoch = dict(owner.client.state.keys), owner.client.state.epoch
+    return ShardOwner(StrictStateClient(copy), owner.clock)
 
 
 def cancelled_elsewhere() -> None:
     """Another controller writes a cancellation over a record that is behind the log: what ran
     stays known, and nothing more is started."""
-    holder = Holder(*site())
-    holder.accept()
-    holder.start(0)
-    holder.flush()
+    owner = ShardOwner(*new_site())
+    owner.accept()
+    owner.start(0)
+    owner.flush()
     main = records.job_key(SHARD, JOB)
-    record = msgspec.json.decode(holder.client.state.keys[main][0], type=JobRecord)
+    record = msgspec.json.decode(owner.client.state.keys[main][0], type=JobRecord)
     record.cancelled = True
-    version = holder.client.state.keys[main][1]
-    assert not holder.client.state.apply({main: version}, [put_change(main, record)])
-    holder.start(1)
-    holder.flush()
-    assert holder.job().cancelled and holder.seen() == ({0: 1}, 0)
-    assert succeed(holder).seen() == ({0: 1}, 0)
+    version = owner.client.state.keys[main][1]
+    assert not owner.client.state.apply({main: version}, [put_change(main, record)])
+    owner.start(1)
+    owner.flush()
+    assert owner.job().cancelled and owner.recorded() == ({0: 1}, 0)
+    assert take_over(owner).recorded() == ({0: 1}, 0)
 
 
 def part_written_late() -> None:
-    """A further part of a record, rewritten and held up, lands after a newer commit."""
-    holder = Holder(*site())
-    holder.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
-    holder.start(TASKS_PER_CHUNK, machine="vm-1")
-    holder.flush()
-    part = holder.shard.drafter.rewrite(holder.job(), [1], {}, {})
-    holder.client.fates = ["late"]
+    """A further part of a record, rewritten and delayed, is executed after a newer commit."""
+    owner = ShardOwner(*new_site())
+    owner.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
+    owner.start(TASKS_PER_CHUNK, machine="vm-1")
+    owner.flush()
+    part = owner.shard.drafter.rewrite(owner.job(), [1], {}, {})
+    owner.client.outcomes = ["late"]
     with pytest.raises(OutcomeUnknownError):
-        curio.run(holder.writer._write, [part], False)
-    holder.end(TASKS_PER_CHUNK, error=api.W_ERROR)
-    holder.flush()
-    holder.client.carry_out_late()
-    holder.start(TASKS_PER_CHUNK, machine="vm-2")
-    holder.flush()  # meets the part as it is now, and reads the job again
-    assert succeed_reading(holder).seen() == holder.seen() == ({}, 0)
-    holder.start(TASKS_PER_CHUNK, machine="vm-2")
-    holder.flush()
-    after = succeed(holder)
-    assert after.seen() == holder.seen() == ({TASKS_PER_CHUNK: 2}, 0)
+        curio.run(owner.writer._write, [part], False)
+    owner.end(TASKS_PER_CHUNK, error=api.W_ERROR)
+    owner.flush()
+    owner.client.execute_late()
+    owner.start(TASKS_PER_CHUNK, machine="vm-2")
+    owner.flush()  # meets the part as it is now, and reads the job again
+    assert read_elsewhere(owner).recorded() == owner.recorded() == ({}, 0)
+    owner.start(TASKS_PER_CHUNK, machine="vm-2")
+    owner.flush()
+    after = take_over(owner)
+    assert after.recorded() == owner.recorded() == ({TASKS_PER_CHUNK: 2}, 0)
 
 
 def older_segment_kept() -> None:
     """A newer segment is used again before an older one, which another job still needs: what the
     older says of a record that was rewritten since is not applied to it once more."""
-    holder = Holder(*site())
+    owner = ShardOwner(*new_site())
     for name in (JOB, OTHER):
-        holder.accept(name)
-        holder.start(0, name=name)
-    holder.flush()
-    holder.end(0, name=OTHER, error=api.W_ERROR)
-    holder.flush()
-    older, newer = holder.log_keys()
-    rewritten = holder.shard.drafter.rewrite(holder.job(OTHER), [0], {}, {})
-    assert curio.run(holder.writer._write, [rewritten], False)
-    dirty = [bool(slot.dirty) for _, slot in sorted(holder.shard.commit_log.slots.items())]
+        owner.accept(name)
+        owner.start(0, name=name)
+    owner.flush()
+    owner.end(0, name=OTHER, error=api.W_ERROR)
+    owner.flush()
+    older, newer = owner.log_keys()
+    rewritten = owner.shard.drafter.rewrite(owner.job(OTHER), [0], {}, {})
+    assert curio.run(owner.writer._write, [rewritten], False)
+    dirty = [bool(slot.dirty) for _, slot in sorted(owner.shard.commit_log.slots.items())]
     assert dirty == [True, False]
-    assert not holder.client.state.apply({}, [api.Change(delete=newer)])
-    assert succeed(holder).seen(OTHER) == ({}, 0) and older in holder.log_keys()
+    assert not owner.client.state.apply({}, [api.Change(delete=newer)])
+    assert take_over(owner).recorded(OTHER) == ({}, 0) and older in owner.log_keys()
 
 
 def large_array() -> None:
     """100,000 tasks: values, transactions and conditions stay within their limits."""
-    holder = Holder(*site())
-    holder.accept(JOB, tasks=100_000)
+    owner = ShardOwner(*new_site())
+    owner.accept(JOB, tasks=100_000)
     tasks = [*range(900), *range(1000, 100_000, 97)]
-    holder.start(*tasks)
-    holder.flush(20)
-    assert len(holder.seen()[0]) == len(tasks)
-    holder.end(*tasks[:500])
-    holder.flush(20)
-    assert holder.seen()[1] == 500
-    assert succeed(holder).seen() == holder.seen()
+    owner.start(*tasks)
+    owner.flush(20)
+    assert len(owner.recorded()[0]) == len(tasks)
+    owner.end(*tasks[:500])
+    owner.flush(20)
+    assert owner.recorded()[1] == 500
+    assert take_over(owner).recorded() == owner.recorded()
 
 
 def large_record() -> None:
-    """A long description and long names: the log has room for all starts, the record has not. It
+    """A long description and long names: the log can take all starts, the record can't. It
     must still be rewritten for a checkpoint, and for a cancellation."""
-    holder = Holder(*site())
-    holder.accept(JOB, tasks=TASKS_PER_CHUNK, builds=["x" * 100] * 30)
+    owner = ShardOwner(*new_site())
+    owner.accept(JOB, tasks=TASKS_PER_CHUNK, builds=["x" * 100] * 30)
     for first in range(0, TASKS_PER_CHUNK, 32):
-        holder.start(*range(first, first + 32), machine="m" * 90)
-        holder.flush(1)
-    running = len(holder.seen()[0])
+        owner.start(*range(first, first + 32), machine="m" * 90)
+        owner.flush(1)
+    running = len(owner.recorded()[0])
     assert 32 < running < TASKS_PER_CHUNK
-    checkpoint = holder.shard.drafter.rewrite(holder.job(), [0], {}, {})
-    assert curio.run(holder.writer._write, [checkpoint], False)
-    curio.run(holder.writer.cancel, holder.job())
-    assert holder.job().cancelled and len(succeed(holder).seen()[0]) == running
+    checkpoint = owner.shard.drafter.rewrite(owner.job(), [0], {}, {})
+    assert curio.run(owner.writer._write, [checkpoint], False)
+    curio.run(owner.writer.cancel, owner.job())
+    assert owner.job().cancelled and len(take_over(owner).recorded()[0]) == running
 
 
 def torn_entry() -> None:
-    """A change that can't be read: its job is set aside, known, and nothing of it starts; the
+    """A change that can't be read: its job is quarantined and nothing of it starts; the
     other jobs go on, and what is stored stays."""
-    holder = Holder(*site())
+    owner = ShardOwner(*new_site())
     for name in (JOB, OTHER):
-        holder.accept(name)
-        holder.start(0, name=name)
-    holder.flush()
-    (key,) = holder.log_keys()
-    text = holder.client.state.keys[key][0]
+        owner.accept(name)
+        owner.start(0, name=name)
+    owner.flush()
+    (key,) = owner.log_keys()
+    text = owner.client.state.keys[key][0]
     torn = text.replace(f'["{JOB}",[[0,'.encode(), f'["{JOB}",[["x",'.encode())
     assert torn != text
-    holder.client.state.apply({}, [put_change(key, msgspec.Raw(torn))])
-    after = succeed(holder)
+    owner.client.state.apply({}, [put_change(key, msgspec.Raw(torn))])
+    after = take_over(owner)
     assert JOB not in {job.id for job in after.shard.jobs.values()}
-    assert after.seen(OTHER) == ({0: 1}, 0)
+    assert after.recorded(OTHER) == ({0: 1}, 0)
     assert records.job_key(SHARD, JOB) in after.client.state.keys
     with pytest.raises(StateError):
         curio.run(after.writer.reload, JOB)
-    for number in range(2 * ring_module.MAX_SLOTS):
+    for number in range(2 * commit_log.MAX_SLOTS):
         after.end(0, name=OTHER, error=api.W_ERROR)
         after.flush(1)
         after.start(0, name=OTHER)
         after.flush(1)
-        assert after.seen(OTHER)[0] == {0: number + 2}
+        assert after.recorded(OTHER)[0] == {0: number + 2}
     assert after.client.state.keys[key][0] == torn
 
 
 def unknown_form() -> None:
     """A whole segment of another form: of all jobs that it may concern nothing starts."""
-    holder = Holder(*site())
-    holder.accept(JOB)
-    holder.start(0)
-    holder.flush()
-    (key,) = holder.log_keys()
+    owner = ShardOwner(*new_site())
+    owner.accept(JOB)
+    owner.start(0)
+    owner.flush()
+    (key,) = owner.log_keys()
     strange = {"form": 99, "commits": "more than we know"}
-    holder.client.state.apply({}, [put_change(key, strange)])
-    holder.accept(OTHER)
-    after = succeed(holder)
+    owner.client.state.apply({}, [put_change(key, strange)])
+    owner.accept(OTHER)
+    after = take_over(owner)
     assert {job.id for job in after.shard.jobs.values()} == {OTHER}
     after.start(0, name=OTHER)
     after.flush()
-    assert after.seen(OTHER) == ({0: 1}, 0)
+    assert after.recorded(OTHER) == ({0: 1}, 0)
     assert msgspec.json.decode(after.client.state.keys[key][0]) == strange
 
 
 def full_log() -> None:
     """Checkpoints are refused until no slot is left: starts wait, ends and cancellations go on."""
-    holder = Holder(*site())
+    owner = ShardOwner(*new_site())
     for name in (JOB, OTHER):
-        holder.accept(name, tasks=200)
-    holder.client.refuse = lambda changes: any(
+        owner.accept(name, tasks=200)
+    owner.client.refuse = lambda changes: any(
         (c.put or "").startswith("j/") and b'"cancelled":true' not in bytes(c.value)
         for c in changes
     )
     task = 0
-    while holder.writer.group_commit.may_start():
-        holder.start(task)
-        holder.flush(1)
+    while owner.writer.group_commit.may_start():
+        owner.start(task)
+        owner.flush(1)
         task += 1
         assert task < 200
-    holder.start(task)
-    holder.flush()
-    assert task not in holder.job().placements
-    holder.end(*range(10))
-    holder.flush()
-    assert holder.seen()[1] == 10
-    curio.run(holder.writer.cancel, holder.job(OTHER))
-    assert holder.job(OTHER).cancelled
-    holder.client.refuse = lambda changes: False
-    holder.flush(10)
-    assert task in holder.job().placements
-    assert succeed(holder).seen() == holder.seen()
+    owner.start(task)
+    owner.flush()
+    assert task not in owner.job().placements
+    owner.end(*range(10))
+    owner.flush()
+    assert owner.recorded()[1] == 10
+    curio.run(owner.writer.cancel, owner.job(OTHER))
+    assert owner.job(OTHER).cancelled
+    owner.client.refuse = lambda changes: False
+    owner.flush(10)
+    assert task in owner.job().placements
+    assert take_over(owner).recorded() == owner.recorded()
 
 
 def switched_off() -> None:
     """The way back: a controller that doesn't write the log brings all records up to it and then
     deletes it; one that knows nothing of it reads the same."""
-    holder = Holder(*site())
+    owner = ShardOwner(*new_site())
     for name in (JOB, OTHER):
-        holder.accept(name, tasks=2 * TASKS_PER_CHUNK)
-        holder.start(0, TASKS_PER_CHUNK + 1, name=name)
-    holder.flush()
-    holder.end(0)
-    holder.flush()
-    after = succeed(holder, Tuning())
+        owner.accept(name, tasks=2 * TASKS_PER_CHUNK)
+        owner.start(0, TASKS_PER_CHUNK + 1, name=name)
+    owner.flush()
+    owner.end(0)
+    owner.flush()
+    after = take_over(owner, Tuning())
     after.flush()
-    assert not after.log_keys() and after.seen() == ({TASKS_PER_CHUNK + 1: 1}, 1)
+    assert not after.log_keys() and after.recorded() == ({TASKS_PER_CHUNK + 1: 1}, 1)
     keys = after.client.state.keys
     main = msgspec.json.decode(keys[records.job_key(SHARD, JOB)][0], type=JobRecord)
     part = msgspec.json.decode(keys[records.chunk_key(SHARD, JOB, 1)][0], type=Chunk)
@@ -577,10 +576,10 @@
 @pytest.fixture
 def small_ring(monkeypatch: Patch) -> None:
     """So that slots are used again soon."""
-    monkeypatch.setattr(ring_module, "MAX_SLOTS", 6)
-    monkeypatch.setattr(ring_module, "CHECKPOINT_SLOTS", 2)
-    monkeypatch.setattr(ring_module, "SLOTS_FOR_ENDS", 2)
-    monkeypatch.setattr(ring_module, "FULL_SEGMENT_BYTES", 80)
+    monkeypatch.setattr(commit_log, "MAX_SLOTS", 6)
+    monkeypatch.setattr(commit_log, "CHECKPOINT_SLOTS", 2)
+    monkeypatch.setattr(commit_log, "SLOTS_FOR_ENDS", 2)
+    monkeypatch.setattr(commit_log, "FULL_SEGMENT_BYTES", 80)
 
 
 @pytest.mark.usefixtures("small_ring")
@@ -589,7 +588,7 @@
     case()
 
 
-# --- the same stories without their safeguards
+# --- the same cases without their safeguards
 
 
 def no_fence(monkeypatch: Patch) -> None:
@@ -599,7 +598,7 @@
     monkeypatch.setattr(GroupCommit, "_fence", trust)
 
 
-def fate_not_asked(monkeypatch: Patch) -> None:
+def outcome_not_resolved(monkeypatch: Patch) -> None:
     async def forget(self: GroupCommit) -> None:
         self.shard.commit_log.unresolved = None
 
@@ -607,13 +606,13 @@
 
 
 def token_not_asked(monkeypatch: Patch) -> None:
-    plain_txn = Strict.transact
+    plain_txn = StrictStateClient.transact
 
-    async def transact(self: Strict, conditions: dict[str, int], *rest: Any) -> int:
+    async def transact(self: StrictStateClient, conditions: dict[str, int], *rest: Any) -> int:
         left = {k: v for k, v in conditions.items() if not k.startswith("c/s/")}
         return await plain_txn(self, left, *rest)
 
-    monkeypatch.setattr(Strict, "transact", transact)
+    monkeypatch.setattr(StrictStateClient, "transact", transact)
 
 
 def records_not_asked(monkeypatch: Patch) -> None:
@@ -630,7 +629,7 @@
 def checkpoints_not_waited_for(monkeypatch: Patch) -> None:
     def clean(self: CommitLog) -> Any:
         return (
-            s for s in range(ring_module.MAX_SLOTS) if s not in self.pinned and s != self.open_slot
+            s for s in range(commit_log.MAX_SLOTS) if s not in self.pinned and s != self.open_slot
         )
 
     monkeypatch.setattr(CommitLog, "_clean_slots", clean)
@@ -657,7 +656,7 @@
 
 def tasks_not_bounded(monkeypatch: Patch) -> None:
     monkeypatch.setattr(group_commit, "MAX_TASKS_PER_CHANGE", 100_000)
-    monkeypatch.setattr(ring_module, "VALUE_OVERHEAD_BYTES", -100_000)
+    monkeypatch.setattr(commit_log, "VALUE_OVERHEAD_BYTES", -100_000)
 
 
 def records_not_bounded(monkeypatch: Patch) -> None:
@@ -674,7 +673,7 @@
 
 
 WITHOUT = [
-    (fate_not_asked, lost_answer),
+    (outcome_not_resolved, lost_answer),
     (no_fence, late_commit),
     (token_not_asked, takeover_in_the_middle),
     (checkpoints_not_waited_for, checkpoint_and_crash),
@@ -703,50 +702,52 @@
         case()
 
 
-# --- what has ended is not read by a takeover
+# --- finished jobs are not read by a takeover
 
 
-def test_parts_of_ended_arrays_are_deleted(monkeypatch: Patch) -> None:
+def test_chunks_of_finished_arrays_are_deleted(monkeypatch: Patch) -> None:
     """They stayed for ever, and every takeover read them; also those that were left before."""
-    holder = Holder(*site(), tuning=Tuning())
-    holder.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
+    owner = ShardOwner(*new_site(), tuning=Tuning())
+    owner.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
     tasks = list(range(2 * TASKS_PER_CHUNK))
     for first in range(0, len(tasks), 64):
-        holder.start(*tasks[first : first + 64])
-        holder.flush(1)
+        owner.start(*tasks[first : first + 64])
+        owner.flush(1)
     part = records.chunk_key(SHARD, JOB, 1)
     left = records.chunk_key(SHARD, OTHER, 3)
-    assert not holder.client.state.apply({}, [put_change(left, Chunk())])
-    holder.end(*tasks)
-    holder.flush(1)
-    assert records.final_key(SHARD, JOB) in holder.client.state.keys
-    assert part in holder.client.state.keys  # a look that began before the end reads it still
-    holder.flush(12)
-    assert part not in holder.client.state.keys
-    after = succeed(holder, Tuning())
+    assert not owner.client.state.apply({}, [put_change(left, Chunk())])
+    owner.end(*tasks)
+    owner.flush(1)
+    assert records.final_key(SHARD, JOB) in owner.client.state.keys
+    assert (
+        part in owner.client.state.keys
+    )  # an older status query still reads it
+    owner.flush(12)
+    assert part not in owner.client.state.keys
+    after = take_over(owner, Tuning())
     after.flush(12)
     assert left not in after.client.state.keys
 
 
-def test_a_reload_waits_for_a_commits_fate(monkeypatch: Patch) -> None:
+def test_a_reload_waits_for_a_commits_outcome(monkeypatch: Patch) -> None:
     """Read before it was known, a job would be answered for as it was before the commit."""
-    holder = Holder(*site())
-    holder.accept()
-    holder.start(0)
-    holder.client.fates = ["mute"]
+    owner = ShardOwner(*new_site())
+    owner.accept()
+    owner.start(0)
+    owner.client.outcomes = ["unanswered"]
     with pytest.raises(OutcomeUnknownError):
-        holder.clock.at += 1.0
-        curio.run(holder.writer.flush)
-        holder.clock.at += 1.0
-        curio.run(holder.writer.flush)
-    assert holder.shard.commit_log.unresolved is not None
+        owner.clock.at += 1.0
+        curio.run(owner.writer.flush)
+        owner.clock.at += 1.0
+        curio.run(owner.writer.flush)
+    assert owner.shard.commit_log.unresolved is not None
 
     async def down(key: str, urgent: bool = False) -> api.Entry | None:
         raise StateError("503")
 
     with monkeypatch.context() as patch:
-        patch.setattr(holder.client, "get", down)
+        patch.setattr(owner.client, "get", down)
         with pytest.raises(StateError):
-            curio.run(holder.writer.reload, JOB)
-    curio.run(holder.writer.reload, JOB)
-    assert holder.seen() == ({0: 1}, 0) and isinstance(holder.writer.loader, Loader)
+            curio.run(owner.writer.reload, JOB)
+    curio.run(owner.writer.reload, JOB)
+    assert owner.recorded() == ({0: 1}, 0) and isinstance(owner.writer.loader, Loader)
