--- a/starlingdeck/controller/peer_messages.py
+++ b/starlingdeck/controller/peer_messages.py
@@ -5,7 +5,8 @@
 
 import curio
 
-from starlingdeck.api.heartbeat_api import REPORT, HeartbeatApi
+from starlingdeck.api.heartbeat_api import HeartbeatApi
+from starlingdeck.api.heartbeat_redirect import REPORT
 from starlingdeck.api.job_api import JobApi
 from starlingdeck.cluster.membership import Membership
 from starlingdeck.controller.gossip import GossipExchange
