--- a/starlingdeck/machines/report_intake.py
+++ b/starlingdeck/machines/report_intake.py
@@ -129,8 +129,12 @@
             self._begin_session(machine, session, now)
         machine.session, machine.seq = session, report.seq
         machine.new_incarnation_session = 0  # its lease ended, and a later session is proof enough
-        if renews and now - machine.last_message_at > state.heartbeat_fresh_s:
+        silent_s = now - machine.last_message_at
+        if renews and silent_s > state.heartbeat_fresh_s:
             state.mark_unconfirmed(machine)
+            if silent_s > state.lease_s:
+                # Silent for so long it was published as 0 s unconfirmed: that is no longer so.
+                state.mark_changed(machine.index)
         elif (
             machine.unconfirmed_since is not None and report.token > machine.token and report.token
         ):
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -297,6 +297,7 @@
 @given(events)
 @example([("r", 1, 1), ("h", 0, 0), ("r", 1, 1)])
 @example([("r", 1, 0), ("t", 0, 0), *[("r", 0, 0)] * 6, ("t", 0, 0)])
+@example([("r", 1, 0), *[("r", 0, 0)] * 6, ("t", 0, 0), ("t", 0, 0), ("r", 1, 0)])
 def test_differences_add_up_to_the_whole(steps: list[tuple[str, int, int]]) -> None:
     """Reports, deletions, reservations, time and lost views, against the view made whole."""
     clock = Clock()
