--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -719,9 +719,7 @@
     owner.end(*tasks)
     owner.flush(1)
     assert records.final_key(SHARD, JOB) in owner.client.state.keys
-    assert (
-        part in owner.client.state.keys
-    )  # an older status query still reads it
+    assert part in owner.client.state.keys  # an older status query still reads it
     owner.flush(12)
     assert part not in owner.client.state.keys
     after = take_over(owner, Tuning())
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -1,4 +1,4 @@
-"""The plain worlds of the rules and of meetings of troubles, with the commit log switched on."""
+"""The model of the invariants and simulated concurrent failures, with the commit log enabled."""
 
 from typing import Any
 
@@ -29,7 +29,7 @@
 
 
 def small_ring(monkeypatch: Patch) -> None:
-    """So that slots are used again, and records rewritten for it, within a short play."""
+    """So that slots are reused, and records rewritten for it, within a short simulation."""
     monkeypatch.setattr(commit_log, "MAX_SLOTS", 8)
     monkeypatch.setattr(commit_log, "CHECKPOINT_SLOTS", 3)
     monkeypatch.setattr(commit_log, "SLOTS_FOR_ENDS", 2)
@@ -65,14 +65,14 @@
 
 @pytest.mark.parametrize("trouble", ["lost", "slow"])
 def test_no_count_falls_while_a_commit_is_under_way(monkeypatch: Patch, trouble: str) -> None:
-    """Others answer from the record and the log while the holder's commit has no answer yet."""
+    """Others answer from the record and the log while the owner's commit has no answer yet."""
     counts = counts_while_writing(monkeypatch, trouble)
     assert counts[0] < counts[-1]
 
 
-def test_others_do_not_tell_what_the_record_alone_says(monkeypatch: Patch) -> None:
-    """Commits are ahead of the record: by that alone the count fell as soon as the holder was
-    away. The plain world sees it when the log is passed over."""
+def test_others_do_not_report_what_the_record_alone_says(monkeypatch: Patch) -> None:
+    """Commits are ahead of the record: by that alone the count fell as soon as the owner was
+    unreachable. The simulation detects it when the log is ignored."""
 
     async def nothing(*_: Any) -> list[Any]:
         return []
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -1,6 +1,6 @@
-"""Users ask every controller within milliseconds: nobody answers from before what was told.
+"""Users ask every controller within milliseconds: no answer is older than an earlier one.
 
-The plain world holds each answer against those given before its request began (`Deck.ask`).
+The simulated cluster checks each answer against those given before its request began (`Deck.ask`).
 """
 
 from typing import Any
@@ -32,8 +32,8 @@
 
 
 def counts_while_writing(monkeypatch: pytest.MonkeyPatch, trouble: str) -> list[int]:
-    """How many of a job's tasks are told done, while its holder's writes are answered late or not
-    at all and everybody is asked; a count that falls is a broken rule."""
+    """How many of a job's tasks are reported done, while its owner's writes are answered late or
+    not at all and everybody is asked; a count that falls breaks an invariant."""
     deck = Deck(3)
     counts = []
 
@@ -57,16 +57,16 @@
 def test_no_count_falls_while_a_write_is_under_way(
     monkeypatch: pytest.MonkeyPatch, trouble: str
 ) -> None:
-    """The holder's write of ended tasks was carried out and its answer under way, or lost: others
-    read and told the count, then the holder told the one before."""
+    """The owner's write of ended tasks was executed and its answer under way, or lost: others
+    read and reported the count, then the owner reported the one before."""
     counts = counts_while_writing(monkeypatch, trouble)
     assert counts[0] < counts[-1]
 
 
-def test_all_parts_of_an_array_are_counted_without_its_holder(
+def test_all_chunks_of_an_array_are_counted_without_its_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """By its record's first part alone an array's count fell as soon as its holder was away."""
+    """By its record's first chunk alone an array's count fell once its owner was unreachable."""
     deck = Deck(4)
     tasks = records.TASKS_PER_CHUNK + 20
 
@@ -89,8 +89,8 @@
 
 @pytest.mark.parametrize("end", ["done", "cancelled"])
 def test_a_finished_jobs_count_stays_what_it_was(monkeypatch: pytest.MonkeyPatch, end: str) -> None:
-    """A repeated submission to a new holder was told that nothing of a finished job was done, and
-    so was whoever asked about a cancelled one."""
+    """A repeated submission to a new owner was answered that nothing of a finished job was done,
+    and so was whoever asked about a cancelled one."""
     deck = Deck(5)
 
     async def drive() -> tuple[int, str]:
@@ -108,7 +108,7 @@
             deck.crash(0, 0.2)
             await deck.run(6.0)
             await ask_all(deck, name)
-        # The holder has forgotten it since, or is a new one: the record alone knows.
+        # The owner has dropped it since, or is a new one: only the record has it.
         for node in deck.nodes:
             for writer in node.writers.values():
                 writer.shard.terminal_states.clear()
@@ -123,7 +123,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The record of a submission was there and its answer under way: another request had the
-    holder read it, cancel it and end it. Then the answer came, and the job was waiting again."""
+    owner read it, cancel it and end it. Then the answer came, and the job was waiting again."""
     deck = Deck(6)
 
     async def drive() -> list[str]:
--- a/tests/test_status_answers.py
+++ b/tests/test_status_answers.py
@@ -1,4 +1,4 @@
-"""What users are told never goes back, whichever controller they ask."""
+"""The status that users are answered never goes back, whichever controller they ask."""
 
 import random
 
@@ -30,8 +30,8 @@
 SHARD = shard_of_job(JOB, NODES)
 
 
-class Deck:
-    """Three controllers, one job, and the troubles between them. Watches can be held back."""
+class Cluster:
+    """Three controllers, one job, and the faults between them. Watches can be paused."""
 
     def __init__(self, seed: int) -> None:
         self.clock = Clock()
@@ -39,10 +39,10 @@
         self.clients = [PlainClient(self.state, 0.0) for _ in range(NODES)]
         self.nodes = [self.start(i) for i in range(NODES)]
         self.parted: set[frozenset[int]] = set()
-        self.deaf: set[int] = set()
-        self.holder = -1
-        self.told = ""
-        self.known = False
+        self.watch_paused: set[int] = set()
+        self.owner = -1
+        self.answered = ""
+        self.accepted = False
 
     def start(self, number: int) -> Controller:
         node = Controller(make_world(self.clock, node=number))
@@ -64,39 +64,39 @@
         return node
 
     async def tick(self, seconds: float) -> None:
-        """Leases, takeovers, and the watches of those that hear."""
+        """Leases, takeovers, and the watches that aren't paused."""
         self.clock.at += seconds
         for number, node in enumerate(self.nodes):
             if self.clock.at > node.membership.renewed_at + TTL_S:
                 node.writers.clear()
-                if number == self.holder:
-                    self.holder = -1
+                if number == self.owner:
+                    self.owner = -1
                     del self.state.keys[records.shard_key(SHARD)]
             if not self.clients[number].cut:
                 node.membership.renewed_at = self.clock.at
-        if self.holder < 0:
+        if self.owner < 0:
             await self.take_over()
-        for number in set(range(NODES)) - self.deaf:
+        for number in set(range(NODES)) - self.watch_paused:
             if not self.clients[number].cut:
-                await self.hear(number)
+                await self.deliver_watch(number)
 
     async def take_over(self, first: int = 0) -> None:
         able = [i for i in range(NODES) if not self.clients[i].cut]
         if not able:
             return
-        self.holder = first if first in able else able[0]
+        self.owner = first if first in able else able[0]
         epoch = self.state.rng.getrandbits(40)
-        change = put_change(records.shard_key(SHARD), records.ShardValue(self.holder, epoch))
+        change = put_change(records.shard_key(SHARD), records.ShardValue(self.owner, epoch))
         assert not self.state.apply({records.shard_key(SHARD): 0}, [change])
-        node, token = self.nodes[self.holder], self.state.epoch
+        node, token = self.nodes[self.owner], self.state.epoch
         writer = RecordWriter(node.context, node.state, JobShard(node.context, SHARD, token, epoch))
         node.writers[SHARD] = writer
         await node._load(writer)
         for other in self.nodes:
-            other.membership.owners[SHARD] = ShardOwner(self.holder, token, epoch)
+            other.membership.owners[SHARD] = ShardOwner(self.owner, token, epoch)
 
-    async def hear(self, number: int) -> None:
-        """The notes that its watch would have brought."""
+    async def deliver_watch(self, number: int) -> None:
+        """Handle the mailbox entries that its watch would have reported."""
         writer = self.nodes[number].writers.get(SHARD)
         prefix = records.mailbox_key(SHARD, "")
         for key, (_, version) in list(self.state.keys.items()):
@@ -111,8 +111,8 @@
             client.cut = not client.cut
         elif verb == "part":
             self.parted ^= {frozenset((number, other))}
-        elif verb == "deaf":
-            self.deaf ^= {number}
+        elif verb == "pause_watch":
+            self.watch_paused ^= {number}
         elif verb == "trouble":
             client.trouble = 0.0 if client.trouble else 0.6
         elif verb == "late" and self.state.late:
@@ -120,8 +120,8 @@
         elif verb == "restart":
             # Back within a fraction of a second: what it has sent may still be executed.
             self.nodes[number] = self.start(number)
-            if number == self.holder:
-                self.holder = -1
+            if number == self.owner:
+                self.owner = -1
                 del self.state.keys[records.shard_key(SHARD)]
                 if not client.cut:
                     await self.take_over(number)
@@ -133,15 +133,15 @@
             await self.finish()
         elif verb == "submit":
             await self.ask(node, "POST", api.JOBS, msgspec.json.encode(job_body(JOB, chores=1)))
-        elif verb == "look":
+        elif verb == "query":
             await self.ask(node, "GET", f"{api.JOBS}/{JOB}", b"")
         elif verb == "cancel":
             await self.ask(node, "POST", f"{api.JOBS}/{JOB}/{api.CANCEL}", b"")
 
-    async def over(self) -> None:
-        """All troubles are over: soon every healthy controller answers for the job."""
+    async def recover(self) -> None:
+        """All faults are over: soon every healthy controller answers for the job."""
         self.parted.clear()
-        self.deaf.clear()
+        self.watch_paused.clear()
         for client in self.clients:
             client.cut, client.trouble = False, 0.0
         asked, began = set(range(NODES)), self.clock.at
@@ -150,15 +150,15 @@
             await self.tick(3.0)
             for number in list(asked):
                 node = self.nodes[number]
-                look = Request("GET", f"{api.JOBS}/{JOB}", b"")
-                if node.health().status != 200 or (await node.serve(look)).status == 200:
+                query = Request("GET", f"{api.JOBS}/{JOB}", b"")
+                if node.health().status != 200 or (await node.serve(query)).status == 200:
                     asked.discard(number)
 
     async def finish(self) -> None:
-        """The holder learns that the task ran to its end, and writes what it can."""
-        if self.holder < 0:
+        """The owner learns that the task ran to its end, and writes what it can."""
+        if self.owner < 0:
             return
-        node = self.nodes[self.holder]
+        node = self.nodes[self.owner]
         writer = node.writers[SHARD]
         job = writer.shard.jobs.get(node.context.job_names.find(JOB) or 0)
         if job is None or not node.membership.lease_is_valid():
@@ -182,19 +182,30 @@
     async def ask(self, node: Controller, method: str, path: str, body: bytes) -> None:
         reply: Response = await node.serve(Request(method, path, body))
         if reply.status == 404 and path != api.JOBS:
-            assert not self.known, "a job once accepted is unknown"
+            assert not self.accepted, "a job once accepted is unknown"
         if reply.status not in (200, 201):
             return
         status = msgspec.json.decode(reply.body, type=api.JobStatus)
-        self.known = True
-        if self.told:
-            assert status.state == self.told, f"was {self.told}, is {status.state}"
+        self.accepted = True
+        if self.answered:
+            assert status.state == self.answered, f"was {self.answered}, is {status.state}"
         if status.state in (api.DONE, api.CANCELLED):
-            self.told = status.state
-
-
-VERBS = ["look"] * 5 + ["cancel", "cancel", "submit", "finish", "finish"]
-VERBS += ["restart", "cut", "part", "part", "deaf", "deaf", "trouble", "trouble", "late", "outage"]
+            self.answered = status.state
+
+
+VERBS = ["query"] * 5 + ["cancel", "cancel", "submit", "finish", "finish"]
+VERBS += [
+    "restart",
+    "cut",
+    "part",
+    "part",
+    "pause_watch",
+    "pause_watch",
+    "trouble",
+    "trouble",
+    "late",
+    "outage",
+]
 STEPS = st.tuples(
     st.sampled_from(VERBS),
     st.integers(0, NODES - 1),
@@ -203,18 +214,18 @@
 )
 
 
-async def play(deck: Deck, steps: list[tuple[str, int, int, float]]) -> None:
-    await deck.tick(0.0)
+async def play(cluster: Cluster, steps: list[tuple[str, int, int, float]]) -> None:
+    await cluster.tick(0.0)
     for verb, number, other, seconds in steps:
-        await deck.act(verb, number, other)
+        await cluster.act(verb, number, other)
         if seconds:
-            await deck.tick(seconds)
+            await cluster.tick(seconds)
 
 
 @pytest.fixture
-def deck(monkeypatch: pytest.MonkeyPatch) -> list[Deck]:
-    """Holds the deck in play, whose time passes while a controller sleeps."""
-    current: list[Deck] = []
+def cluster(monkeypatch: pytest.MonkeyPatch) -> list[Cluster]:
+    """The cluster of the running test, whose time passes while a controller sleeps."""
+    current: list[Cluster] = []
 
     async def sleep(seconds: float) -> None:
         current[-1].clock.at += seconds
@@ -223,112 +234,116 @@
     return current
 
 
-def test_a_cancellation_made_for_a_holder_is_told_when_that_has_heard(deck: list[Deck]) -> None:
-    """The holder came through an outage as valid and answered from memory, before it had read
+def test_a_cancellation_made_for_an_owner_is_answered_once_that_knows_it(
+    cluster: list[Cluster],
+) -> None:
+    """The owner came through an outage as valid and answered from memory, before it had read
     that another controller had cancelled the job and told its user so."""
-    deck.append(Deck(1))
-    clock, nodes = deck[0].clock, deck[0].nodes
+    cluster.append(Cluster(1))
+    clock, nodes = cluster[0].clock, cluster[0].nodes
 
     async def drive() -> list[int]:
-        await play(deck[0], [("submit", 0, 0, 0.5)])
-        holder = deck[0].holder
-        near, far = (i for i in range(NODES) if i != holder)
-        deck[0].parted.add(frozenset((near, holder)))
-        deck[0].parted.add(frozenset((near, far)))
-        deck[0].deaf.add(holder)
+        await play(cluster[0], [("submit", 0, 0, 0.5)])
+        owner = cluster[0].owner
+        near, far = (i for i in range(NODES) if i != owner)
+        cluster[0].parted.add(frozenset((near, owner)))
+        cluster[0].parted.add(frozenset((near, far)))
+        cluster[0].watch_paused.add(owner)
         path, statuses = f"{api.JOBS}/{JOB}/{api.CANCEL}", []
-        for heard in (False, True):
-            if heard:
-                await deck[0].hear(holder)
+        for handled in (False, True):
+            if handled:
+                await cluster[0].deliver_watch(owner)
             before = clock.at
             reply = await nodes[near].serve(Request("POST", path, b""))
             statuses.append(reply.status)
             assert clock.at - before < 1.0
-            look = await nodes[far].serve(Request("GET", f"{api.JOBS}/{JOB}", b""))
-            assert (b"cancelled" in look.body) == heard
+            query = await nodes[far].serve(Request("GET", f"{api.JOBS}/{JOB}", b""))
+            assert (b"cancelled" in query.body) == handled
         return statuses
 
     assert curio.run(drive) == [503, 200]
 
 
-def test_a_holder_does_not_answer_from_before_an_end_it_may_have_written(
-    deck: list[Deck],
+def test_an_owner_does_not_answer_from_before_an_end_it_may_have_written(
+    cluster: list[Cluster],
 ) -> None:
-    """The record said done and another controller had told its user so, while the holder, whose
+    """The record said done and another controller had told its user so, while the owner, whose
     write had got no answer, called the job running."""
-    deck.append(Deck(1))
+    cluster.append(Cluster(1))
 
     async def drive() -> None:
-        await play(deck[0], [("submit", 0, 0, 0.5)])
-        holder = deck[0].holder
-        far = (holder + 1) % NODES
-        client = deck[0].clients[holder]
+        await play(cluster[0], [("submit", 0, 0, 0.5)])
+        owner = cluster[0].owner
+        far = (owner + 1) % NODES
+        client = cluster[0].clients[owner]
         apply = client.transact
 
-        async def mute(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
+        async def unanswered(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
             await apply(conditions, changes, urgent)
             raise OutcomeUnknownError("no answer")
 
-        client.transact = mute  # type: ignore[method-assign]
-        await deck[0].finish()
-        deck[0].parted.add(frozenset((holder, far)))
-        await deck[0].act("look", far, 0)
-        assert deck[0].told == api.DONE
-        await deck[0].act("look", holder, 0)
+        client.transact = unanswered  # type: ignore[method-assign]
+        await cluster[0].finish()
+        cluster[0].parted.add(frozenset((owner, far)))
+        await cluster[0].act("query", far, 0)
+        assert cluster[0].answered == api.DONE
+        await cluster[0].act("query", owner, 0)
 
     curio.run(drive)
 
 
-@pytest.mark.parametrize("when", ["read", "heard"])
-def test_a_cancellation_that_comes_while_a_holder_reads_is_not_missed(
-    deck: list[Deck], when: str
+@pytest.mark.parametrize("when", ["read", "handled"])
+def test_a_cancellation_that_comes_while_an_owner_loads_is_not_missed(
+    cluster: list[Cluster], when: str
 ) -> None:
-    """Watches passed over notes while a shard was being read after its takeover, and a note that
-    came while an older one was acted on was dropped with that: the holder went on running jobs
-    whose users had been told that they were cancelled."""
-    deck.append(Deck(1))
+    """Watches passed over entries while a shard was being loaded after its takeover, and an entry
+    that came while an older one was handled was dropped with that: the owner went on running jobs
+    whose users had been answered that they were cancelled."""
+    cluster.append(Cluster(1))
 
     async def drive() -> None:
-        await play(deck[0], [("submit", 0, 0, 0.5)])
-        former = deck[0].holder
-        writer = deck[0].nodes[former].writers[SHARD]
+        await play(cluster[0], [("submit", 0, 0, 0.5)])
+        former = cluster[0].owner
+        writer = cluster[0].nodes[former].writers[SHARD]
         others = [i for i in range(NODES) if i != former]
-        deck[0].parted.update(frozenset((i, former)) for i in others)
-        client = deck[0].clients[former if when == "heard" else others[0]]
-        plain = client.get if when == "heard" else client.read
+        cluster[0].parted.update(frozenset((i, former)) for i in others)
+        client = cluster[0].clients[former if when == "handled" else others[0]]
+        plain = client.get if when == "handled" else client.read
         cancels = [others[-1]]
 
         async def and_then(key: str, urgent: bool = False) -> object:
             found = await plain(key)
             if key.startswith(records.job_key(SHARD, "")) and cancels:
-                await deck[0].act("cancel", cancels.pop(), 0)
+                await cluster[0].act("cancel", cancels.pop(), 0)
             return found
 
-        if when == "heard":
-            note = {records.mailbox_key(SHARD, JOB): 0}
-            assert not deck[0].state.apply(note, [put_change(records.mailbox_key(SHARD, JOB), 1)])
+        if when == "handled":
+            entry = {records.mailbox_key(SHARD, JOB): 0}
+            assert not cluster[0].state.apply(
+                entry, [put_change(records.mailbox_key(SHARD, JOB), 1)]
+            )
             client.get = and_then  # type: ignore[method-assign, assignment]
-            await deck[0].hear(former)
+            await cluster[0].deliver_watch(former)
         else:
             client.read = and_then  # type: ignore[method-assign, assignment]
-            deck[0].deaf.update(others)  # the watch has come by while the shard is read
-            deck[0].clients[former].cut = True
-            await deck[0].tick(TTL_S + 1.0)
-            writer = deck[0].nodes[deck[0].holder].writers[SHARD]
+            cluster[0].watch_paused.update(others)  # the watch has come by while the shard is read
+            cluster[0].clients[former].cut = True
+            await cluster[0].tick(TTL_S + 1.0)
+            writer = cluster[0].nodes[cluster[0].owner].writers[SHARD]
         (job,) = writer.shard.jobs.values()
-        assert job.cancelled or records.mailbox_key(SHARD, JOB) in deck[0].state.keys
+        assert job.cancelled or records.mailbox_key(SHARD, JOB) in cluster[0].state.keys
         assert job.cancelled == (when == "read")
 
     curio.run(drive)
 
 
-def test_a_note_is_acted_on_by_one_task_however_often_it_is_read(deck: list[Deck]) -> None:
-    """A failure had all notes read again, and every reading started a task for each."""
-    deck.append(Deck(1))
+def test_an_entry_is_handled_by_one_task_however_often_it_is_read(cluster: list[Cluster]) -> None:
+    """A failure had all entries read again, and every reading started a task for each."""
+    cluster.append(Cluster(1))
 
     async def drive() -> tuple[int, bool]:
-        await play(deck[0], [("submit", 0, 0, 0.5)])
-        node = deck[0].nodes[deck[0].holder]
+        await play(cluster[0], [("submit", 0, 0, 0.5)])
+        node = cluster[0].nodes[cluster[0].owner]
         writer, key = node.writers[SHARD], records.mailbox_key(SHARD, JOB)
         reads = 0
         plain = writer.reload
@@ -342,8 +357,8 @@
         await writer.lock.acquire()
         tasks = []
         for _ in range(5):
-            deck[0].state.apply({}, [put_change(key, 1)])
-            version = deck[0].state.epoch
+            cluster[0].state.apply({}, [put_change(key, 1)])
+            version = cluster[0].state.epoch
             tasks += [
                 await curio.spawn(node.mailbox.handle_entry, writer, JOB, key, version)
                 for _ in range(9)
@@ -353,7 +368,7 @@
         await writer.lock.release()
         for task in tasks:
             await task.join()
-        return reads, key in deck[0].state.keys or bool(node.mailbox.entries)
+        return reads, key in cluster[0].state.keys or bool(node.mailbox.entries)
 
     assert curio.run(drive) == (1, False)
 
@@ -365,22 +380,22 @@
 @given(
     seed=st.integers(0, 1 << 16),
     parted=st.sets(PAIRS),
-    deaf=st.sets(st.integers(0, NODES - 1)),
+    watch_paused=st.sets(st.integers(0, NODES - 1)),
     steps=st.lists(STEPS, min_size=6, max_size=30),
 )
 def check_answers(
-    current: list[Deck],
+    current: list[Cluster],
     seed: int,
     parted: set[frozenset[int]],
-    deaf: set[int],
+    watch_paused: set[int],
     steps: list[tuple[str, int, int, float]],
 ) -> None:
-    current[:] = [Deck(seed)]
-    current[0].parted, current[0].deaf = parted, deaf
+    current[:] = [Cluster(seed)]
+    current[0].parted, current[0].watch_paused = parted, watch_paused
     curio.run(play, current[0], [("submit", 0, 0, 0.1), *steps])
-    if current[0].known:
-        curio.run(current[0].over)
+    if current[0].accepted:
+        curio.run(current[0].recover)
 
 
-def test_what_was_told_never_goes_back(deck: list[Deck]) -> None:
-    check_answers(deck)
+def test_the_answered_status_never_goes_back(cluster: list[Cluster]) -> None:
+    check_answers(cluster)
