--- a/starlingdeck/jobs/commit_log.py
+++ b/starlingdeck/jobs/commit_log.py
@@ -28,6 +28,13 @@
 SLOTS_FOR_ENDS = 4  # clean slots that starts may not use
 
 
+class LogFullError(LookupError):
+    """No slot of the ring takes a commit of the given size."""
+
+    def __init__(self, shard: int, size: int) -> None:
+        super().__init__(f"the commit log of shard {shard} has no slot for {size} bytes")
+
+
 class ChunkId(NamedTuple):
     """A chunk of a job's record."""
 
@@ -149,7 +156,7 @@
         return not slot.dirty or (fits and slot.size < FULL_SEGMENT_BYTES)
 
     def _choose_slot(self, size: int) -> int:
-        """The slot for a commit of this size; LookupError when none takes it."""
+        """The slot for a commit of this size; LogFullError when none takes it."""
         if self.open_slot is not None and self._open_slot_takes(size):
             return self.open_slot
         clean = min(self._clean_slots(), key=self._last_position, default=None)
@@ -158,7 +165,7 @@
                 self.slots[self.open_slot].commits = []  # it takes no more
             return clean
         if self.open_slot is None or self.slots[self.open_slot].size + size + 1 > self.max_bytes:
-            raise LookupError("no slot of the commit log is free")
+            raise LogFullError(self.shard, size)
         return self.open_slot
 
     def _last_position(self, number: int) -> Position:
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -15,7 +15,7 @@
 from starlingdeck.jobs.commit_log import PreparedCommit
 from starlingdeck.jobs.job import MIN_URGENT_RANK, Job
 from starlingdeck.jobs.job_shard import JobShard
-from starlingdeck.jobs.job_update import JobUpdate
+from starlingdeck.jobs.job_update import JobUpdate, LogUpdate
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import GroupCommitSettings
 from starlingdeck.storage import records
@@ -52,6 +52,13 @@
     conditions: dict[str, int] = {}
     has_more: bool = False  # not all that waits fits
 
+    def add(self, drafted: LogUpdate, encoded: bytes) -> None:
+        """Take up a job's part; `encoded`: its change as the log stores it."""
+        self.updates.append(drafted.update)
+        self.changes.append(drafted.change)
+        self.encoded.append(encoded)
+        self.conditions |= drafted.update.conditions
+
 
 class GroupCommit:
     """The commits of one job shard. Its callers hold the lock that orders the shard's writes.
@@ -136,29 +143,32 @@
             if free_conditions < 1 or free_bytes < MIN_COMMIT_BYTES:
                 batch.has_more = True
                 break
-            try:
-                # One condition is the record's own key.
-                drafted = self.shard.drafter.draft_log_change(
-                    job, starting, max(1, free_conditions - 1), MAX_TASKS_PER_CHANGE
-                )
-            except Exception as error:  # one job's fault must not hold up the others' changes
-                self.context.quarantine_failed("job", job.id, error)
-                continue
+            drafted = self._draft(job, starting, free_conditions)
             if drafted is None:
-                self.shard.dirty_jobs.discard(job.index)
                 continue
-            update, change = drafted
-            encoded = msgspec.json.encode(change)
-            if len(encoded) + 1 > free_bytes or len(update.conditions) > free_conditions:
+            encoded = msgspec.json.encode(drafted.change)
+            size = len(encoded) + 1  # with a separator
+            if size > free_bytes or len(drafted.update.conditions) > free_conditions:
                 batch.has_more = True
                 continue
-            free_bytes -= len(encoded) + 1
-            batch.updates.append(update)
-            batch.changes.append(change)
-            batch.encoded.append(encoded)
-            batch.conditions |= update.conditions
+            free_bytes -= size
+            batch.add(drafted, encoded)
         return batch
 
+    def _draft(self, job: Job, starting: bool, free_conditions: int) -> LogUpdate | None:
+        """A job's part of the next commit, or None when it has nothing to be written."""
+        max_chunks = max(1, free_conditions - 1)  # one condition is the record's own key
+        try:
+            drafted = self.shard.drafter.draft_log_change(
+                job, starting, max_chunks, MAX_TASKS_PER_CHANGE
+            )
+        except Exception as error:  # one job's fault must not hold up the others' changes
+            self.context.quarantine_failed("job", job.id, error)
+            return None
+        if drafted is None:
+            self.shard.dirty_jobs.discard(job.index)
+        return drafted
+
     async def commit(self, batch: Batch) -> bool:
         """Write a batch and apply it; False if the state service says the shard isn't ours."""
         shard_key = records.shard_key(self.shard.shard)
--- a/starlingdeck/jobs/job_update.py
+++ b/starlingdeck/jobs/job_update.py
@@ -1,9 +1,12 @@
-"""One job's part of a transaction."""
+"""One job's part of a transaction or of a commit of the log."""
+
+from typing import NamedTuple
 
 from msgspec import Struct, field
 
 from starlingdeck.jobs.job import Job, TaskPlacement
 from starlingdeck.protocol import api
+from starlingdeck.storage.commit_log import JobChange
 
 
 class JobUpdate(Struct, kw_only=True):
@@ -17,3 +20,10 @@
     terminal_state: str = ""  # the state in which this update finishes the job, if it does
     cancel: bool = False
     chunks: list[int] = field(default_factory=list)  # chunks of the record that are rewritten
+
+
+class LogUpdate(NamedTuple):
+    """One job's part of a commit of the log: what to apply, and what the log stores."""
+
+    update: JobUpdate
+    change: JobChange
--- a/starlingdeck/jobs/update_drafter.py
+++ b/starlingdeck/jobs/update_drafter.py
@@ -9,7 +9,7 @@
 
 from starlingdeck.jobs.job import Job, TaskPlacement
 from starlingdeck.jobs.job_records import densest_chunks, encode_chunk, encode_placement
-from starlingdeck.jobs.job_update import JobUpdate
+from starlingdeck.jobs.job_update import JobUpdate, LogUpdate
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
 from starlingdeck.storage.commit_log import JobChange
@@ -170,7 +170,7 @@
 
     def draft_log_change(
         self, job: Job, with_starts: bool, max_chunks: int, max_tasks: int
-    ) -> tuple[JobUpdate, JobChange] | None:
+    ) -> LogUpdate | None:
         """A job's part of the next commit of the log, or None when nothing is to be written."""
         if job.terminal_state or job.stale:
             return None
@@ -194,7 +194,7 @@
 
     def _log_update(
         self, job: Job, ends: dict[int, int], starts: dict[int, TaskPlacement]
-    ) -> tuple[JobUpdate, JobChange]:
+    ) -> LogUpdate:
         change = JobChange(
             job.id,
             starts=[encode_placement(self.context, task, start) for task, start in starts.items()],
@@ -208,7 +208,7 @@
         update = JobUpdate(
             job=job, conditions=conditions, changes=[], pending_ends=ends, pending_starts=starts
         )
-        return update, change
+        return LogUpdate(update, change)
 
     def _keep_to_value(
         self, job: Job, ends: dict[int, int], starts: dict[int, TaskPlacement]
