--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -123,7 +123,7 @@
         assert not client.state.apply({key: version}, [put_change(key, records.ShardValue(0, 1))])
         self.token = client.state.epoch
         self.shard = JobShard(self.context, SHARD, self.token, 1)
-        self.writer = RecordWriter(self.context, client, self.shard)  # type: ignore[arg-type]
+        self.writer = RecordWriter(self.context, client, self.shard)  # type: ignore[arg-type]  # a test double
         curio.run(self.writer.load)
 
     def accept(self, name: str = JOB, tasks: int = 3, **other: Any) -> Job:
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -131,13 +131,13 @@
         name, client = of_shard(0), deck.clients[0]
         plain = client.transact
 
-        async def slow(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
+        async def slow(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]  # the signature of `transact`
             revision = await plain(conditions, changes, urgent)
             if records.final_key(0, name) in conditions:
                 await curio.sleep(1.5)
             return revision
 
-        client.transact = slow  # type: ignore[method-assign]
+        client.transact = slow  # type: ignore[method-assign]  # a test double
         deck.asked.add(name)
         deck.jobs[name] = job_body(name)
         body = msgspec.json.encode(deck.jobs[name])
--- a/tests/test_status_answers.py
+++ b/tests/test_status_answers.py
@@ -46,7 +46,7 @@
 
     def start(self, number: int) -> Controller:
         node = Controller(make_world(self.clock, node=number))
-        node.state = node.job_api.state = self.clients[number]  # type: ignore[assignment]
+        node.state = node.job_api.state = self.clients[number]  # type: ignore[assignment]  # a test double
         node.membership.lease_id, node.membership.renewed_at = 1, self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
@@ -59,8 +59,8 @@
         def up(to: int) -> bool:
             return frozenset((number, to)) not in self.parted
 
-        node.peers.call = call  # type: ignore[method-assign, assignment]
-        node.peers.is_reachable = up  # type: ignore[method-assign, assignment]
+        node.peers.call = call  # type: ignore[method-assign, assignment]  # a test double
+        node.peers.is_reachable = up  # type: ignore[method-assign, assignment]  # a test double
         return node
 
     async def tick(self, seconds: float) -> None:
@@ -278,11 +278,11 @@
         client = cluster[0].clients[owner]
         apply = client.transact
 
-        async def unanswered(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
+        async def unanswered(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]  # the signature of `transact`
             await apply(conditions, changes, urgent)
             raise OutcomeUnknownError("no answer")
 
-        client.transact = unanswered  # type: ignore[method-assign]
+        client.transact = unanswered  # type: ignore[method-assign]  # a test double
         await cluster[0].finish()
         cluster[0].parted.add(frozenset((owner, far)))
         await cluster[0].act("query", far, 0)
@@ -322,10 +322,10 @@
             assert not cluster[0].state.apply(
                 entry, [put_change(records.mailbox_key(SHARD, JOB), 1)]
             )
-            client.get = and_then  # type: ignore[method-assign, assignment]
+            client.get = and_then  # type: ignore[method-assign, assignment]  # a test double
             await cluster[0].deliver_watch(former)
         else:
-            client.read = and_then  # type: ignore[method-assign, assignment]
+            client.read = and_then  # type: ignore[method-assign, assignment]  # a test double
             cluster[0].watch_paused.update(others)  # the watch has come by while the shard is read
             cluster[0].clients[former].cut = True
             await cluster[0].tick(TTL_S + 1.0)
@@ -353,7 +353,7 @@
             reads += 1
             return await plain(name)
 
-        writer.reload = reload  # type: ignore[method-assign, assignment]
+        writer.reload = reload  # type: ignore[method-assign, assignment]  # a test double
         await writer.lock.acquire()
         tasks = []
         for _ in range(5):
