--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -123,7 +123,7 @@
         assert not client.state.apply({key: version}, [put_change(key, records.ShardValue(0, 1))])
         self.token = client.state.epoch
         self.shard = JobShard(self.context, SHARD, self.token, 1)
-        self.writer = RecordWriter(self.context, client, self.shard)  # type: ignore[arg-type]
+        self.writer = RecordWriter(self.context, client, self.shard)  # type: ignore[arg-type]  # a test double
         curio.run(self.writer.load)
 
     def accept(self, name: str = JOB, tasks: int = 3, **other: Any) -> Job:
@@ -719,9 +719,7 @@
     owner.end(*tasks)
     owner.flush(1)
     assert records.final_key(SHARD, JOB) in owner.client.state.keys
-    assert (
-        part in owner.client.state.keys
-    )  # an older status query still reads it
+    assert part in owner.client.state.keys  # an older status query still reads it
     owner.flush(12)
     assert part not in owner.client.state.keys
     after = take_over(owner, Tuning())
