--- a/starlingdeck/machines/__init__.py
+++ b/starlingdeck/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Machine state: reachability, commands, reservations, and what peers are shown of it."""
+"""Machine shards: reports, reachability, commands, reservations, snapshots; placement scores."""
--- a/starlingdeck/machines/commands.py
+++ b/starlingdeck/machines/commands.py
@@ -112,14 +112,14 @@
         desired = self.desired.find(machine.index, key)
         return desired is not None and not desired.stop and self.desired.is_confirmed(key)
 
-    def on_unanswered(self, machine: Machine, orders: api.Commands, maybe_sent: bool) -> None:
+    def on_unanswered(self, machine: Machine, sent: api.Commands, maybe_sent: bool) -> None:
         """Commands got no answer; if they were sent they may act at any later time."""
         state = self.state
-        starts = any(c.op == api.START for c in orders.commands)
-        if maybe_sent and starts and orders.session == machine.session - machine.prior_sessions:
-            machine.unconfirmed_token = max(machine.unconfirmed_token, orders.token)
+        starts = any(c.op == api.START for c in sent.commands)
+        if maybe_sent and starts and sent.session == machine.session - machine.prior_sessions:
+            machine.unconfirmed_token = max(machine.unconfirmed_token, sent.token)
             state.mark_changed(machine.index)
-            log.info("start unanswered: machine=%s token=%d", machine.name, orders.token)
+            log.info("start unanswered: machine=%s token=%d", machine.name, sent.token)
         machine.unanswered_commands += 1
         if machine.unanswered_commands == MAX_UNANSWERED_COMMANDS and not machine.lost:
             state.mark_unconfirmed(machine)
--- a/starlingdeck/machines/desired_state.py
+++ b/starlingdeck/machines/desired_state.py
@@ -106,19 +106,7 @@
                 state.mark_changed(waiting)
                 if waiting in state.machines:
                     state.machines[waiting].last_reported_tasks = None
-        state.jobs[index] = JobInfo(
-            job.team,
-            job.rank,
-            (job.cpus, job.gpus, job.memory_gb),
-            job.image,
-            job.image_gb,
-            job.checkpoint_s,
-            job.save_s,
-            job.service,
-            job.spot,
-            job.guaranteed,
-            job.estimate_s,
-        )
+        state.jobs[index] = _job_info(job)
         self.faults.learn_job(index, job.failure_evidence)
         return index
 
@@ -171,3 +159,19 @@
     def is_synced(self, key: int) -> bool:
         """Whether the desired state of a task's job shard has been received."""
         return self.state.shard_of_task(key) in self.received_seqs
+
+
+def _job_info(job: pb.Job) -> JobInfo:
+    return JobInfo(
+        team=job.team,
+        rank=job.rank,
+        size=(job.cpus, job.gpus, job.memory_gb),
+        image=job.image,
+        image_gb=job.image_gb,
+        checkpoint_s=job.checkpoint_s,
+        save_s=job.save_s,
+        service=job.service,
+        spot=job.spot,
+        guaranteed=job.guaranteed,
+        estimate_s=job.estimate_s,
+    )
--- a/starlingdeck/machines/machine_shard.py
+++ b/starlingdeck/machines/machine_shard.py
@@ -105,10 +105,10 @@
         return self.reports.is_stale(report)
 
     def apply_report(
-        self, report: api.Report, renews: bool, asked: tuple[int, int] | None = None
+        self, report: api.Report, renews: bool, sent_position: tuple[int, int] | None = None
     ) -> Machine:
         """Take a report, or the answer to a command (`renews` False); see `ReportIntake`."""
-        return self.reports.apply(report, renews, asked)
+        return self.reports.apply(report, renews, sent_position)
 
     def pending_commands(self, machine: Machine, reaps: bool) -> list[api.Command]:
         """The stops and reaps that the newest report calls for."""
@@ -123,10 +123,10 @@
         return self.commands.commands_for(machine, starts)
 
     def on_command_unanswered(
-        self, machine: Machine, orders: api.Commands, maybe_sent: bool
+        self, machine: Machine, commands: api.Commands, maybe_sent: bool
     ) -> None:
         """Commands got no answer; if they were sent they may act at any later time."""
-        self.commands.on_unanswered(machine, orders, maybe_sent)
+        self.commands.on_unanswered(machine, commands, maybe_sent)
 
     def on_command_rejected(self, machine: Machine) -> None:
         """The worker answered 409: nothing was executed."""
--- a/starlingdeck/machines/reachability.py
+++ b/starlingdeck/machines/reachability.py
@@ -60,8 +60,8 @@
         """The newest message's session and number, by the machine's own count."""
         return (self.session - self.prior_sessions, self.seq)
 
-    def classify(self, session: int, seq: int, token: int, report: bool) -> HeartbeatOrder:
-        """The order of a message among those before; `report`: not the answer to a command.
+    def classify(self, session: int, seq: int, token: int, is_report: bool) -> HeartbeatOrder:
+        """The order of a message among those before; `is_report`: not the answer to a command.
 
         Within one incarnation tokens only rise, so a message of an earlier incarnation is
         recognised by its lower token.
@@ -69,17 +69,19 @@
         if (session, seq) > self.position():
             return HeartbeatOrder.NEWER if token >= self.token else HeartbeatOrder.STALE
         # Were every report to renew the lease, late copies would keep a lost machine alive.
-        fresh = report and (session, seq) > self.last_heartbeat
+        fresh = is_report and (session, seq) > self.last_heartbeat
         return HeartbeatOrder.OVERTAKEN if fresh else HeartbeatOrder.STALE
 
-    def is_new_incarnation(self, asked: tuple[int, int] | None, session: int, seq: int) -> bool:
+    def is_new_incarnation(
+        self, sent_position: tuple[int, int] | None, session: int, seq: int
+    ) -> bool:
         """Whether the answer to a command shows a new incarnation of the machine.
 
-        `asked` is the position known when the command was sent. The answer was made later, and
-        within one incarnation numbers only rise. A report with low numbers proves nothing: it
-        may be a late copy.
+        `sent_position` is the position known when the command was sent. The answer was made later,
+        and within one incarnation numbers only rise. A report with low numbers proves nothing:
+        it may be a late copy.
         """
-        return asked is not None and (session, seq) < asked
+        return sent_position is not None and (session, seq) < sent_position
 
     def begin_incarnation(self, session: int) -> int:
         """Switch to a new incarnation; returns its first session, counted over all of them."""
--- a/starlingdeck/machines/report_intake.py
+++ b/starlingdeck/machines/report_intake.py
@@ -46,18 +46,18 @@
         return True
 
     def apply(
-        self, report: api.Report, renews: bool, asked: tuple[int, int] | None = None
+        self, report: api.Report, renews: bool, sent_position: tuple[int, int] | None = None
     ) -> Machine:
         """Take a report that isn't stale (`renews`), or the body of the answer to a command.
 
-        `asked` is the machine's position that was known when the command was sent.
+        `sent_position` is the machine's position that was known when the command was sent.
         """
         state = self.state
         index = state.context.machine_names.intern(report.machine)
         machine = state.machines.get(index)
         if machine is None:
             machine = self._register(index, report)
-        elif machine.is_new_incarnation(asked, report.session, report.seq):
+        elif machine.is_new_incarnation(sent_position, report.session, report.seq):
             return self._take_new_incarnation(machine, report)
         order = machine.classify(report.session, report.seq, report.token, renews)
         if renews and order is not HeartbeatOrder.STALE:
