--- a/starlingdeck/machines/descheduling.py
+++ b/starlingdeck/machines/descheduling.py
@@ -3,13 +3,12 @@
 from starlingdeck.context import fits
 from starlingdeck.interning import split_key
 from starlingdeck.machines import tabu_search
-from starlingdeck.machines.machine import JobInfo, Machine, ObservedTask
+from starlingdeck.machines.machine import SAVE_MARGIN_S, JobInfo, Machine, ObservedTask
 from starlingdeck.machines.shard_state import ShardState
 from starlingdeck.protocol import api
 from starlingdeck.protocol.api import MachineType
 
 ESTIMATE_MARGIN = 1.2  # a job's run time may exceed its estimate by a fifth
-SAVE_MARGIN_S = 1.0  # allowed beyond the time that a job says it needs to save
 LAST_SAVE_MARGIN_S = 2.0  # before a termination, beyond the time to save
 LAST_SAVE_SHARE = 0.1  # of the time left, beyond the time to save
 
--- a/starlingdeck/machines/machine.py
+++ b/starlingdeck/machines/machine.py
@@ -8,6 +8,8 @@
 from starlingdeck.machines.reachability import Reachability
 from starlingdeck.protocol import api
 
+SAVE_MARGIN_S = 1.0  # allowed beyond the time that a job says it needs to save
+
 
 class PreemptionAttributes(Protocol):
     """The attributes of a job that decide who may preempt whom."""
--- a/starlingdeck/machines/preemption.py
+++ b/starlingdeck/machines/preemption.py
@@ -6,15 +6,19 @@
 from starlingdeck.context import fits
 from starlingdeck.interning import split_key
 from starlingdeck.machines.desired_state import DesiredStateTracker
-from starlingdeck.machines.machine import JobInfo, Machine, ObservedTask, may_preempt
+from starlingdeck.machines.machine import (
+    SAVE_MARGIN_S,
+    JobInfo,
+    Machine,
+    ObservedTask,
+    may_preempt,
+)
 from starlingdeck.machines.shard_state import ShardState
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
 log = logging.getLogger(__name__)
 
-SAVE_MARGIN_S = 1.0  # allowed beyond the time that a job says it needs to save
-
 
 class Victim(NamedTuple):
     """A task that may be preempted."""
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -21,16 +21,6 @@
         self.desired = desired
         self.seq = 0
 
-    def never_reported(self) -> Iterable[int]:
-        """Machines that jobs name and that are proven gone without ever reporting here."""
-        state = self.state
-        expired = state.context.now() > state.former_leases_end_at
-        return [
-            m
-            for m in self.desired.machines()
-            if m in state.deleted_machines or (expired and m not in state.machines)
-        ]
-
     def update(self, valid: bool) -> pb.Snapshot:
         """What has changed since the last snapshot.
 
@@ -64,9 +54,19 @@
         message.timestamp_ms = int(context.now() * 1000)
         for shard, (token, seq) in self.desired.applied_seqs.items():
             message.acks.add(shard=shard, token=token, seq=seq)
-        message.lost_machines.extend(context.machine_names[m] for m in self.never_reported())
+        message.lost_machines.extend(context.machine_names[m] for m in self._never_reported())
         return message
 
+    def _never_reported(self) -> Iterable[int]:
+        """Machines that jobs name and that are proven gone without ever reporting here."""
+        state = self.state
+        expired = state.context.now() > state.former_leases_end_at
+        return [
+            m
+            for m in self.desired.machines()
+            if m in state.deleted_machines or (expired and m not in state.machines)
+        ]
+
     def _add_entries(self, message: pb.Snapshot, indices: Iterable[int]) -> None:
         state = self.state
         for index in indices:
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -348,7 +348,7 @@
     workers, crashed and restarted at once: it took its own key over, and expired leases at once."""
     clock = Clock()
     context = make_world(clock)
-    membership = Membership(context, None, None)  # type: ignore[arg-type]
+    membership = Membership(context, None, None)  # type: ignore[arg-type]  # not used here
     taken = ShardValue(0, 7, context.wall_clock_ms() + int(context.outage_renewal_s * 1000))
     off_s = 2 * context.settings.settings.skew_ms / 1000
     for later, left in (
@@ -369,14 +369,14 @@
     names = [f"vm-{i}" for i in range(40)]
     mine = [n for n in names if shard_of_machine(n, "a", ("a",) * 3) == 0]
     node.membership.owners[0] = ShardOwner(0, 7, 7)
-    node.peers.is_reachable = lambda n: n == 0  # type: ignore[method-assign, assignment]
+    node.peers.is_reachable = lambda n: n == 0  # type: ignore[method-assign, assignment]  # fake
     forwarded: list[float] = []
 
     async def call(to: int, ask: pb.Envelope, wait_s: float) -> pb.Envelope:
         forwarded.append(clock.at)
         return pb.Envelope(forward_reply=pb.ForwardReply(status=200, body=b"{}"))
 
-    node.peers.call = call  # type: ignore[method-assign, assignment]
+    node.peers.call = call  # type: ignore[method-assign, assignment]  # fake
 
     def report(name: str) -> bool:
         """Whether it is redirected to its owner."""
