--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -38,7 +38,7 @@
     TransactionConflictError,
 )
 from starlingdeck.storage.state import put_change as put_key
-from starlingdeck.sync.state_sync import StateSync
+from starlingdeck.sync.state_sync import OwnedShards, SnapshotResult, StateSync
 from starlingdeck.transport.client import ConnectionFailedError, HttpClient, NoResponseError
 from starlingdeck.transport.frames import FrameServer
 from starlingdeck.transport.server import HttpServer, Request, Response
@@ -94,14 +94,9 @@
         )
         self.heartbeat_api = HeartbeatApi(context, self.membership, self.peers, self.machines)
         self.candidates = CandidatePool(context, self.membership, self.peers)
+        owned = OwnedShards(self.writers, self.machines)
         self.state_sync = StateSync(
-            context,
-            self.state,
-            self.membership,
-            self.peers,
-            self.writers,
-            self.machines,
-            self.candidates,
+            context, self.state, self.membership, self.peers, owned, self.candidates
         )
         wanted = context.tuning.overload
         self.overload = (
@@ -468,10 +463,10 @@
         if kind == "gossip":
             await self.on_gossip(envelope.sender, envelope.gossip)
         elif kind == "snapshot":
-            judged = self.state_sync.apply_snapshot(envelope.snapshot)
-            if judged is None:
+            result = self.state_sync.apply_snapshot(envelope.snapshot)
+            if result is SnapshotResult.RESYNC_NEEDED:
                 return pb.Envelope(resync_request=pb.ResyncRequest(shard=envelope.snapshot.shard))
-            if judged:
+            if result is SnapshotResult.ATTEMPTS_CHANGED:
                 await self.flush.set()
             await self.wake.set()
         elif kind == "desired_state":
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -217,7 +217,7 @@
             membership.lease,
             membership.ownership,
             node.quota_transfer,
-            node.state_sync,
+            node.state_sync.relay,
         ):
             part.state = client
 
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -581,7 +581,7 @@
         epoch = node.membership.owners[1].epoch
         for age_s in (0.0, 3.0):
             jobs.pending_cancellations = {other.index: deck.clock.at - age_s}
-            echo_s = node.state_sync._watermark_ms(jobs, 1, epoch) / 1000
+            echo_s = node.state_sync.desired_state_sync.watermark_ms(jobs, 1, epoch) / 1000
             assert deck.clock.at - age_s - 1.7 < echo_s <= deck.clock.at - age_s
         del jobs.jobs[other.index]
 
@@ -723,7 +723,10 @@
         await deck.run(3.0)
         node = deck.nodes[0]
         jobs, epoch = node.writers[0].shard, node.membership.owners[1].epoch
-        return [node.state_sync._watermark_ms(jobs, 1, g) > 0 for g in (epoch, epoch + 1)]
+        return [
+            node.state_sync.desired_state_sync.watermark_ms(jobs, 1, g) > 0
+            for g in (epoch, epoch + 1)
+        ]
 
     assert play(monkeypatch, deck, drive()) == [True, False]
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -21,13 +21,13 @@
 from starlingdeck.scheduling.scheduler import guaranteed_jobs
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.sync.message_batch import encode_batch
-from starlingdeck.sync.state_sync import RELAY_AFTER_S, RELAY_INTERVAL_S
+from starlingdeck.sync.relay import RELAY_AFTER_S, RELAY_INTERVAL_S
 from starlingdeck.transport.client import ConnectionFailedError, Reply
 from tests.support.builders import Clock, make_world, spec
 from tests.support.reference_model import PlainClient, PlainState, at_once
 
 MACHINES = 4000
-TASKS = 32  # of a machine
+TASKS = 32  # per machine
 IMAGES = 20
 JOB_TASKS = 100
 WRITE_RPS = 150.0
@@ -38,16 +38,16 @@
     return [f"registry.local/team-{i % 37:02d}/{rng.getrandbits(48):012x}" for i in range(300)]
 
 
-def job_ids(many: int, shard: int) -> list[str]:
-    """So many jobs of one shard."""
+def job_ids(count: int, shard: int) -> list[str]:
+    """The ids of `count` jobs of one shard."""
     names = (f"j-{number:06d}" for number in itertools.count())
-    return list(itertools.islice((n for n in names if shard_of_job(n, 3) == shard), many))
+    return list(itertools.islice((n for n in names if shard_of_job(n, 3) == shard), count))
 
 
-def whole_fleet(
+def full_fleet(
     machines: MachineShard, jobs: JobShard, rng: random.Random, tasks: int = TASKS
 ) -> None:
-    """Every machine runs so many tasks, recorded in the shard of jobs, and has its images."""
+    """Every machine runs `tasks` tasks, recorded in the job shard, and has its images."""
     images, ids = image_names(rng), job_ids(MACHINES * tasks // JOB_TASKS, jobs.shard)
     order = rng.sample(range(MACHINES * tasks), MACHINES * tasks)  # jobs are spread over machines
     for number in range(MACHINES):
@@ -63,13 +63,13 @@
             5,
             tasks=[api.ReportTask(f"{ids[job]}/{task}", 1, "running") for job, task in names],
         )
-        taken = machines.apply_report(report, True)
-        taken.images = dict.fromkeys(rng.sample(images, IMAGES), 0.0)
+        machine = machines.apply_report(report, True)
+        machine.images = dict.fromkeys(rng.sample(images, IMAGES), 0.0)
     fill(machines, jobs, ids)
 
 
 def fill(machines: MachineShard, jobs: JobShard, ids: list[str]) -> None:
-    """The records of all tasks that the machines run."""
+    """Record all tasks that the machines run."""
     context = machines.context
     for job in ids:
         jobs.adopt(new_job(context, spec(job, chores=JOB_TASKS), jobs.shard, 0))
@@ -81,8 +81,8 @@
 
 
 class BudgetClient(PlainClient):
-    """A state service of which changes are taken at a controller's share of its rate. A
-    controller's step follows each transaction, and what it begins is written beside."""
+    """A state service that executes changes at a controller's share of its rate. The controller
+    runs a step during each transaction; the texts it starts are written concurrently."""
 
     def __init__(self, node: Controller, clock: Clock, rate: float) -> None:
         super().__init__(PlainState(random.Random(1)), 0.0)
@@ -113,7 +113,7 @@
 
 
 def cut_off(clock: Clock, peers: list[int]) -> Controller:
-    """A controller that holds its lease and can't reach some peers, which live."""
+    """A controller with a valid lease that can't reach some live peers."""
     context = make_world(clock)
     node = Controller(context)
     node.membership.lease_is_valid = lambda: True  # type: ignore[method-assign]
@@ -124,11 +124,11 @@
     return node
 
 
-def play_detour(node: Controller, clock: Clock, seconds: float, rate: float) -> BudgetClient:
-    """Texts are begun for so long; only what is written by then counts."""
+def play_relay(node: Controller, clock: Clock, seconds: float, rate: float) -> BudgetClient:
+    """Start texts for `seconds`; only what is written by then counts."""
     client = BudgetClient(node, clock, rate)
     client.until = clock.at + seconds
-    node.state_sync.state = client  # type: ignore[assignment]
+    node.state_sync.relay.state = client  # type: ignore[assignment]
 
     async def write() -> None:
         await client.step()
@@ -139,105 +139,110 @@
     return client
 
 
-def seconds_of(node: Controller, envelope: pb.Envelope, rate: float) -> float:
-    """How long it takes to write a message's text at so many changes a second."""
+def write_seconds(node: Controller, envelope: pb.Envelope, rate: float) -> float:
+    """How long it takes to write a message's text at `rate` changes a second."""
     part = node.context.settings.settings.state.value_kb * 1000 - 200
     return len(encode_batch([envelope])) / part / rate
 
 
-def delivered(client: BudgetClient, to: int) -> list[pb.Envelope]:
-    """What a peer takes of it."""
-    got: list[pb.Envelope] = []
+def received_messages(client: BudgetClient, to: int) -> list[pb.Envelope]:
+    """The messages that a peer receives of what was written."""
+    received: list[pb.Envelope] = []
     receiver = Controller(make_world(Clock(), node=to))
 
-    async def take(envelope: pb.Envelope) -> None:
-        got.append(envelope)
+    async def receive(envelope: pb.Envelope) -> None:
+        received.append(envelope)
 
     for change in client.sent:
         value = msgspec.Raw(msgspec.json.encode(change.value))
-        at_once(receiver.state_sync.receive_relay(change.put or "", value, take))
-    return got
+        at_once(receiver.state_sync.receive_relay(change.put or "", value, receive))
+    return received
 
 
-def test_a_whole_view_of_the_fleet_gets_through_by_the_detour() -> None:
-    """A newer text was begun every 2 s and gave up the one being written: of one that took longer
-    none ever arrived. Half of the share goes to starts and ends."""
+def test_a_full_snapshot_of_the_fleet_is_relayed() -> None:
+    """A newer text was started every 2 s and replaced the one being written: one that took longer
+    never arrived. Half of the share of the rate is used by starts and ends."""
     clock = Clock()
     node = cut_off(clock, [2])
     machines = MachineShard(node.context, 1, 5, 77, 0.0)
-    whole_fleet(machines, JobShard(node.context, 0, 3, 9), random.Random(1))
+    full_fleet(machines, JobShard(node.context, 0, 3, 9), random.Random(1))
     node.machines[1] = machines
     assert (
-        seconds_of(node, pb.Envelope(snapshot=machines.full_snapshot(True)), SHARE / 2)
+        write_seconds(node, pb.Envelope(snapshot=machines.full_snapshot(True)), SHARE / 2)
         > RELAY_INTERVAL_S
     )
-    client = play_detour(node, clock, 3 * RELAY_INTERVAL_S, SHARE / 2)
-    views = [e.snapshot for e in delivered(client, 2) if e.WhichOneof("body") == "snapshot"]
-    assert views and len(views[0].machines) == MACHINES
-    assert len(views[0].machines[0].tasks) == TASKS
+    client = play_relay(node, clock, 3 * RELAY_INTERVAL_S, SHARE / 2)
+    snapshots = [
+        e.snapshot for e in received_messages(client, 2) if e.WhichOneof("body") == "snapshot"
+    ]
+    assert snapshots and len(snapshots[0].machines) == MACHINES
+    assert len(snapshots[0].machines[0].tasks) == TASKS
 
 
-def test_a_whole_list_for_the_fleet_gets_through_by_the_detour() -> None:
-    """One controller holds all jobs, the other all machines: too long for 2 s of a whole share."""
+def test_the_full_desired_state_of_the_fleet_is_relayed() -> None:
+    """One controller owns all jobs, the other all machines: too long for 2 s of a whole share."""
     clock = Clock()
     node = cut_off(clock, [2])
     machines = MachineShard(node.context, 1, 5, 77, 0.0)
     jobs = JobShard(node.context, 0, 3, 9)
-    whole_fleet(machines, jobs, random.Random(1))
+    full_fleet(machines, jobs, random.Random(1))
     assert (
-        seconds_of(node, pb.Envelope(desired_state=jobs.desired_state_message(1, 77)), SHARE)
+        write_seconds(node, pb.Envelope(desired_state=jobs.desired_state_message(1, 77)), SHARE)
         > RELAY_INTERVAL_S
     )
     jobs.loaded = True
     node.membership.owners[1] = ShardOwner(2, 5, 77)
     node.writers[0] = RecordWriter(node.context, node.state, jobs, None)
-    client = play_detour(node, clock, 3 * RELAY_INTERVAL_S, SHARE)
-    wants = [
-        e.desired_state for e in delivered(client, 2) if e.WhichOneof("body") == "desired_state"
+    client = play_relay(node, clock, 3 * RELAY_INTERVAL_S, SHARE)
+    desired_state = [
+        e.desired_state
+        for e in received_messages(client, 2)
+        if e.WhichOneof("body") == "desired_state"
     ]
-    assert MACHINES * TASKS in [len(w.tasks) for w in wants]
+    assert MACHINES * TASKS in [len(w.tasks) for w in desired_state]
 
 
-def test_texts_to_two_peers_do_not_end_each_other() -> None:
-    """Their numbers were counted together: each peer's text passed for newer than the other's."""
+def test_relayed_texts_to_two_peers_are_independent() -> None:
+    """They shared a count of numbers: each peer's text was taken for newer than the other's."""
     clock = Clock()
     node = cut_off(clock, [1, 2])
     noise = random.Random(5).randbytes(200_000).hex()[:120_000]
     node.machines[0] = machines = MachineShard(node.context, 0, 5, 77, 0.0)
     machines.full_snapshot = lambda valid: pb.Snapshot(shard=0, lost_machines=[noise])  # type: ignore[method-assign]
-    client = play_detour(node, clock, RELAY_INTERVAL_S, SHARE)
+    client = play_relay(node, clock, RELAY_INTERVAL_S, SHARE)
     for peer in (1, 2):
-        assert [e.snapshot.lost_machines[0] for e in delivered(client, peer)[1:]] == [noise]
+        assert [e.snapshot.lost_machines[0] for e in received_messages(client, peer)[1:]] == [noise]
 
 
-def test_after_a_failed_text_the_next_begins() -> None:
+def test_a_new_text_is_relayed_after_a_failed_one() -> None:
     clock = Clock()
     node = cut_off(clock, [2])
     node.machines[0] = MachineShard(node.context, 0, 5, 77, 0.0)
     client = PlainClient(PlainState(random.Random(1)), 0.0)
     client.cut = True
-    node.state_sync.state = client  # type: ignore[assignment]
+    node.state_sync.relay.state = client  # type: ignore[assignment]
     for _ in range(3):
         ((to, text),) = node.state_sync.relay_messages(clock.at, pb.Gossip)
         clock.at += RELAY_INTERVAL_S
-        assert not node.state_sync.relay_messages(clock.at, pb.Gossip)  # it is being written
+        # The last one is still being written.
+        assert not node.state_sync.relay_messages(clock.at, pb.Gossip)
         curio.run(node.state_sync.write_relay, to, text)
 
 
-def test_what_a_controller_tells_of_the_whole_fleet() -> None:
+def test_message_sizes_of_the_whole_fleet() -> None:
     """The sizes in docs/operations.md, "Reach of each fixed limit"."""
     context = make_world(Clock())
     machines = MachineShard(context, 1, 5, 77, 0.0)
     jobs = JobShard(context, 0, 3, 9)
-    whole_fleet(machines, jobs, random.Random(1))
-    view = pb.Envelope(snapshot=machines.full_snapshot(True))
-    wants = pb.Envelope(desired_state=jobs.desired_state_message(1, 77))
+    full_fleet(machines, jobs, random.Random(1))
+    snapshot = pb.Envelope(snapshot=machines.full_snapshot(True))
+    desired_state = pb.Envelope(desired_state=jobs.desired_state_message(1, 77))
     gossip = pb.Envelope(
         gossip=pb.Gossip(deleted_machines=[machine.name for machine in machines.machines.values()])
     )
-    assert len(wants.desired_state.tasks) == MACHINES * TASKS
-    sizes = [len(e.SerializeToString()) for e in (view, wants, gossip)]
-    texts = [len(encode_batch([e])) for e in (view, wants, gossip)]
+    assert len(desired_state.desired_state.tasks) == MACHINES * TASKS
+    sizes = [len(e.SerializeToString()) for e in (snapshot, desired_state, gossip)]
+    texts = [len(encode_batch([e])) for e in (snapshot, desired_state, gossip)]
     for size, limit in zip(sizes, (5_700_000, 3_800_000, 53_000), strict=True):
         assert 0.9 * limit < size <= limit
     for size, limit in zip(texts, (1_400_000, 2_450_000, 31_000), strict=True):
@@ -245,11 +250,11 @@
 
 
 class Workers:
-    """What answers calls at the workers' addresses, over no more connections than are allowed."""
+    """Replies to calls of the workers' addresses, with a limit on open connections."""
 
     def __init__(self, machines: MachineShard, limit: int) -> None:
         self.machines = machines
-        self.most = limit
+        self.limit = limit
         self.open = self.peak = 0
         self.called: set[str] = set()
         self.index = {machine.address: i for i, machine in machines.machines.items()}
@@ -257,7 +262,7 @@
     async def call(
         self, address: str, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> Reply:
-        if self.open >= self.most:
+        if self.open >= self.limit:
             raise ConnectionFailedError("too many open connections")
         self.open += 1
         self.peak = max(self.peak, self.open)
@@ -272,28 +277,27 @@
 
 
 def fleet_to_call(stopping: bool) -> tuple[Controller, MachineShard, Workers]:
-    """A controller that holds all machines, of which each runs a task; all are to stop, or none."""
+    """A controller that owns all machines, each running a task; all tasks are to stop, or none."""
     node = Controller(make_world(Clock()))
     machines = MachineShard(node.context, 1, 5, 77, 0.0)
     jobs = JobShard(node.context, 0, 3, 9)
-    whole_fleet(machines, jobs, random.Random(1), 1)
+    full_fleet(machines, jobs, random.Random(1), 1)
     message = jobs.desired_state_message(1, 77)
     for item in message.tasks:
         item.stop = stopping
     machines.apply_desired_state(message)
     for machine in machines.machines.values():
-        machine.unconfirmed_since = (
-            None  # it hears us: it is called whenever there is something to do
-        )
+        # Reachable: it is called whenever there is a command for it.
+        machine.unconfirmed_since = None
     node.machines[1] = machines
     workers = Workers(machines, node.http.max_open)
     node.http.call = workers.call  # type: ignore[method-assign]
     return node, machines, workers
 
 
-def test_a_command_to_every_machine_at_once_waits_for_connections() -> None:
-    """What found no connection passed for unanswered: after two of them a machine was doubted and
-    got its starts by reports only."""
+def test_commands_to_every_machine_wait_for_connections() -> None:
+    """A call without a free connection was taken for unanswered: after two of them a machine was
+    taken for unreachable and received its starts with its reports only."""
     node, machines, workers = fleet_to_call(stopping=True)
 
     async def call_all() -> None:
@@ -306,10 +310,10 @@
     curio.run(call_all)
     assert len(workers.called) == MACHINES
     assert not any(machine.unanswered_commands for machine in machines.machines.values())
-    assert workers.peak <= workers.most - RESERVED_CONNECTIONS
+    assert workers.peak <= workers.limit - RESERVED_CONNECTIONS
 
 
-def test_a_token_is_shown_to_every_machine_of_a_shard_taken_over() -> None:
+def test_a_new_token_is_sent_to_every_machine_of_an_acquired_shard() -> None:
     """All were called at once: those beyond the connections allowed were not called at all."""
     node, machines, workers = fleet_to_call(stopping=False)
     snapshots: dict[int, ShardSnapshot] = {}
@@ -327,21 +331,21 @@
 
 
 def test_a_backlog_of_thousands_of_jobs_hides_no_guaranteed_work() -> None:
-    """The 500 oldest jobs were told, whatever their teams: behind a backlog of a team without a
-    guarantee, another's work passed for beyond its own."""
+    """Gossip had the 500 oldest jobs of any team: behind a backlog of a team without a guarantee,
+    another team's guaranteed work was taken for work beyond its guarantee."""
     node = Controller(make_world(Clock()))
     jobs = JobShard(node.context, 0, 3, 9)
     for number in range(MACHINES):
         crew = "blue" if number == MACHINES - 1 else "red"
         jobs.adopt(new_job(node.context, spec(f"j-{number:06d}", crew=crew), 0, number))
     node.writers[0] = RecordWriter(node.context, node.state, jobs, None)
-    told = node.planner.own_team_jobs()
-    assert [job.id for job in told] == [f"j-{MACHINES - 1:06d}"]
-    assert guaranteed_jobs(node.context, told) == {told[0].id}
+    published = node.planner.own_team_jobs()
+    assert [job.id for job in published] == [f"j-{MACHINES - 1:06d}"]
+    assert guaranteed_jobs(node.context, published) == {published[0].id}
 
 
-def test_a_fault_of_every_machine_sets_each_aside() -> None:
-    """Past 1,000 the oldest was forgotten: each was tried and logged anew at every step."""
+def test_every_failing_machine_of_the_fleet_is_quarantined() -> None:
+    """Beyond 1,000 the oldest entry was dropped: each was retried and logged at every step."""
     quarantine = Quarantine()
     for _ in range(2):
         for number in range(MACHINES):
@@ -349,22 +353,22 @@
     assert all(quarantine.is_quarantined("machine", f"vm-{n}", 1.0) for n in range(MACHINES))
 
 
-def test_deleted_machines_are_told_for_a_while_only() -> None:
-    """A controller that had forgotten one heard of it once more from another that had not: while
-    machines were deleted, all that ever were stayed in each greeting."""
+def test_deleted_machines_are_in_gossip_for_a_limited_time() -> None:
+    """A controller that had forgotten a machine learned of it again from one that had not: while
+    machines were being deleted, all that ever were stayed in all gossip."""
     clock = Clock()
     nodes = [Controller(make_world(clock, node=number)) for number in range(3)]
-    told = []
+    published = []
     for second in range(MACHINES // 10):
         if second < MACHINES // 20:
             nodes[0].record_deleted([f"vm-{second}-{i}" for i in range(20)])
-        for sender in (1, 2, 0):  # who deletes tells it after the others have told theirs
+        for sender in (1, 2, 0):  # the deleting one sends its gossip last
             clock.at += 0.3
             gossip = nodes[sender].build_gossip()
-            told.append(len(gossip.deleted_machines))
+            published.append(len(gossip.deleted_machines))
             for other in nodes:
                 curio.run(other.on_gossip, sender, gossip)
         clock.at += 0.1
-    assert max(told) <= 20 * (DELETED_ANNOUNCE_S + 2)
-    assert told[-3:] == [0, 0, 0]  # the last one was deleted 200 s ago
+    assert max(published) <= 20 * (DELETED_ANNOUNCE_S + 2)
+    assert published[-3:] == [0, 0, 0]  # the last one was deleted 200 s ago
     assert f"vm-{MACHINES // 20 - 1}-0" in nodes[2].deleted_machines
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -1,4 +1,4 @@
-"""Views and lists as differences, and the detour."""
+"""Snapshots and desired state as differences, and the relay."""
 
 import random
 from collections.abc import Callable
@@ -21,6 +21,7 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.sync.message_batch import encode_batch
+from starlingdeck.sync.state_sync import SnapshotResult
 from starlingdeck.transport import frames
 from starlingdeck.transport.frames import FrameLink, FrameServer, dial
 from tests.support.builders import Clock, make_world, spec
@@ -32,7 +33,7 @@
     return api.Report(name, "127.0.0.1:1", "small", "b", 1, seq, token)
 
 
-def test_a_view_that_does_not_follow_is_asked_for_whole() -> None:
+def test_a_snapshot_after_a_missed_one_needs_a_resync() -> None:
     clock = Clock()
     context = make_world(clock)
     machines = MachineShard(context, 1, 5, 77, 0.0)
@@ -50,14 +51,15 @@
     assert apply_snapshot_message(context, snapshots, late) is None
     assert apply_snapshot_message(context, snapshots, machines.full_snapshot(True)) is not None
     assert set(snapshots[1].machines) == {context.machine_names.intern("vm-2")}
-    assert (
-        apply_snapshot_message(context, snapshots, late) == set()
-    )  # older than what is known: says nothing
+    # Older than what is known: ignored.
+    assert apply_snapshot_message(context, snapshots, late) == set()
 
 
-def listed_on_a_shown_machine() -> tuple[MachineShard, JobShard, Job, dict[int, ShardSnapshot]]:
-    """A job whose task is recorded on vm-1 and named to its owner, which has shown the machine
-    before and not yet looked at the list."""
+def assigned_to_a_published_machine() -> tuple[
+    MachineShard, JobShard, Job, dict[int, ShardSnapshot]
+]:
+    """A job whose task is recorded on vm-1, in desired state that the machine's owner has received
+    but not yet reconciled; the owner has published the machine before."""
     context = make_world(Clock())
     machines = MachineShard(context, 1, 5, 77, 0.0)
     jobs = JobShard(context, shard_of_job("j-000001", 3), 3, 9)
@@ -76,10 +78,10 @@
     return machines, jobs, job, snapshots
 
 
-def test_a_list_is_not_called_applied_before_it_was_reconciled() -> None:
-    """A view sent in between showed the list as taken and the task as absent, which
+def test_desired_state_is_not_acknowledged_before_it_is_reconciled() -> None:
+    """A snapshot sent in between acknowledged the desired state and lacked the task, which
     would have freed a task that was about to start."""
-    machines, jobs, job, snapshots = listed_on_a_shown_machine()
+    machines, jobs, job, snapshots = assigned_to_a_published_machine()
     context = machines.context
     for message in (machines.snapshot_update(True), machines.full_snapshot(True)):
         touched = apply_snapshot_message(context, snapshots, message)
@@ -93,11 +95,11 @@
 
 
 @pytest.mark.parametrize("every", [False, True])
-def test_a_machine_that_changed_since_its_list_was_reconciled_is_shown(every: bool) -> None:
-    """While a step waited for a raised token, a report made the machine due again: the view
-    said that the list was applied and left the machine out. Its last showing, fenced and
-    without the task, passed for a refusal: the task had started, and ran twice."""
-    machines, jobs, job, snapshots = listed_on_a_shown_machine()
+def test_a_machine_changed_since_it_was_reconciled_is_published(every: bool) -> None:
+    """While reconciling waited for a raised token, a report made the machine due again: the
+    snapshot acknowledged the desired state and left the machine out. Its last published state,
+    fenced and without the task, was taken for a rejection: the task had started, and ran twice."""
+    machines, jobs, job, snapshots = assigned_to_a_published_machine()
     context = machines.context
     (machine,) = machines.reconcile()
     assert [c.op for c in machines.commands_for(machine, True).commands] == [api.START]
@@ -112,7 +114,7 @@
     assert snapshots[1].task(machine.index, "j-000001", 0, 1) is not None
 
 
-def test_lists_carry_only_what_changed_and_start_anew_for_a_new_hold() -> None:
+def test_desired_state_is_incremental_and_full_for_a_new_epoch() -> None:
     context = make_world(Clock())
     machines = MachineShard(context, 1, 5, 77, 0.0)
     jobs = JobShard(context, 0, 3, 9)
@@ -137,40 +139,40 @@
     )
 
 
-def test_the_detour_works_at_full_size() -> None:
-    """It was dropped when it passed a value's limit: a cut zone lost it when it was needed."""
+def test_a_relayed_text_of_many_parts_arrives() -> None:
+    """A text beyond a value's limit was dropped: a partitioned zone lost the relay it needed."""
     state = PlainState(random.Random(3))
     ours, theirs = Controller(make_world(Clock())), Controller(make_world(Clock(), node=1))
-    noise = random.Random(5).randbytes(40_000)
+    payload = random.Random(5).randbytes(40_000)
     text = encode_batch(
-        [pb.Envelope(sender=0, forward_request=pb.ForwardRequest(method="x", body=noise))]
+        [pb.Envelope(sender=0, forward_request=pb.ForwardRequest(method="x", body=payload))]
     )
-    ours.state_sync.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+    ours.state_sync.relay.state = PlainClient(state, 0.0)  # type: ignore[assignment]
     curio.run(ours.state_sync.write_relay, 1, text)
     parts = {k: v for k, (v, _) in state.keys.items() if k.startswith(records.RELAY)}
     limit = ours.context.settings.settings.state.value_kb * 1000
     assert len(parts) > 1 and all(len(value) <= limit for value in parts.values())
-    got: list[pb.Envelope] = []
+    received: list[pb.Envelope] = []
 
-    async def take(envelope: pb.Envelope) -> None:
-        got.append(envelope)
+    async def receive(envelope: pb.Envelope) -> None:
+        received.append(envelope)
 
-    told = [
-        at_once(theirs.state_sync.receive_relay(key, msgspec.Raw(value), take))
+    completed = [
+        at_once(theirs.state_sync.receive_relay(key, msgspec.Raw(value), receive))
         for key, value in sorted(parts.items(), reverse=True)
     ]
-    assert told == [False] * (len(parts) - 1) + [True]
-    assert [e.forward_request.body for e in got] == [noise]
+    assert completed == [False] * (len(parts) - 1) + [True]
+    assert [e.forward_request.body for e in received] == [payload]
 
 
-def test_a_detours_texts_do_not_mix() -> None:
-    """One that waited to be written went on under the number of a newer one: its receiver put
-    pieces of both together."""
+def test_parts_of_two_relayed_texts_do_not_mix() -> None:
+    """A text that waited to be written continued under a newer one's number: the receiver put
+    parts of both together."""
     ours, theirs = Controller(make_world(Clock())), Controller(make_world(Clock(), node=1))
-    noise = [random.Random(i).randbytes(90_000) for i in range(2)]
+    payloads = [random.Random(i).randbytes(90_000) for i in range(2)]
     texts = [
         encode_batch([pb.Envelope(sender=0, forward_request=pb.ForwardRequest(body=n))])
-        for n in noise
+        for n in payloads
     ]
     arrived: list[list[api.Change]] = []
     waits = [0.02, 0.0, 0.0, 0.0, 0.0, 0.0]  # the first one's first pieces, then the second's
@@ -183,13 +185,13 @@
             arrived.append(changes)
             return 1
 
-    got: list[bytes] = []
+    received: list[bytes] = []
 
-    async def take(envelope: pb.Envelope) -> None:
-        got.append(envelope.forward_request.body)
+    async def receive(envelope: pb.Envelope) -> None:
+        received.append(envelope.forward_request.body)
 
     async def write() -> None:
-        ours.state_sync.state = Slow(PlainState(random.Random(1)), 0.0)  # type: ignore[assignment]
+        ours.state_sync.relay.state = Slow(PlainState(random.Random(1)), 0.0)  # type: ignore[assignment]
         first = await curio.spawn(ours.state_sync.write_relay, 1, texts[0])
         await curio.sleep(0)
         second = await curio.spawn(ours.state_sync.write_relay, 1, texts[1])
@@ -201,16 +203,16 @@
     for changes in arrived:
         for change in changes:
             value = msgspec.Raw(msgspec.json.encode(change.value))
-            at_once(theirs.state_sync.receive_relay(change.put or "", value, take))
-    assert set(got) <= set(noise)
+            at_once(theirs.state_sync.receive_relay(change.put or "", value, receive))
+    assert set(received) <= set(payloads)
     for change in [c for changes in arrived for c in changes if c.value.text == 2]:
         value = msgspec.Raw(msgspec.json.encode(change.value))
-        at_once(theirs.state_sync.receive_relay(change.put or "", value, take))
-    assert noise[1] in got
+        at_once(theirs.state_sync.receive_relay(change.put or "", value, receive))
+    assert payloads[1] in received
 
 
-def test_a_peer_that_takes_nothing_loses_its_link() -> None:
-    """Sending waited for it, and with it everything else this controller does."""
+def test_a_link_whose_peer_receives_nothing_is_closed() -> None:
+    """Sending waited for the peer, and with it everything else that the controller does."""
 
     async def fill() -> frames.FrameLink:
         link = frames.FrameLink(None)
@@ -248,8 +250,8 @@
             await curio.sleep(0.02)
 
 
-def test_a_whole_view_of_4000_full_machines_is_followed_over_a_link() -> None:
-    """It was larger than a link's backlog: the link was dropped and asked for again, for ever."""
+def test_a_full_snapshot_of_4000_full_machines_passes_over_a_link() -> None:
+    """It was larger than a link's backlog: the link was closed and dialled again, for ever."""
     clock = Clock()
     ours, theirs = Controller(make_world(clock, node=1)), Controller(make_world(clock))
     shard = full_shard(ours, 4_000)
@@ -272,7 +274,7 @@
         clock.at += 1.0
         shard.apply_report(report("vm-new"), True)
         shard.reconcile()
-        await ours.state_sync.publish_snapshots(True, clock.at)  # a difference, which follows
+        await ours.state_sync.publish_snapshots(True, clock.at)  # a difference to the one before
         await until(lambda: "vm-new" in names())
         await drain.cancel()
         await serving.cancel()
@@ -282,7 +284,7 @@
     assert len(names()) == 4_001
     first = theirs.state_sync.snapshots[1].machines[theirs.context.machine_names.intern("vm-00000")]
     assert len(first.tasks) == FULL_TASKS and len(first.images) == FULL_IMAGES
-    # Of the largest fleet: with half as many machines again it is still one frame.
+    # Also for the largest fleet, half as many machines again, it is one frame.
     size = len(pb.Envelope(snapshot=shard.full_snapshot(True)).SerializeToString())
     assert size * frames.MOST_MACHINES // 4_001 <= frames.MAX_FRAME
 
@@ -339,7 +341,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("pppelcw"), st.integers(0, 7)), max_size=30))
-def test_lists_add_up_to_what_the_jobs_record(steps: list[tuple[str, int]]) -> None:
+def test_desired_state_matches_the_recorded_placements(steps: list[tuple[str, int]]) -> None:
     context = make_world(Clock())
     jobs = JobShard(context, 0, 3, 9)
     machines = MachineShard(context, 1, 5, 77, 0.0)
@@ -380,8 +382,8 @@
         assert listed == there
 
 
-def test_machines_that_only_a_former_holder_saw_are_forgotten() -> None:
-    """They stayed in the table of rooms as it is kept now: drawn in vain, and never returned."""
+def test_machines_known_only_to_a_former_owner_are_forgotten() -> None:
+    """They stayed in the candidate pool: chosen in vain, and never removed."""
     clock = Clock()
     node = Controller(make_world(clock))
     for epoch, names in ((77, ("vm-1", "vm-2")), (78, ()), (78, ("vm-2",))):
@@ -391,7 +393,8 @@
             machines.apply_report(report(name), True)
         machines.reconcile()
         machines.snapshot_update(True)
-        assert node.state_sync.apply_snapshot(machines.full_snapshot(True)) is False
+        applied = node.state_sync.apply_snapshot(machines.full_snapshot(True))
+        assert applied is SnapshotResult.UNCHANGED
         assert {
             node.context.machine_names[candidate.index]
             for candidate in node.candidates.candidates()
