--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 
 LINE = re.compile(r"\s*([\d.]+) (\S+) [A-Z] \S+: (.*)")
-RAN = re.compile(r"ran (\S+): (\d+) times, ([\d.]+) s, longest ([\d.]+) s")
-ANSWER = re.compile(r"answer (\w+): (\d+), p50/p90/p99 [\d.]+/[\d.]+/([\d.]+) ms")
+RAN = re.compile(r"task run time: task=(\S+) runs=(\d+) total_s=([\d.]+) max_s=([\d.]+)")
+ANSWER = re.compile(r"latency: operation=answer_(\w+) count=(\d+) .*p99_ms=([\d.]+)")
 FIRST = re.compile(r"machine (\S+): first report")
 TAKEN = re.compile(r"shard acquired: shard=(\d+)\b")
 READ = re.compile(r"shard (\d+): (\d+) unfinished jobs read")
--- a/starlingdeck/context.py
+++ b/starlingdeck/context.py
@@ -1,4 +1,4 @@
-"""What every part of a controller knows: settings, names, machine types, clocks."""
+"""The context that all parts of a controller share: settings, names, machine types, clocks."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -12,15 +12,25 @@
 from starlingdeck.protocol.config import Settings, Tuning
 from starlingdeck.quarantine import Quarantine
 
-Resources = tuple[float, float, float]
+Resources = tuple[float, float, float]  # processors, GPUs, memory in GB
 UNBOUNDED = 1_000_000  # tasks: more than any job has
-WATERMARK_MARGIN_S = (
-    2.0  # between the end of the last lease that a word allows and a cancellation's
-)
-CLOCK_DRIFT = 1.002  # steady clocks of two machines differ by 0.05% each; with room to spare
+CLOCK_DRIFT = 1.002  # ratio of two steady clocks, which drift by at most 0.05% each, with a margin
+# From the end of the last lease renewed under a watermark to when a task not in it must be gone.
+WATERMARK_MARGIN_S = 2.0
+# From the end of the last lease renewed in an outage to when a cancelled task must be gone: the
+# larger of a time and a share of `cancel_s`.
+MIN_OUTAGE_MARGIN_S = 4.0
+OUTAGE_MARGIN_SHARE = 0.15
+LEASE_EXPIRY_MARGIN_S = 0.3
+FIT_TOLERANCE = 1e-9  # sums of decimal amounts have rounding errors
 
 
 class ControllerContext(Struct):
+    """What every part of one controller reads, and the registries that all of them add to.
+
+    `now` is the steady clock in seconds. `rng` is the only source of random decisions.
+    """
+
     settings: Settings
     tuning: Tuning
     now: Callable[[], float]
@@ -50,12 +60,15 @@
             self.team_names.intern(team.name)
 
     def quarantine_failed(self, kind: str, name: str, error: BaseException) -> None:
+        """Quarantine something whose processing failed."""
         self.quarantine.add(kind, name, error, self.now())
 
     def is_quarantined(self, kind: str, name: str) -> bool:
+        """Whether something must not be processed yet after a failure."""
         return self.quarantine.is_quarantined(kind, name, self.now())
 
     def update_machine_types(self, types: list[MachineType]) -> None:
+        """Add or replace machine types; an invalid one is quarantined."""
         for kind in types:
             if not is_valid_machine_type(kind):
                 self.quarantine_failed("machine type", kind.name, ValueError(str(kind)))
@@ -63,50 +76,63 @@
             self.machine_types[self.type_names.intern(kind.name)] = kind
 
     def node_name(self, node: int) -> str:
+        """The host name of a controller."""
         return self.settings.members()[node][0]
 
     @property
     def outage_renewal_s(self) -> float:
-        """How long a holder cut off from the state service goes on renewing worker leases.
+        """How long an owner goes on renewing workers' leases without the state service, in seconds.
 
-        The bound plus the lease must end before a cancellation is due, because the
-        cancelling node may be unable to tell this one.
+        This time and a lease must be over before a cancelled task must be gone, because the
+        cancelling controller may be unable to reach this one.
         """
-        w = self.settings.settings.workers
-        return max(0.0, w.cancel_s - w.lease_s * CLOCK_DRIFT - max(4.0, 0.15 * w.cancel_s))
+        workers = self.settings.settings.workers
+        margin_s = max(MIN_OUTAGE_MARGIN_S, OUTAGE_MARGIN_SHARE * workers.cancel_s)
+        return max(0.0, workers.cancel_s - workers.lease_s * CLOCK_DRIFT - margin_s)
 
     @property
     def watermark_lifetime_s(self) -> float:
-        """How long a task's lease is renewed on the last word of its job's holder.
+        """How long a task's lease is renewed under one cancellation watermark, in seconds.
 
-        A cancellation that its user was told of after that word is not in it: this and a lease
-        must be over before the task is due to be gone.
+        A cancellation acknowledged after the watermark may be unknown here: this time and a lease
+        must be over before the cancelled task must be gone.
         """
-        w = self.settings.settings.workers
-        return max(0.0, w.cancel_s / CLOCK_DRIFT - w.lease_s * CLOCK_DRIFT - WATERMARK_MARGIN_S)
+        workers = self.settings.settings.workers
+        cancel_s = workers.cancel_s / CLOCK_DRIFT
+        return max(0.0, cancel_s - workers.lease_s * CLOCK_DRIFT - WATERMARK_MARGIN_S)
 
     @property
     def lease_expiry_s(self) -> float:
-        """A worker's lease is surely over this long after its last answer."""
-        return self.settings.settings.workers.lease_s * CLOCK_DRIFT + 0.3
+        """How long after the last renewal a worker's lease has certainly expired, in seconds."""
+        return self.settings.settings.workers.lease_s * CLOCK_DRIFT + LEASE_EXPIRY_MARGIN_S
 
 
-def fits(size: Sequence[float], room: Sequence[float]) -> bool:
-    """Whether a size goes into a room; sums of decimal amounts may be off by a hair."""
-    # Written out: asked hundreds of thousands of times a minute, it was the costliest line.
+def fits(size: Sequence[float], available: Sequence[float]) -> bool:
+    """Whether requested resources fit into the available ones, up to rounding errors."""
+    # Written out: called hundreds of thousands of times a minute, it was the costliest line.
     cpus, gpus, memory_gb = size
-    return cpus <= room[0] + 1e-9 and gpus <= room[1] + 1e-9 and memory_gb <= room[2] + 1e-9
+    return (
+        cpus <= available[0] + 1e-9
+        and gpus <= available[1] + 1e-9
+        and memory_gb <= available[2] + 1e-9
+    )
 
 
-def fit_count(size: Resources, room: Sequence[float]) -> int:
-    """How many of a size go into a room; MANY at the most, and of a size that takes nothing."""
-    many = (min(UNBOUNDED, (r + 1e-9) / s) for s, r in zip(size, room, strict=True) if s > 0)
-    return max(0, int(min(many, default=UNBOUNDED)))
+def fit_count(size: Resources, available: Sequence[float]) -> int:
+    """How many tasks of a size fit; at most UNBOUNDED, also for a size of zero."""
+    counts = (
+        min(UNBOUNDED, (amount + FIT_TOLERANCE) / requested)
+        for requested, amount in zip(size, available, strict=True)
+        if requested > 0
+    )
+    return max(0, int(min(counts, default=UNBOUNDED)))
 
 
 def requested_resources(spec: JobSpec) -> Resources:
+    """The resources of one task of a job."""
     return (spec.cpus, spec.gpus, spec.memory_gb)
 
 
 def machine_capacity(kind: MachineType) -> Resources:
+    """The resources of an empty machine of a type."""
     return (kind.cpus, kind.gpus, kind.memory_gb)
--- a/starlingdeck/controller/metrics_report.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -7,6 +7,7 @@
 from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.record_writer import RecordWriter
 from starlingdeck.machines.machine_shard import MachineShard
+from starlingdeck.metrics.counters import WaitingTasks
 
 
 def reachability_lines(shards: Mapping[int, MachineShard]) -> Iterator[str]:
@@ -46,11 +47,11 @@
 
 def waiting_tasks(
     context: ControllerContext, writers: Mapping[int, RecordWriter]
-) -> Iterator[tuple[str, str, int, float]]:
+) -> Iterator[WaitingTasks]:
     """The tasks here that wait for a machine, job by job."""
     now_ms = context.wall_clock_ms()
     for writer in writers.values():
         for job in writer.shard.jobs.values():
             if tasks := len(job.pending(job.spec.tasks)):
                 age_s = (now_ms - job.submitted_ms) / 1000
-                yield job.spec.team, job.spec.cls, tasks, age_s
+                yield WaitingTasks(job.spec.team, job.spec.cls, tasks, age_s)
--- a/starlingdeck/jobs/job_shard.py
+++ b/starlingdeck/jobs/job_shard.py
@@ -262,7 +262,7 @@
         if error == api.W_STOPPED and not (
             job.cancelled or target or placement.releasing or placement.descheduled
         ):
-            self.context.counters.increment(job.spec.team, job.spec.cls, counters.STOPPED)
+            self.context.counters.increment(job.spec.team, job.spec.cls, counters.PREEMPTED)
         now = self.context.now()
         if error == api.W_ERROR:
             known = job.failure_evidence
--- a/starlingdeck/metrics/__init__.py
+++ b/starlingdeck/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, latency histograms and the task profiler."""
+"""Event counters, latency histograms and the task profiler."""
--- a/starlingdeck/metrics/latency.py
+++ b/starlingdeck/metrics/latency.py
@@ -1,4 +1,4 @@
-"""How long answers and starts took, and where time goes: log lines show it now and then."""
+"""Latencies of requests and starts, and the run time of the process's tasks, for the log."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,46 +7,60 @@
 from hdrh.histogram import HdrHistogram
 from msgspec import Struct
 
+MIN_MS = 1
 MAX_MS = 600_000
-DIGITS = 2
-SHARES = (50.0, 90.0, 99.0)
+SIGNIFICANT_DIGITS = 2
+PERCENTILES = (50, 90, 99)
 
 
 class LatencyHistograms:
-    """One histogram of milliseconds a name, from one log line to the next."""
+    """A histogram of milliseconds per operation, between two calls of `lines`."""
 
     def __init__(self) -> None:
         self.histograms: dict[str, HdrHistogram] = {}
 
-    def record(self, name: str, seconds: float) -> None:
-        found = self.histograms.get(name)
-        if found is None:
-            found = self.histograms[name] = HdrHistogram(1, MAX_MS, DIGITS)
-        found.record_value(min(MAX_MS, max(1, int(seconds * 1000))))
+    def record(self, operation: str, seconds: float) -> None:
+        """Record how long an operation took, rounded to between MIN_MS and MAX_MS."""
+        histogram = self.histograms.get(operation)
+        if histogram is None:
+            histogram = HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
+            self.histograms[operation] = histogram
+        histogram.record_value(min(MAX_MS, max(MIN_MS, int(seconds * 1000))))
 
     def lines(self) -> list[str]:
-        """What was noted since the last call, and forget it."""
-        out = []
-        for name, found in sorted(self.histograms.items()):
-            count = found.get_total_count()
-            if count:
-                marks = "/".join(str(found.get_value_at_percentile(s)) for s in SHARES)
-                out.append(f"{name}: {count}, p50/p90/p99 {marks} ms, most {found.get_max_value()}")
-                found.reset()
-        return out
+        """Log lines of the operations recorded since the last call; resets the histograms."""
+        lines = []
+        for operation, histogram in sorted(self.histograms.items()):
+            if histogram.get_total_count():
+                lines.append(_line(operation, histogram))
+                histogram.reset()
+        return lines
+
+
+def _line(operation: str, histogram: HdrHistogram) -> str:
+    percentiles = " ".join(
+        f"p{percentile}_ms={histogram.get_value_at_percentile(float(percentile))}"
+        for percentile in PERCENTILES
+    )
+    return (
+        f"latency: operation={operation.replace(' ', '_')} count={histogram.get_total_count()} "
+        f"{percentiles} max_ms={histogram.get_max_value()}"
+    )
 
 
 class TaskRuntime(Struct):
+    """How often tasks of one name ran from one wait to the next, and for how long."""
+
     runs: int = 0
     total_s: float = 0.0
-    longest_s: float = 0.0
+    max_s: float = 0.0
 
 
-class TaskProfiler(Activation):  # type: ignore[misc]
-    """For each kind of task: how often it ran, how long in all, and the longest run.
+class TaskProfiler(Activation):  # type: ignore[misc]  # curio has no type information
+    """Measures the run time of the process's tasks by name, at log level `debug` only.
 
-    A run is from one wait to the next; meanwhile everything else waits, so the longest
-    runs say how late an answer or a renewal may be. Only used at log level `debug`.
+    A run is from one wait of a task to its next. All other tasks wait meanwhile, so the longest
+    run bounds how late a reply or a lease renewal may be.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -55,20 +69,23 @@
         self.runtimes: dict[str, TaskRuntime] = {}
 
     def running(self, task: Any) -> None:
+        """Note the start of a run; the kernel calls this."""
         self.started_at = self.now()
 
     def suspended(self, task: Any, trap: Any) -> None:
-        spent = self.now() - self.started_at
-        row = self.runtimes.setdefault(task.name, TaskRuntime())
-        row.runs += 1
-        row.total_s += spent
-        row.longest_s = max(row.longest_s, spent)
+        """Add a finished run; the kernel calls this."""
+        run_s = self.now() - self.started_at
+        runtime = self.runtimes.setdefault(task.name, TaskRuntime())
+        runtime.runs += 1
+        runtime.total_s += run_s
+        runtime.max_s = max(runtime.max_s, run_s)
 
     def lines(self) -> list[str]:
-        """What was noted since the last call, costliest first, and forget it."""
-        rows = sorted(self.runtimes.items(), key=lambda item: -item[1].total_s)
+        """Log lines of the runs since the last call, the largest total first; resets them."""
+        runtimes = sorted(self.runtimes.items(), key=lambda item: -item[1].total_s)
         self.runtimes = {}
         return [
-            f"ran {name}: {row.runs} times, {row.total_s:.3f} s, longest {row.longest_s:.3f} s"
-            for name, row in rows
+            f"task run time: task={name} runs={runtime.runs} total_s={runtime.total_s:.3f} "
+            f"max_s={runtime.max_s:.3f}"
+            for name, runtime in runtimes
         ]
--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -120,7 +120,7 @@
         faded = 0.5 ** (min(now - self.refreshed_at, 60.0) / EVENT_HALF_LIFE_S)
         self.refreshed_at = now
         totals = self.context.counters.totals
-        events = [totals[counters.STARTED], totals[counters.STOPPED]]
+        events = [totals[counters.STARTED], totals[counters.PREEMPTED]]
         fresh = (a - b for a, b in zip(events, self.seen_events, strict=True))
         self.recent_events = [
             old * faded + new for old, new in zip(self.recent_events, fresh, strict=True)
--- a/tests/test_cost_table.py
+++ b/tests/test_cost_table.py
@@ -10,13 +10,18 @@
     0.35 n-0 I starlingdeck.coordination.writer: shard 0: 12 unfinished jobs read
     1.00 n-0 I starlingdeck.machines: machine vm-1: first report, session 1
     2.00 n-0 I starlingdeck.coordination.machines: machine vm-2: first report, session 1
-   60.20 n-0 I starlingdeck.coordination.node: answer change: 60, p50/p90/p99 13/24/48 ms, most 48
-   60.20 n-0 D starlingdeck.coordination.node: ran Planner.run: 100 times, 6.000 s, longest 0.007 s
-   60.21 n-1 I starlingdeck.node: answer change: 40, p50/p90/p99 13/24/50 ms, most 51
-   60.21 n-1 D starlingdeck.coordination.node: ran Planner.run: 50 times, 3.000 s, longest 0.009 s
+   60.20 n-0 I starlingdeck.controller.controller: latency: operation=answer_change count=60 \
+p50_ms=13 p90_ms=24 p99_ms=48 max_ms=48
+   60.20 n-0 D starlingdeck.controller.controller: task run time: task=Planner.run runs=100 \
+total_s=6.000 max_s=0.007
+   60.21 n-1 I starlingdeck.controller: latency: operation=answer_change count=40 \
+p50_ms=13 p90_ms=24 p99_ms=50 max_ms=51
+   60.21 n-1 D starlingdeck.controller.controller: task run time: task=Planner.run runs=50 \
+total_s=3.000 max_s=0.009
 a line of something else
    70.00 n-0 I starlingdeck.coordination.cloud: returned to the cloud: vm-1 vm-9
-  120.20 n-0 D starlingdeck.node: ran Node.step_loop: 10 times, 1.500 s, longest 0.001 s
+  120.20 n-0 D starlingdeck.controller: task run time: task=Node.step_loop runs=10 \
+total_s=1.500 max_s=0.001
 """
 
 
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -194,6 +194,8 @@
         meters.record("answer look", ms / 1000)
     meters.record("wait prod", 1e9)
     first, second = meters.lines()
-    assert first == "answer look: 100, p50/p90/p99 50/90/99 ms, most 100"
-    assert second.startswith("wait prod: 1, ")
+    assert first == (
+        "latency: operation=answer_look count=100 p50_ms=50 p90_ms=90 p99_ms=99 max_ms=100"
+    )
+    assert second.startswith("latency: operation=wait_prod count=1 ")
     assert meters.lines() == []
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -121,7 +121,7 @@
     overload = node.planner.overload = overloaded(node, sweep)
     node.context.counters.increment("red", "batch", counters.STARTED, 100)
     for stopped, waits in ((4, False), (8, True)):
-        node.context.counters.increment("red", "batch", counters.STOPPED, stopped)
+        node.context.counters.increment("red", "batch", counters.PREEMPTED, stopped)
         clock.at += 0.3
         shares = overload.shares
         overload.refresh()
@@ -197,10 +197,10 @@
         await (await curio.spawn(plan)).join()
 
     curio.run(main, activations=[slices])
-    lines = {line.split(": ")[0]: line.split(": ")[1] for line in slices.lines()}
-    name = "ran " + plan.__qualname__
-    assert lines[name] == "3 times, 2.500 s, longest 2.000 s"
-    assert lines["ran main"].endswith("0.000 s, longest 0.000 s")
+    lines = dict(line.split(" ", 4)[3:] for line in slices.lines())
+    name = f"task={plan.__qualname__}"
+    assert lines[name] == "runs=3 total_s=2.500 max_s=2.000"
+    assert lines["task=main"].endswith("total_s=0.000 max_s=0.000")
     assert slices.lines() == []
 
 
