--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -162,7 +162,7 @@
             self.stalled ^= {number}
         elif verb == "cut":
             client.cut = not client.cut
-        elif verb == "mute":
+        elif verb == "unanswered":
             client.unanswered = not client.unanswered
         elif verb == "crash":
             self.nodes[number] = self.start(number)
@@ -217,7 +217,7 @@
 
 
 STEPS = st.tuples(
-    st.sampled_from(["stall", "stall", "cut", "cut", "mute", "crash", "outage", "raise"]),
+    st.sampled_from(["stall", "stall", "cut", "cut", "unanswered", "crash", "outage", "raise"]),
     st.integers(0, NODES - 1),
     st.sampled_from([0.0, 0.2, 1.0, 3.0, 6.0]),
 )
