--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 
 LINE = re.compile(r"\s*([\d.]+) (\S+) [A-Z] \S+: (.*)")
-RAN = re.compile(r"ran (\S+): (\d+) times, ([\d.]+) s, longest ([\d.]+) s")
-ANSWER = re.compile(r"answer (\w+): (\d+), p50/p90/p99 [\d.]+/[\d.]+/([\d.]+) ms")
+RAN = re.compile(r"task run time: task=(\S+) runs=(\d+) total_s=([\d.]+) max_s=([\d.]+)")
+ANSWER = re.compile(r"latency: operation=answer_(\w+) count=(\d+) .*p99_ms=([\d.]+)")
 FIRST = re.compile(r"machine registered: machine=(\S+)")
 TAKEN = re.compile(r"shard acquired: shard=(\d+)\b")
 READ = re.compile(r"shard jobs loaded: shard=(\d+) unfinished_jobs=(\d+)")
--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -37,7 +37,7 @@
 from starlingdeck.scheduling.planner import Planner
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.storage.state import RequestBudget, StateClient
-from starlingdeck.sync.state_sync import StateSync
+from starlingdeck.sync.state_sync import OwnedShards, StateSync
 from starlingdeck.transport.client import HttpClient
 from starlingdeck.transport.frames import FrameServer
 from starlingdeck.transport.server import HttpServer, Request, Response
@@ -119,14 +119,9 @@
         """The exchange of snapshots and desired state, and the scheduler on top of it."""
         context = self.context
         self.candidates = CandidatePool(context, self.membership, self.peers)
+        owned = OwnedShards(self.writers, self.machines)
         self.state_sync = StateSync(
-            context,
-            self.state,
-            self.membership,
-            self.peers,
-            self.writers,
-            self.machines,
-            self.candidates,
+            context, self.state, self.membership, self.peers, owned, self.candidates
         )
         settings = context.tuning.overload
         self.overload: OverloadController | None = None
--- a/starlingdeck/controller/peer_messages.py
+++ b/starlingdeck/controller/peer_messages.py
@@ -12,7 +12,7 @@
 from starlingdeck.controller.gossip import GossipExchange
 from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.protocol import peer_pb2 as pb
-from starlingdeck.sync.state_sync import StateSync
+from starlingdeck.sync.state_sync import SnapshotResult, StateSync
 
 
 @dataclass(kw_only=True, eq=False)
@@ -48,10 +48,10 @@
 
     async def _apply_snapshot(self, snapshot: pb.Snapshot) -> pb.Envelope | None:
         """Apply a snapshot; ask for a full one when a difference follows none applied here."""
-        reevaluated = self.state_sync.apply_snapshot(snapshot)
-        if reevaluated is None:
+        result = self.state_sync.apply_snapshot(snapshot)
+        if result is SnapshotResult.RESYNC_NEEDED:
             return pb.Envelope(resync_request=pb.ResyncRequest(shard=snapshot.shard))
-        if reevaluated:
+        if result is SnapshotResult.ATTEMPTS_CHANGED:
             await self.flush.set()
         await self.wake.set()
         return None
--- a/starlingdeck/jobs/attempt_evaluation.py
+++ b/starlingdeck/jobs/attempt_evaluation.py
@@ -162,7 +162,7 @@
         if cause == api.W_STOPPED and not (
             job.cancelled or target or placement.releasing or placement.descheduled
         ):
-            self.context.counters.increment(job.spec.team, job.spec.cls, counters.STOPPED)
+            self.context.counters.increment(job.spec.team, job.spec.cls, counters.PREEMPTED)
         self._schedule_retry(job, task, placement, cause)
 
     def _schedule_retry(self, job: Job, task: int, placement: TaskPlacement, cause: int) -> None:
--- a/starlingdeck/scheduling/churn.py
+++ b/starlingdeck/scheduling/churn.py
@@ -21,7 +21,7 @@
         """Add what happened since the last update, `elapsed_s` ago."""
         decay = 0.5 ** (min(elapsed_s, MAX_ELAPSED_S) / HALF_LIFE_S)
         started = task_counters.totals[counters.STARTED]
-        preempted = task_counters.totals[counters.STOPPED]
+        preempted = task_counters.totals[counters.PREEMPTED]
         self._recent_started = self._recent_started * decay + (started - self._last_started)
         self._recent_preempted = self._recent_preempted * decay + (preempted - self._last_preempted)
         self._last_started, self._last_preempted = started, preempted
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -196,6 +196,8 @@
         latencies.record("answer look", ms / 1000)
     latencies.record("wait prod", 1e9)
     first, second = latencies.lines()
-    assert first == "answer look: 100, p50/p90/p99 50/90/99 ms, most 100"
-    assert second.startswith("wait prod: 1, ")
+    assert first == (
+        "latency: operation=answer_look count=100 p50_ms=50 p90_ms=90 p99_ms=99 max_ms=100"
+    )
+    assert second.startswith("latency: operation=wait_prod count=1 ")
     assert latencies.lines() == []
