--- a/tests/test_autoscaling_policy.py
+++ b/tests/test_autoscaling_policy.py
@@ -1,4 +1,4 @@
-"""The rented fleet against the wanted one."""
+"""Which machines are rented and which are released."""
 
 from starlingdeck.autoscaling import boots, rentals
 from starlingdeck.autoscaling.fleet import Demand, FleetState, ListedMachine
@@ -15,9 +15,9 @@
     )
 
 
-def test_a_new_controller_does_not_throw_the_fleet_away() -> None:
-    """After all controllers crashed, the first list came before the first report, every
-    machine looked like a boot that had failed, and all of them were deleted."""
+def test_new_controller_does_not_release_the_fleet() -> None:
+    """After all controllers crashed, the first list came before the first report: every machine
+    looked like a failed boot, and all of them were released."""
     clock = Clock()
     context = make_world(clock)
     state = FleetState()
@@ -30,9 +30,9 @@
     ]
 
 
-def test_a_shard_changing_hands_does_not_cost_its_machines() -> None:
-    """A restarted peer's first view named no machine yet, so those of its zone seemed
-    never to have come up and were deleted with their replicas."""
+def test_ownership_change_does_not_release_the_shards_machines() -> None:
+    """A restarted peer's first snapshot named no machine yet, so those of its zone seemed never
+    to have come up and were released with their replicas."""
     clock = Clock()
     context = make_world(clock)
     state = FleetState()
@@ -44,7 +44,7 @@
     assert boots.stuck_machines(context, state, set(), started, clock.at + 100) == ["vm-1", "vm-2"]
 
 
-def test_a_boot_that_never_comes_up_is_given_back() -> None:
+def test_boot_that_never_comes_up_is_released() -> None:
     clock = Clock()
     context = make_world(clock)
     state = FleetState()
@@ -55,22 +55,24 @@
     assert boots.stuck_machines(context, state, set(), started, late) == ["vm-1"]
 
 
-def test_demand_is_rented_once() -> None:
+def test_demand_is_rented_for_once() -> None:
     clock = Clock()
     context = make_world(clock)
     state = FleetState()
-    need = [Demand((4.0, 0.0, 4.0), 3, ("small",), "", False, 1, False)]
-    asks = rentals.plan_rentals(context, state, need, FleetSnapshot(), clock.at)
-    assert sum(a.count for a in asks) == 3 and not any(a.spot for a in asks)
-    state.requests = asks
-    assert rentals.plan_rentals(context, state, need, FleetSnapshot(), clock.at) == []
+    demands = [Demand((4.0, 0.0, 4.0), 3, ("small",), "", False, 1, False)]
+    requests = rentals.plan_rentals(context, state, demands, FleetSnapshot(), clock.at)
+    assert sum(request.count for request in requests) == 3 and not any(
+        request.spot for request in requests
+    )
+    state.requests = requests
+    assert rentals.plan_rentals(context, state, demands, FleetSnapshot(), clock.at) == []
     booting = [listed(context, f"vm-{i}", api.BOOTING, clock.at) for i in range(3)]
     state.requests = []
     fleet = FleetSnapshot(pending=booting)
-    assert rentals.plan_rentals(context, state, need, fleet, clock.at) == []
+    assert rentals.plan_rentals(context, state, demands, fleet, clock.at) == []
 
 
-def test_where_there_is_no_capacity_another_kind_is_asked_for() -> None:
+def test_another_kind_is_chosen_where_there_is_no_capacity() -> None:
     clock = Clock()
     context = make_world(clock)
     state = FleetState()
@@ -82,7 +84,7 @@
     assert second is not None and second != first
 
 
-def test_lost_room_is_replaced_before_anything_waits() -> None:
+def test_headroom_is_rented_before_anything_waits() -> None:
     clock = Clock()
     context = make_world(clock)
     total = (4.0, 0.0, 16.0)
@@ -93,36 +95,37 @@
     assert need and need[0].count * 4.0 >= 40 * context.tuning.spare_share
 
 
-def test_a_wave_of_demand_is_asked_for_at_once() -> None:
-    """Eight machines a call and few calls a second: half of a large fleet came 10 s late."""
+def test_wave_of_demand_is_requested_at_once() -> None:
+    """With eight machines a request and few requests a second, half of a large fleet came up 10 s
+    late."""
     context = make_world(Clock())
     state = FleetState()
-    need = [Demand((4.0, 0.0, 4.0), 60, ("small",), "a", False, 0, False)]
-    asks = rentals.plan_rentals(context, state, need, FleetSnapshot(), 0.0)
-    assert [a.count for a in asks] == [50]
+    demands = [Demand((4.0, 0.0, 4.0), 60, ("small",), "a", False, 0, False)]
+    requests = rentals.plan_rentals(context, state, demands, FleetSnapshot(), 0.0)
+    assert [request.count for request in requests] == [50]
     booting = [listed(context, f"vm-{i}", api.BOOTING, 0.0) for i in range(50)]
-    asks = rentals.plan_rentals(context, state, need, FleetSnapshot(pending=booting), 0.0)
-    assert [a.count for a in asks] == [10]
+    requests = rentals.plan_rentals(context, state, demands, FleetSnapshot(pending=booting), 0.0)
+    assert [request.count for request in requests] == [10]
 
 
-def test_spot_machines_taken_in_a_calm_minute_are_made_up_for() -> None:
-    """Spare room was counted on ordinary machines alone: the lost spot machines were missed
+def test_spot_machines_reclaimed_in_a_calm_minute_are_replaced() -> None:
+    """Headroom was counted on on-demand machines alone: reclaimed spot machines were replaced only
     in the next busy minute, a boot too late."""
     context = make_world(Clock())
     total = (4.0, 0.0, 16.0)
 
-    def room(index: int, spot: bool, free: float) -> Candidate:
+    def machine(index: int, spot: bool, free: float) -> Candidate:
         return Candidate(index, 0, 0, spot, 0, total, [free, 0.0, 4 * free])
 
-    calm = [room(i, False, 4.0) for i in range(2)] + [room(9, True, 0.0)]
+    calm = [machine(i, False, 4.0) for i in range(2)] + [machine(9, True, 0.0)]
     assert rentals.headroom_demand(context, calm, []) == []
-    busy = [room(i, False, 2.0) for i in range(2)] + [room(i, True, 0.0) for i in range(5, 9)]
+    busy = [machine(i, False, 2.0) for i in range(2)] + [machine(i, True, 0.0) for i in range(5, 9)]
     found = rentals.headroom_demand(context, busy, [])
     assert [(d.count, d.spot) for d in found] == [(1, True)]
 
 
-def test_demands_alike_are_packed_as_one() -> None:
-    """Fifty jobs of a class were packed one by one into every machine on its way."""
+def test_equal_demands_are_merged() -> None:
+    """Fifty jobs of a class were packed one by one into every pending machine."""
     need = Demand((4.0, 0.0, 4.0), 3, ("small",), "", False, 1, False)
     other = Demand((2.0, 0.0, 4.0), 1, ("small",), "", False, 1, False)
     found = rentals.merge_demands([need, other, need])
@@ -130,7 +133,7 @@
     assert need.count == 3
 
 
-def test_late_boots_are_waited_for_as_long_as_those_that_came_took() -> None:
+def test_boot_timeout_follows_the_recent_boot_times() -> None:
     """Replaced after 1.8 times the nominal time, a wave of late boots was rented twice."""
     clock = Clock()
     context = make_world(clock)
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -1,4 +1,4 @@
-"""Which waiting work goes first."""
+"""Which waiting jobs are placed and recorded first."""
 
 import random
 
@@ -25,14 +25,14 @@
     return new_job(context, spec(name, **other), 0, context.wall_clock_ms() - int(age_s * 1000))
 
 
-def stops(
+def preemption_plan(
     context: ControllerContext, candidates: list[Candidate] | None = None, limit: int = 99
 ) -> preemption.PreemptionPlan:
     return preemption.PreemptionPlan(EligibleCandidates(context, candidates or []), limit)
 
 
-def test_work_that_is_late_for_every_aim_lets_the_rest_be_in_time() -> None:
-    """In a backlog late work went first, in order of slack, and made the next work late too."""
+def test_jobs_late_for_every_objective_go_last() -> None:
+    """In a backlog late jobs went first, in order of slack, and made the next ones late too."""
     context = make_world(Clock())
     late = job(context, "j-000001", 95.0, guess_s=40.0)
     tight = job(context, "j-000002", 40.0, guess_s=40.0)
@@ -42,7 +42,7 @@
     assert got == [urgent, tight, fresh, late]
 
 
-def test_of_work_alike_the_smaller_goes_first() -> None:
+def test_smaller_of_equal_jobs_goes_first() -> None:
     context = make_world(Clock())
     large = job(context, "j-000001", 1.0, chores=70)
     small = job(context, "j-000002", 0.0, chores=4)
@@ -52,28 +52,28 @@
     ]
 
 
-def test_tasks_that_ask_for_room_share_machines_and_keep_to_their_zones() -> None:
-    """All tasks of a spread job were asked for by one count of its zones, taken before."""
+def test_preempting_tasks_share_machines_and_respect_spreading() -> None:
+    """All tasks of a spread job were assigned by one count of its zones, taken before."""
     context = make_world(Clock())
     candidates = [
         Candidate(i, 0, i % 2, False, 0, (4.0, 0.0, 16.0), [0.0, 0.0, 0.0]) for i in range(8)
     ]
     sweep = job(context, "j-000001", 0.0, chores=9, cores=1.0)
-    decisions = stops(context).assign(sweep, list(range(9)), candidates)
+    decisions = preemption_plan(context).assign(sweep, list(range(9)), candidates)
     assert [p.candidate.index for p in decisions] == [0] * 4 + [1] * 4 + [2]
     spread = job(context, "j-000002", 0.0, chores=3, shape="daemon", spread=True)
-    decisions = stops(context).assign(
+    decisions = preemption_plan(context).assign(
         spread, [0, 1, 2], [candidates[0], candidates[2], candidates[4], candidates[1]]
     )
     assert [p.candidate.index for p in decisions] == [0, 2, 1]
 
 
-def test_one_plan_asks_a_machine_for_no_more_than_it_could_hold_whoever_asks() -> None:
-    """Jobs alike asked the same machines in one plan, and too much was stopped for them."""
+def test_preemption_plan_asks_a_machine_for_no_more_than_its_capacity() -> None:
+    """Similar jobs asked the same machines in one cycle, and too much was stopped for them."""
     context = make_world(Clock())
     total, ages = (4.0, 0.0, 16.0), [5.0, -1.0, -1.0, -1.0]
     candidates = [Candidate(i, 0, 0, False, 0, total, [0.0] * 3, youngest_s=ages) for i in range(3)]
-    asked = stops(context, candidates, limit=5)
+    asked = preemption_plan(context, candidates, limit=5)
     jobs = [job(context, f"j-00000{i}", 0.0, chores=3, cores=2.0, rank="urgent") for i in range(3)]
     decisions = [p for job in jobs for p in asked.assign(job, [0, 1, 2], asked.cheapest(job, 0.0))]
     assert len(decisions) == 5 and asked.remaining == 0
@@ -85,19 +85,19 @@
     )
 
 
-def test_only_machines_with_work_to_stop_are_asked_for_room() -> None:
-    """On a full fleet every machine was asked, and nearly all had nothing that may be stopped."""
+def test_only_machines_with_preemptible_work_are_asked() -> None:
+    """On a full fleet every machine was asked, and nearly all had nothing to preempt."""
     clock = Clock()
     context = make_world(clock)
 
-    def room(*ages: float) -> Candidate:
+    def candidate_with(*ages: float) -> Candidate:
         return Candidate(
             0, 0, 0, False, 0, (4.0, 0.0, 16.0), [0.0, 0.0, 0.0], youngest_s=list(ages)
         )
 
     def asked(job: Job, *ages: float) -> bool:
         return preemption.has_preemptible_work(
-            job, preemption.preemptible_ranks(context, job), room(*ages)
+            job, preemption.preemptible_ranks(context, job), candidate_with(*ages)
         )
 
     urgent = job(context, "j-000001", 0.0, rank="urgent")
@@ -112,7 +112,7 @@
     assert asked(urgent, -1, -1, -1, 9)
 
 
-def test_starts_of_urgent_work_are_written_first_and_alone() -> None:
+def test_urgent_starts_are_recorded_first_and_alone() -> None:
     """Replicas waited for the record of their start behind the submissions of a busy minute."""
     context = make_world(Clock())
     shard = JobShard(context, 0, 3, 9)
@@ -131,7 +131,7 @@
     assert [d.job for d in writer._batch()[0]] == [high, low]
 
 
-def test_what_is_written_is_chosen_when_the_budget_has_room() -> None:
+def test_batch_is_chosen_when_the_write_limit_allows_it() -> None:
     """Chosen before the wait for it, each start of a job was a write of its own, and replicas
     waited behind what had been chosen first."""
     clock = Clock()
@@ -169,7 +169,7 @@
     assert list(low.placements) == [0, 1] and client.state.epoch == shard.token + 2
 
 
-def test_starts_that_are_still_being_asked_for_are_written_with_the_first() -> None:
+def test_starts_still_being_reserved_are_recorded_with_the_first() -> None:
     """Each owner's answer was a write of its own, two or three a service, and in a day's first
     seconds the changes a second are what starts wait for."""
     clock = Clock()
@@ -192,18 +192,23 @@
     assert [list(d.pending_starts) for d in writer._batch()[0]] == [[0, 1]]
 
 
-def test_room_is_asked_for_where_the_least_work_is_lost() -> None:
+def test_preemption_is_requested_where_the_least_work_is_lost() -> None:
     """Machines asked at random gave up work that had run for half its time."""
     context = make_world(Clock())
     now = context.now()
 
-    def room(index: int, *youngest_s: float) -> Candidate:
+    def candidate_with(index: int, *youngest_s: float) -> Candidate:
         return Candidate(
             index, 0, 0, False, 0, (4.0, 0.0, 16.0), [0.0, 0.0, 0.0], observed_at=now - 5.0,
             images={"img"}, youngest_s=list(youngest_s),
         )  # fmt: skip
 
-    candidates = [room(0, -1, 30, -1, -1), room(1, -1, -1, 1, -1), room(2, -1, 3, 2, -1), room(3)]
+    candidates = [
+        candidate_with(0, -1, 30, -1, -1),
+        candidate_with(1, -1, -1, 1, -1),
+        candidate_with(2, -1, 3, 2, -1),
+        candidate_with(3),
+    ]
     urgent = job(context, "j-000001", 0.0, rank="urgent")
     got = preemption.cheapest_preemptions(urgent, candidates, now, context.rng)
     assert [candidate.index for candidate in got[:2]] == [
@@ -213,7 +218,7 @@
     assert candidates[2].lost_s(2, now) == 8.0
 
 
-def test_replicas_do_not_crowd_on_the_machine_with_the_fastest_fetch() -> None:
+def test_replicas_do_not_pile_up_on_the_machine_with_the_fastest_fetch() -> None:
     """Many replicas were on one large machine, and were gone at once when it died."""
     context = make_world(Clock())
     candidates = [
@@ -241,7 +246,7 @@
     assert {p.candidate.index for p in fast} == {0}
 
 
-def test_a_record_passed_over_for_long_is_written_in_its_turn() -> None:
+def test_record_delayed_for_long_is_written_in_its_turn() -> None:
     """In a flood of urgent starts nothing else was written: ends, which free limits and finish
     jobs, waited for its end. Of those passed over, the team that wrote least lately goes first."""
     clock = Clock()
@@ -272,8 +277,8 @@
     assert seen == [*[[flood]] * 3, [ended[1], ended[0], flood]] * 2
 
 
-def test_idle_work_leaves_room_for_what_comes_and_its_floor_does_not() -> None:
-    """It took all that others left free, and whatever came next had to stop some of it."""
+def test_idle_work_leaves_headroom_unless_prioritized() -> None:
+    """It used all that others left free, and whatever came next had to preempt some of it."""
     context = make_world(Clock())
     total = (16.0, 0.0, 64.0)
     candidates = [
@@ -288,7 +293,7 @@
     assert len(cycle.place(idle, 2, prioritized=True)) == 2
 
 
-def test_a_job_that_has_long_waited_to_begin_goes_before_all_with_one_task() -> None:
+def test_starving_job_goes_first_with_one_task() -> None:
     """A class's largest jobs waited for as long as smaller and more urgent ones came."""
     context = make_world(Clock())
     now = context.wall_clock_ms()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planning loop: what it asks for, and what it does after giving way."""
+"""The scheduling cycle: what it requests, and what it does after it has yielded."""
 
 import curio
 
@@ -23,15 +23,15 @@
 
 
 def overloaded(node: Controller, *jobs: Job) -> OverloadController:
-    """Floors of all there is for the jobs' pairs, by a picture of one shard."""
+    """A minimum share of all capacity for the jobs' classes, by the demand of one shard."""
     found = OverloadController(
         node.context, node.writers, node.machines, OverloadSettings(churn=0.05)
     )
     pairs = {found.team_class(job) for job in jobs}
     part = ShardDemand(0, 3, 1, (8.0, 0.0, 32.0), {pair: ClassDemand() for pair in pairs}, True)
     found.demand.update(part, node.context.now())
-    floors = dict.fromkeys(pairs, 1.0)
-    found.shares = FairShares(True, part.capacity, floors, {0: floors})
+    minimum_shares = dict.fromkeys(pairs, 1.0)
+    found.shares = FairShares(True, part.capacity, minimum_shares, {0: minimum_shares})
     return found
 
 
@@ -46,8 +46,8 @@
     )
 
 
-def planning_node(clock: Clock, *machines: pb.MachineState) -> tuple[Controller, JobShard]:
-    """A node that holds job shard 0; machine shard 2 belongs to a peer that is up."""
+def planning_controller(clock: Clock, *machines: pb.MachineState) -> tuple[Controller, JobShard]:
+    """A controller that owns job shard 0; machine shard 2 belongs to a reachable peer."""
     node = Controller(make_world(clock))
     node.membership.lease_id, node.membership.renewed_at = 1, clock.at
     jobs = JobShard(node.context, 0, 3, 9)
@@ -60,18 +60,18 @@
     return node, jobs
 
 
-def test_a_plan_gives_way_and_passes_over_what_has_changed_meanwhile() -> None:
-    """A plan held up submissions and renewals for as long as it took; a job cancelled while
-    it gives way must not be given machines after."""
+def test_cycle_yields_and_skips_jobs_that_changed_meanwhile() -> None:
+    """A cycle delayed submissions and renewals for as long as it took; a job cancelled while it
+    yields must not be placed after."""
     clock = Clock()
-    node, jobs = planning_node(clock, machine("vm-1", 2.0), machine("vm-2", 2.0))
+    node, jobs = planning_controller(clock, machine("vm-1", 2.0), machine("vm-2", 2.0))
     first, second = (new_job(node.context, spec(f"j-00000{i}", chores=1), 0, i) for i in (1, 2))
     for one in (first, second):
         jobs.jobs[one.index] = one
-    asked: list[tuple[str, bool]] = []
+    requested: list[tuple[str, bool]] = []
 
     def slow(message: pb.ReserveRequest) -> pb.ReserveReply:
-        asked.append((message.job.id, second.cancelled))
+        requested.append((message.job.id, second.cancelled))
         return pb.ReserveReply()
 
     async def cancel() -> None:
@@ -85,17 +85,19 @@
     node.planner.reservations.reserve_local = slow
     step = MAX_STRETCH_S * 2
     ticking = iter(range(10_000))
-    node.context.now = lambda: 1000.0 + step * next(ticking)  # every look at the clock takes long
+    node.context.now = lambda: (
+        1000.0 + step * next(ticking)
+    )  # every reading of the clock takes long
     node.membership.renewed_at = 1e9
     node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
-    assert asked == [("j-000001", True)]
+    assert requested == [("j-000001", True)]
 
 
-def test_what_waits_no_more_is_not_put_first() -> None:
-    """A job whose last tasks were placed by the plan in which they were noted as waiting made the
-    next plan stumble, in a flood (KeyError)."""
-    node, jobs = planning_node(Clock())
+def test_job_without_waiting_tasks_is_not_prioritized() -> None:
+    """Under overload a job whose last tasks were placed by the cycle that recorded them as waiting
+    made the next cycle fail (KeyError)."""
+    node, jobs = planning_controller(Clock())
     now_ms = node.context.wall_clock_ms()
     placed, waits = (
         new_job(node.context, spec(f"j-00000{i}", chores=4), 0, now_ms + i) for i in (1, 2)
@@ -109,11 +111,11 @@
     assert overload.below_minimum_share([]) == []
 
 
-def test_arrays_wait_before_they_stop_others_while_many_starts_are_stopped() -> None:
-    """A sixth of a flood's starts were stopped for others and began anew; but a wait in every
-    overload cost a burst's urgent work more than it saved."""
+def test_arrays_wait_before_they_preempt_under_churn() -> None:
+    """Under overload a sixth of all starts were preempted and started again; but a wait in every
+    overload cost a burst's urgent jobs more than it saved."""
     clock = Clock()
-    node, _ = planning_node(clock)
+    node, _ = planning_controller(clock)
     now_ms = node.context.wall_clock_ms()
     sweep, service = (
         new_job(node.context, spec(f"j-00000{n}", shape=shape), 0, now_ms)
@@ -138,9 +140,9 @@
     assert not overload.is_churning()
 
 
-def test_a_replica_brings_the_next_plan_on() -> None:
-    """Plans in a backlog pause for up to 0.5 s; a replica has a second or two to start in all."""
-    node, jobs = planning_node(Clock())
+def test_waiting_replica_makes_a_cycle_due() -> None:
+    """Cycles in a backlog pause for up to 0.5 s; a replica has to start within a second or two."""
+    node, jobs = planning_controller(Clock())
     service = new_job(node.context, spec("j-000001", shape="daemon", chores=1), 0, 1)
     jobs.jobs[service.index] = service
     assert not node.planner._is_urgent()
@@ -151,42 +153,42 @@
     assert not node.planner._is_urgent()
 
 
-def test_a_refused_task_leaves_no_trace_on_the_machine() -> None:
-    """After a refusal the machine was passed over by the task, and its image counted as on its
-    way there, until the machine was shown again."""
+def test_refused_reservation_restores_the_candidate() -> None:
+    """After a refusal the task avoided the machine, and its image counted as being fetched there,
+    until the next snapshot of the machine."""
     clock = Clock()
-    node, _ = planning_node(clock, machine("vm-1"))
+    node, _ = planning_controller(clock, machine("vm-1"))
     candidates = node.candidates
     (candidate,) = candidates.candidates()
-    for given in (False, True):
+    for granted in (False, True):
         candidate.available[0] -= 2.0
         candidate.tasks.add((7, 0))
         candidate.fetching.add("img")
         candidates.allocate(candidate, (7, 0), (2.0, 0.0, 0.0), "img")
-        candidates.resolve(candidate, (7, 0), given)
+        candidates.resolve(candidate, (7, 0), granted)
         clock.at += UNANSWERED_RETENTION_S
         candidates.candidates()
         assert candidate.available[0] == 4.0
-        assert (bool(candidate.tasks), bool(candidate.fetching)) == (given, given)
+        assert (bool(candidate.tasks), bool(candidate.fetching)) == (granted, granted)
 
 
-def test_room_shown_anew_while_the_picker_gave_way_counts_what_was_picked() -> None:
+def test_snapshot_during_a_yield_counts_the_pending_allocation() -> None:
     clock = Clock()
-    node, _ = planning_node(clock, machine("vm-1"))
+    node, _ = planning_controller(clock, machine("vm-1"))
     candidates = node.candidates
-    (picked,) = candidates.candidates()
+    (chosen,) = candidates.candidates()
     snapshot = candidates.snapshots[2]
     candidates.update(snapshot, set(snapshot.machines))
-    candidates.allocate(picked, (7, 0), (2.0, 0.0, 0.0), "img")
+    candidates.allocate(chosen, (7, 0), (2.0, 0.0, 0.0), "img")
     (current,) = candidates.candidates()
-    assert current is not picked and current.available[0] == 2.0
-    candidates.resolve(picked, (7, 0), False)
+    assert current is not chosen and current.available[0] == 2.0
+    candidates.resolve(chosen, (7, 0), False)
     assert current.available[0] == 4.0
 
 
-def test_slices_tell_how_long_each_kind_of_task_ran_at_a_stretch() -> None:
+def test_profiler_reports_how_long_each_kind_of_task_ran_at_a_stretch() -> None:
     clock = Clock()
-    slices = TaskProfiler(clock.now)
+    profiler = TaskProfiler(clock.now)
 
     async def plan() -> None:
         for took_s in (0.5, 2.0):
@@ -197,29 +199,29 @@
         (await curio.current_task()).name = "main"
         await (await curio.spawn(plan)).join()
 
-    curio.run(main, activations=[slices])
-    lines = {line.split(": ")[0]: line.split(": ")[1] for line in slices.lines()}
+    curio.run(main, activations=[profiler])
+    lines = {line.split(": ")[0]: line.split(": ")[1] for line in profiler.lines()}
     name = "ran " + plan.__qualname__
     assert lines[name] == "3 times, 2.500 s, longest 2.000 s"
     assert lines["ran main"].endswith("0.000 s, longest 0.000 s")
-    assert slices.lines() == []
+    assert profiler.lines() == []
 
 
-def test_room_by_preemption_is_asked_for_no_more_tasks_than_the_limit_allows() -> None:
-    """A plan that found no machine for the few tasks within the team's limit asked machines to
-    stop lower work for 32 of the job's tasks, and all that got room were started."""
+def test_preemption_is_requested_for_no_more_tasks_than_the_headroom() -> None:
+    """A cycle that found no machine for the few tasks within the team's limit requested preemption
+    for 32 of the job's tasks, and all that were granted a reservation were started."""
     clock = Clock()
     full = machine("vm-1", 0.0)
     full.youngest_s.extend([5.0, -1.0, -1.0, -1.0])
-    node, jobs = planning_node(clock, full)
+    node, jobs = planning_controller(clock, full)
     job = new_job(
         node.context, spec(crew="blue", cores=0.5, ram_gb=0.1, chores=40, rank="prod"), 0, 1
     )
     jobs.jobs[job.index] = job
-    asked: list[int] = []
+    requested: list[int] = []
 
     def reserve(message: pb.ReserveRequest) -> pb.ReserveReply:
-        asked.extend(spot.task for spot in message.tasks if message.preempt)
+        requested.extend(spot.task for spot in message.tasks if message.preempt)
         return pb.ReserveReply()
 
     async def drive() -> None:
@@ -230,4 +232,4 @@
     node.planner.reservations.reserve_local = reserve
     node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
-    assert asked and len(asked) <= 6
+    assert requested and len(requested) <= 6
