--- a/tests/test_autoscaling_policy.py
+++ b/tests/test_autoscaling_policy.py
@@ -61,9 +61,8 @@
     state = FleetState()
     demands = [Demand((4.0, 0.0, 4.0), 3, ("small",), "", False, 1, False)]
     requests = rentals.plan_rentals(context, state, demands, FleetSnapshot(), clock.at)
-    assert sum(request.count for request in requests) == 3 and not any(
-        request.spot for request in requests
-    )
+    assert sum(request.count for request in requests) == 3
+    assert not any(request.spot for request in requests)
     state.requests = requests
     assert rentals.plan_rentals(context, state, demands, FleetSnapshot(), clock.at) == []
     booting = [listed(context, f"vm-{i}", api.BOOTING, clock.at) for i in range(3)]
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -211,10 +211,8 @@
     ]
     urgent = job(context, "j-000001", 0.0, rank="urgent")
     got = preemption.cheapest_preemptions(urgent, candidates, now, context.rng)
-    assert [candidate.index for candidate in got[:2]] == [
-        2,
-        0,
-    ]  # rank 2 itself gives up nothing of rank 2
+    # Machine 1 only runs work of rank 2, which a task of rank 2 doesn't preempt.
+    assert [candidate.index for candidate in got[:2]] == [2, 0]
     assert candidates[2].lost_s(2, now) == 8.0
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -84,10 +84,8 @@
 
     node.planner.reservations.reserve_local = slow
     step = MAX_STRETCH_S * 2
-    ticking = iter(range(10_000))
-    node.context.now = lambda: (
-        1000.0 + step * next(ticking)
-    )  # every reading of the clock takes long
+    ticking = iter(range(10_000))  # every reading of the clock takes long
+    node.context.now = lambda: 1000.0 + step * next(ticking)
     node.membership.renewed_at = 1e9
     node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
@@ -99,15 +97,15 @@
     made the next cycle fail (KeyError)."""
     node, jobs = planning_controller(Clock())
     now_ms = node.context.wall_clock_ms()
-    placed, waits = (
+    placed, waiting = (
         new_job(node.context, spec(f"j-00000{i}", chores=4), 0, now_ms + i) for i in (1, 2)
     )
-    for one in (placed, waits):
+    for one in (placed, waiting):
         jobs.jobs[one.index] = one
-    overload = overloaded(node, placed, waits)
-    overload.on_cycle_end([JobTaskCount(placed, 1), JobTaskCount(waits, 1)])
+    overload = overloaded(node, placed, waiting)
+    overload.on_cycle_end([JobTaskCount(placed, 1), JobTaskCount(waiting, 1)])
     placed.placements[0] = TaskPlacement(0, 1, 1, 2, 0)
-    assert overload.below_minimum_share([waits]) == [(waits, 1)]
+    assert overload.below_minimum_share([waiting]) == [(waiting, 1)]
     assert overload.below_minimum_share([]) == []
 
 
@@ -123,14 +121,14 @@
     )
     overload = node.planner.overload = overloaded(node, sweep)
     node.context.counters.increment("red", "batch", counters.STARTED, 100)
-    for stopped, waits in ((4, False), (8, True)):
-        node.context.counters.increment("red", "batch", counters.STOPPED, stopped)
+    for preempted, churning in ((4, False), (8, True)):
+        node.context.counters.increment("red", "batch", counters.STOPPED, preempted)
         clock.at += 0.3
         shares = overload.shares
         overload.refresh()
         overload.shares = shares
-        assert overload.is_churning() is waits
-        assert node.planner._may_preempt(sweep) is not waits
+        assert overload.is_churning() is churning
+        assert node.planner._may_preempt(sweep) is not churning
         assert node.planner._may_preempt(service)
     clock.at += 0.3 * overload.settings.patience_s
     assert node.planner._may_preempt(sweep)
