--- a/starlingdeck/scheduling/constraints.py
+++ b/starlingdeck/scheduling/constraints.py
@@ -1,7 +1,6 @@
 """Where a job's tasks may run: machine types, zones, spot machines, and spreading."""
 
 from collections.abc import Callable, Sequence
-from typing import NamedTuple
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.job import Job, TaskPlacement
@@ -11,17 +10,14 @@
 CandidateFilter = Callable[[Candidate], bool]
 
 
-class ConstraintKey(NamedTuple):
-    """The constraints of a job; jobs with equal keys may use the same machines."""
-
-    types: tuple[str, ...]
-    zone: str | None
-    spot: bool
+# Machine types, zone, and whether spot machines are allowed; jobs with equal keys may use the
+# same machines. A plain tuple: every cycle builds one for each waiting job.
+ConstraintKey = tuple[tuple[str, ...], str | None, bool]
 
 
 def constraint_key(job: Job) -> ConstraintKey:
     """The key of a job's constraints."""
-    return ConstraintKey(tuple(job.spec.types or ()), job.spec.zone, job.spec.spot)
+    return tuple(job.spec.types or ()), job.spec.zone, job.spec.spot
 
 
 def satisfies_constraints(context: ControllerContext, job: Job, candidate: Candidate) -> bool:
--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -242,7 +242,7 @@
         items = self._work_items([*planned.values(), *others])
         found = minimum_share.below_share(items, self.own_share)
         # A job that waited when the last cycle ended may have no waiting tasks any more.
-        return [JobTaskCount(planned[index], tasks) for index, tasks in found if index in planned]
+        return [(planned[index], tasks) for index, tasks in found if index in planned]
 
     def _classes_below_share(self) -> set[TeamClass]:
         """Classes that ran less than their share here at the last refresh.
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -212,7 +212,7 @@
 
     def _prioritized(self, jobs: Sequence[Job], ordered: Sequence[Job]) -> list[JobTaskCount]:
         """Starving jobs and those below their minimum share, which go before all others."""
-        first = [JobTaskCount(job, 1) for job in self._starving(jobs)]
+        first = [(job, 1) for job in self._starving(jobs)]
         if self.overload is not None:
             first += self.overload.below_minimum_share(ordered)
         return first
@@ -325,10 +325,10 @@
         }
         remaining = int(self.overload_settings.gathers) - len(accumulating & schedulable)
         for job, count in prioritized:
-            unplaced = cycle.unplaced.get(job.index)
-            if remaining <= 0 or unplaced is None or not self._still_pending(job):
+            unplaced = cycle.unplaced.get(job.index, (job, 0))[1]
+            if remaining <= 0 or not unplaced or not self._still_pending(job):
                 continue
-            limit = min(remaining, count, unplaced.tasks)
+            limit = min(remaining, count, unplaced)
             before = len(accumulating)
             await self._place(
                 job,
--- a/starlingdeck/scheduling/scheduler.py
+++ b/starlingdeck/scheduling/scheduler.py
@@ -79,7 +79,7 @@
             job.avoided_machines.clear()
             waiting = min(limit, job.unfinished - job.active_attempts())
             if waiting > 0:
-                self.unplaced[job.index] = JobTaskCount(job, waiting)
+                self.unplaced[job.index] = (job, waiting)
         return True
 
     def _limit(self, job: Job, limit: int) -> int:
@@ -126,7 +126,7 @@
             missed += placer.place(tasks, self.may_preempt, now)
             decisions = placer.decisions
         if missed > 0:
-            self.unplaced[job.index] = JobTaskCount(job, missed)
+            self.unplaced[job.index] = (job, missed)
         self.remaining -= len(decisions)
         self.idle_cpus -= job.spec.cpus * sum(not decision.preempt for decision in decisions)
         return decisions
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -16,7 +16,6 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings
 from starlingdeck.scheduling.candidate_pool import UNANSWERED_RETENTION_S
-from starlingdeck.scheduling.decision import JobTaskCount
 from starlingdeck.scheduling.overload import OverloadController
 from starlingdeck.scheduling.planner import MAX_STRETCH_S
 from tests.support.builders import Clock, make_world, spec
@@ -103,7 +102,7 @@
     for one in (placed, waiting):
         jobs.jobs[one.index] = one
     overload = overloaded(node, placed, waiting)
-    overload.on_cycle_end([JobTaskCount(placed, 1), JobTaskCount(waiting, 1)])
+    overload.on_cycle_end([(placed, 1), (waiting, 1)])
     placed.placements[0] = TaskPlacement(0, 1, 1, 2, 0)
     assert overload.below_minimum_share([waiting]) == [(waiting, 1)]
     assert overload.below_minimum_share([]) == []
