--- a/starlingdeck/controller/autoscaling_loop.py
+++ b/starlingdeck/controller/autoscaling_loop.py
@@ -5,7 +5,8 @@
 
 import curio
 
-from starlingdeck.autoscaling.cloud import Autoscaler, CloudClient, CloudError
+from starlingdeck.autoscaling.autoscaler import Autoscaler
+from starlingdeck.autoscaling.cloud_client import CloudClient, CloudError
 from starlingdeck.cluster.membership import Membership
 from starlingdeck.context import ControllerContext
 from starlingdeck.controller.deleted_machines import DeletedMachines
--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -6,7 +6,8 @@
 from starlingdeck.api.heartbeat_api import HeartbeatApi
 from starlingdeck.api.job_api import JobApi
 from starlingdeck.api.job_request import JobApiServices
-from starlingdeck.autoscaling.cloud import CloudClient, learn_types
+from starlingdeck.autoscaling.cloud_client import CloudClient
+from starlingdeck.autoscaling.machine_types import refresh_machine_types
 from starlingdeck.cluster.membership import Membership
 from starlingdeck.cluster.peers import Peers
 from starlingdeck.context import ControllerContext
@@ -291,7 +292,7 @@
     async def update_machine_types(self) -> None:
         """Keep the machine types and their prices as the cloud last gave them."""
         store = self.machine_type_store
-        await learn_types(self.context, self.cloud_client, store.load, store.store)
+        await refresh_machine_types(self.context, self.cloud_client, store.load, store.store)
 
     # --- shards owned here
 
