--- a/starlingdeck/api/stored_status.py
+++ b/starlingdeck/api/stored_status.py
@@ -10,7 +10,7 @@
 from starlingdeck.jobs.log_reader import LogReader
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
-from starlingdeck.storage.commit_log import LoggedChange, done_bits, replay
+from starlingdeck.storage.commit_log import LoggedChange, completed_by_chunk, replay
 from starlingdeck.storage.records import FinalRecord, JobRecord, ShardValue
 from starlingdeck.transport.server import Response
 
@@ -56,7 +56,7 @@
             if not acknowledged:
                 return error_response(503, CANCELLATION_UNACKNOWLEDGED)
         done = await self._completed_tasks(shard, record, changes, owned)
-        running = len(replay({0: record.chunk}, changes)[0].on)
+        running = len(replay({0: record.chunk}, changes)[0].placements)
         state = api.CANCELLED if record.cancelled else api.RUNNING if running else api.QUEUED
         return json_response(200, api.JobStatus(name, state, done, running))
 
@@ -64,7 +64,7 @@
         """What the shard's commit log says of a job beyond its record, if the shard has one."""
         if not self.services.membership.writes_log(shard):
             return []
-        return (await self.log_reader.read(self.services.state, shard)).of(name)
+        return (await self.log_reader.read(self.services.state, shard)).changes_of(name)
 
     async def _completed_tasks(
         self, shard: int, record: JobRecord, changes: list[LoggedChange], owned: Job | None
@@ -75,7 +75,7 @@
         owner reads only the chunks of which the record may say more than it knows.
         """
         chunks = await self._done_chunks(shard, record, owned)
-        completed = done_bits(chunks, changes)
+        completed = completed_by_chunk(chunks, changes)
         if owned is None:
             return sum(bits.bit_count() for bits in completed.values())
         # Both at once, after all reading: a commit in between was counted as undone in a chunk
@@ -89,7 +89,7 @@
     ) -> dict[int, str]:
         """The encoded completion bits of a job's chunks, by chunk number."""
         state, name = self.services.state, record.spec.id
-        chunks = {0: record.chunk.done}
+        chunks = {0: record.chunk.completed_bits}
         if record.spec.tasks > records.TASKS_PER_CHUNK and owned is None:
             prefix = records.chunk_key(shard, name, None)
             for entry in (await state.read(prefix))[0]:
@@ -114,7 +114,7 @@
             if await state.get(records.mailbox_key(shard, name), True) is None:
                 return True
             entry = await state.get(records.shard_key(shard), True)
-            epoch = msgspec.json.decode(entry.value, type=ShardValue).gen if entry else None
+            epoch = msgspec.json.decode(entry.value, type=ShardValue).epoch if entry else None
             if epoch is None or (first_epoch is not None and epoch != first_epoch):
                 return True
             if context.now() >= deadline:
@@ -134,4 +134,4 @@
 
 
 def _done_field(chunk: api.Entry) -> str:
-    return msgspec.json.decode(chunk.value, type=records.DonePart).done
+    return msgspec.json.decode(chunk.value, type=records.CompletedBits).completed_bits
--- a/starlingdeck/cluster/failover.py
+++ b/starlingdeck/cluster/failover.py
@@ -27,8 +27,8 @@
     cut off and goes on renewing: restarted within a fraction of a second, this controller must not
     yet take a silent machine for lost.
     """
-    if not value.quiet_ms:
+    if not value.former_leases_end_ms:
         return 0.0
     max_skew_ms = 2 * context.settings.settings.skew_ms
-    left_ms = value.quiet_ms + max_skew_ms - context.wall_clock_ms()
+    left_ms = value.former_leases_end_ms + max_skew_ms - context.wall_clock_ms()
     return min(max(0.0, left_ms / 1000), context.outage_renewal_s)
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -17,9 +17,9 @@
 from starlingdeck.storage import records
 from starlingdeck.storage.state import (
     LeaseLostError,
+    RevisionTooOldError,
     StateClient,
     StateError,
-    TooOld,
     TransactionConflictError,
 )
 
@@ -96,7 +96,7 @@
             for event in events.events:
                 await self.handle_event(event)
             self.revision = max(self.revision, events.revision)
-        except TooOld:
+        except RevisionTooOldError:
             self.synced = False
         except StateError as error:
             log.debug("cluster watch failed: error=%r", error)
--- a/starlingdeck/cluster/ownership.py
+++ b/starlingdeck/cluster/ownership.py
@@ -110,7 +110,7 @@
         if mine is not None:
             if version <= mine.token:
                 return
-            if value.gen == mine.epoch:
+            if value.epoch == mine.epoch:
                 # This controller's own raise of the token, which got no answer, was executed.
                 await self._apply_raised_token(shard, version)
                 return
@@ -119,7 +119,7 @@
             self.logged_shards.add(shard)
         self.shard_keys[shard] = ShardKey(version, value)
         self.unowned_since.pop(shard, None)
-        self.record_owner(shard, ShardOwner(value.node, version, value.gen))
+        self.record_owner(shard, ShardOwner(value.node, version, value.epoch))
 
     async def reconcile(self, shard: int, live_nodes: Mapping[int, float]) -> None:
         """Take over a shard that has no owner, or hand one back to its home controller.
--- a/starlingdeck/counts/declaration.py
+++ b/starlingdeck/counts/declaration.py
@@ -59,7 +59,7 @@
         )
         changes = [
             put_change(store.key(resource), ledger),
-            put_change(records.change_key(name, FIRST_REVISION), change),
+            put_change(records.count_change_key(name, FIRST_REVISION), change),
         ]
         try:
             version = await store.state.transact({store.key(resource): 0}, changes)
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -146,7 +146,7 @@
 
     async def show_history(self, name: str) -> Response:
         """The last changes of a resource by operators."""
-        prefix = records.change_key(name, 0)[:-REVISION_DIGITS]
+        prefix = records.count_change_key(name, 0)[:-REVISION_DIGITS]
         entries, _ = await self.store.state.read(prefix)
         changes = [msgspec.json.decode(entry.value, type=LedgerChange) for entry in entries]
         if not changes:
@@ -198,10 +198,10 @@
         )
         changes = [
             put_change(records.count_key(name), new),
-            put_change(records.change_key(name, new.revision), change),
+            put_change(records.count_change_key(name, new.revision), change),
         ]
         if new.revision > MAX_HISTORY:
-            expired = records.change_key(name, new.revision - MAX_HISTORY)
+            expired = records.count_change_key(name, new.revision - MAX_HISTORY)
             changes.append(delete_change(expired))
         return changes
 
--- a/starlingdeck/jobs/commit_log.py
+++ b/starlingdeck/jobs/commit_log.py
@@ -13,8 +13,8 @@
 
 from starlingdeck.storage.commit_log import (
     JobChange,
+    LogContents,
     LoggedChange,
-    LogView,
     encode_commit,
     encode_segment,
     segment_key,
@@ -90,14 +90,14 @@
 
     # --- as read at a takeover
 
-    def adopt(self, view: LogView) -> None:
+    def adopt(self, view: LogContents) -> None:
         """Take over what former owners left; `adopt_job` says which of it is still needed."""
         self.pinned = {segment.slot for segment in view.unreadable}
         for slot, version in view.versions.items():
             if slot not in self.pinned:
-                self.slots[slot] = Slot(version, view.last.get(slot, LOG_START))
+                self.slots[slot] = Slot(version, view.newest_positions.get(slot, LOG_START))
         if view.versions:
-            self.durable = (self.token, 0)
+            self.durable = Position(self.token, 0)
 
     def pin(self, slots: Iterable[int]) -> None:
         """Keep slots as they are, for they hold something of a job that can't be read."""
@@ -113,7 +113,7 @@
         """Note which of a job's changes its record doesn't hold yet."""
         for logged in changes:
             for number in logged.change.chunks():
-                if number in chunks and logged.position <= chunks[number].upto:
+                if number in chunks and logged.position <= chunks[number].applied_position:
                     continue
                 if logged.slot in self.slots:
                     self._mark_dirty(logged.slot, ChunkId(index, number))
@@ -180,7 +180,7 @@
         A key whose content is in the records altogether is started afresh, without that content.
         """
         self.last_number += 1
-        position = (self.token, self.last_number)
+        position = Position(self.token, self.last_number)
         commit = encode_commit(position, encoded)
         self.open_slot = self._choose_slot(len(commit))
         slot = self.slots.setdefault(self.open_slot, Slot())
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -219,7 +219,7 @@
         """
         marked = []
         for update, change in zip(batch.updates, batch.changes, strict=True):
-            ended = {task // records.TASKS_PER_CHUNK for task in change.done}
+            ended = {task // records.TASKS_PER_CHUNK for task in change.completed}
             ended -= update.job.uncertain_chunks
             update.job.uncertain_chunks |= ended
             marked.append(UncertainChunks(update.job, ended))
@@ -280,7 +280,7 @@
 
     def _read_outcome(self, commit: PreparedCommit, entry: api.Entry) -> None:
         """Whether the commit was executed, by what its key holds now."""
-        if commit.position in read_segments([entry]).last.values():
+        if commit.position in read_segments([entry]).newest_positions.values():
             self.shard.commit_log.written(commit, entry.version)
             log.info("unanswered commit resolved: shard=%d outcome=executed", self.shard.shard)
         else:
--- a/starlingdeck/jobs/job.py
+++ b/starlingdeck/jobs/job.py
@@ -132,7 +132,7 @@
     def unknown_done(self, number: int, bits: int) -> int:
         """How many of the tasks done by `bits`, the bitmap of chunk `number`, are not done here."""
         first = number * TASKS_PER_CHUNK
-        known = int(records.pack_done(self.task_states, first, DONE) or "0", 16)
+        known = int(records.encode_completed(self.task_states, first, DONE) or "0", 16)
         return (bits & ~known).bit_count()
 
     def active_attempts(self) -> int:
--- a/starlingdeck/jobs/job_records.py
+++ b/starlingdeck/jobs/job_records.py
@@ -22,7 +22,7 @@
     context: ControllerContext, shard: int, main: JobRecord, chunks: dict[int, Chunk]
 ) -> Job:
     """A job as the state service has it; `chunks` are those beyond the first."""
-    job = new_job(context, main.spec, shard, main.at_ms)
+    job = new_job(context, main.spec, shard, main.submitted_ms)
     job.cancelled = main.cancelled
     for number, chunk in {0: main.chunk, **chunks}.items():
         _load_chunk(context, job, number, chunk)
@@ -31,19 +31,19 @@
 
 def _load_chunk(context: ControllerContext, job: Job, number: int, chunk: Chunk) -> None:
     first = number * TASKS_PER_CHUNK
-    for offset in records.unpack_done(chunk.done):
+    for offset in records.decode_completed(chunk.completed_bits):
         job.task_states[first + offset] = DONE
         job.completed += 1
-    for offset, attempts in enumerate(chunk.tries):
+    for offset, attempts in enumerate(chunk.attempts):
         job.attempts[first + offset] = attempts
-    for task, attempt, machine, session, zone in chunk.on:
-        job.task_states[task] = PLACED
-        job.placements[task] = TaskPlacement(
-            machine=context.machine_names.intern(machine),
-            session=session,
-            attempt=attempt,
-            shard=shard_of_machine(machine, zone, context.shard_zones),
-            zone=context.zone_names.intern(zone),
+    for placed in chunk.placements:
+        job.task_states[placed.task] = PLACED
+        job.placements[placed.task] = TaskPlacement(
+            machine=context.machine_names.intern(placed.machine),
+            session=placed.session,
+            attempt=placed.attempt,
+            shard=shard_of_machine(placed.machine, placed.zone, context.shard_zones),
+            zone=context.zone_names.intern(placed.zone),
         )
 
 
@@ -52,7 +52,7 @@
 ) -> PlacementRecord:
     """An attempt as records and the commit log store it."""
     machine, zone = context.machine_names[placement.machine], context.zone_names[placement.zone]
-    return (task, placement.attempt, machine, placement.session, zone)
+    return PlacementRecord(task, placement.attempt, machine, placement.session, zone)
 
 
 def encode_chunk(
@@ -69,7 +69,7 @@
     """
     first = number * TASKS_PER_CHUNK
     last = min(first + TASKS_PER_CHUNK, job.spec.tasks)
-    done = int(records.pack_done(job.task_states, first, DONE) or "0", 16)
+    done = int(records.encode_completed(job.task_states, first, DONE) or "0", 16)
     for task, cause in ends.items():
         if first <= task < last and cause == api.W_DONE:
             done |= 1 << (task - first)
@@ -84,7 +84,7 @@
             placements[task] = placement
             attempts[task - first] = placement.attempt
     return Chunk(
-        records.pack_tries(attempts, 0),
+        records.encode_attempts(attempts, 0),
         f"{done:x}" if done else "",
         [encode_placement(context, task, placement) for task, placement in placements.items()],
         upto,
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -13,7 +13,7 @@
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
-from starlingdeck.storage.commit_log import LogView, log_prefix, read_segments, replay
+from starlingdeck.storage.commit_log import LogContents, log_prefix, read_segments, replay
 from starlingdeck.storage.records import Chunk, FinalRecord, JobRecord
 from starlingdeck.storage.state import StateClient, StateError
 
@@ -61,10 +61,10 @@
         segments, _ = await self.state.read(log_prefix(shard))
         view = read_segments(segments)
         for segment in view.unreadable:
-            self.context.quarantine_failed("segment", str(segment.slot), ValueError(segment.fault))
+            self.context.quarantine_failed("segment", str(segment.slot), ValueError(segment.error))
         commit_log = self.shard.commit_log
         commit_log.adopt(view)
-        commit_log.pin(view.broken_slots)
+        commit_log.pin(view.unreadable_job_slots)
         chunks, unreadable = self._decode_chunks(chunk_entries)
         unfinished = {entry.key.rsplit("/", 1)[1] for entry in mains}
         self.shard.schedule_key_deletion(
@@ -73,13 +73,13 @@
         for entry in mains:
             name = entry.key.rsplit("/", 1)[1]
             if name in unreadable:
-                commit_log.pin(logged.slot for logged in view.of(name))
+                commit_log.pin(logged.slot for logged in view.changes_of(name))
                 continue
             try:
                 self._load_entry(entry, chunks.get(name, FurtherChunks()), view)
             except Exception as error:  # one job's fault must not hold up the shard
                 self.context.quarantine_failed("record", entry.key, error)
-                commit_log.pin(logged.slot for logged in view.of(name))
+                commit_log.pin(logged.slot for logged in view.changes_of(name))
         self.shard.loaded = True
         log.info("shard jobs loaded: shard=%d unfinished_jobs=%d", shard, len(mains))
 
@@ -99,17 +99,17 @@
                 unreadable.add(job)
         return chunks, unreadable
 
-    def _load_entry(self, entry: api.Entry, further: FurtherChunks, view: LogView) -> None:
+    def _load_entry(self, entry: api.Entry, further: FurtherChunks, view: LogContents) -> None:
         """Take up a job at a takeover, with what the log has of it."""
         main = msgspec.json.decode(entry.value, type=JobRecord)
         name = main.spec.id
         chunk_count = records.chunks_of(main.spec.tasks)
-        if reason := view.hides(name, entry.version, main.cancelled, chunk_count):
+        if reason := view.incomplete_reason(name, entry.version, main.cancelled, chunk_count):
             self.unreadable[name] = reason
             raise ValueError(reason)
         index = self.context.job_names.intern(name)
         stored = {0: main.chunk, **further.chunks}
-        self.shard.commit_log.adopt_job(index, name, stored, view.of(name))
+        self.shard.commit_log.adopt_job(index, name, stored, view.changes_of(name))
         self._adopt(entry, main, further)
 
     def _adopt(self, entry: api.Entry, main: JobRecord, further: FurtherChunks) -> Job:
@@ -121,7 +121,7 @@
         job = load_job(self.context, self.shard.shard, main, chunks)
         job.key_versions = {0: entry.version, **further.versions}
         for number, chunk in stored.items():
-            commit_log.checkpointed(ChunkId(job.index, number), chunk.upto)
+            commit_log.checkpointed(ChunkId(job.index, number), chunk.applied_position)
         old = self.shard.jobs.get(job.index)
         if old is not None:
             _keep_observed(job, old, entry.version)
--- a/starlingdeck/jobs/log_reader.py
+++ b/starlingdeck/jobs/log_reader.py
@@ -4,7 +4,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from starlingdeck.storage.commit_log import LogView, log_prefix, read_segments
+from starlingdeck.storage.commit_log import LogContents, log_prefix, read_segments
 from starlingdeck.storage.state import StateClient, StateError
 
 
@@ -12,7 +12,7 @@
     """One read of a log, and its result for all who wait for it."""
 
     finished: curio.Event = field(default_factory=curio.Event)
-    view: LogView | None = None
+    view: LogContents | None = None
     error: str = ""
 
 
@@ -27,7 +27,7 @@
         self.next_reads: dict[int, PendingRead] = {}  # shard -> a read that has not begun
         self.locks: dict[int, curio.Lock] = {}  # shard -> held while its log is read
 
-    async def read(self, state: StateClient, shard: int) -> LogView:
+    async def read(self, state: StateClient, shard: int) -> LogContents:
         """A shard's log as of now; StateError when it can't be read."""
         pending = self.next_reads.get(shard)
         if pending is None:
--- a/starlingdeck/jobs/update_drafter.py
+++ b/starlingdeck/jobs/update_drafter.py
@@ -198,7 +198,7 @@
         change = JobChange(
             job.id,
             starts=[encode_placement(self.context, task, start) for task, start in starts.items()],
-            done=[task for task, cause in ends.items() if cause == api.W_DONE],
+            completed=[task for task, cause in ends.items() if cause == api.W_DONE],
             freed=[task for task, cause in ends.items() if cause != api.W_DONE],
         )
         conditions = {records.job_key(self.shard.shard, job.id): job.key_versions[0]}
--- a/starlingdeck/scheduling/moves.py
+++ b/starlingdeck/scheduling/moves.py
@@ -68,7 +68,7 @@
             tuning.refit_candidates,
             self.context.rng,
         )
-        if not ranked or self.limiter.delay(1.0, True) > 0:
+        if not ranked or self.limiter.take_or_delay(1.0, True) > 0:
             return None
         cached = [candidate for candidate in ranked if job.spec.image in candidate.images]
         return (cached or ranked)[0]
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -192,7 +192,7 @@
         return (
             job.backoff_until <= now
             and not job.placements
-            and self.probe_limiter.delay(1.0, True) <= 0
+            and self.probe_limiter.take_or_delay(1.0, True) <= 0
         )
 
     def _on_idle(self, now: float) -> None:
--- a/starlingdeck/sync/relay.py
+++ b/starlingdeck/sync/relay.py
@@ -151,15 +151,15 @@
 
         True if messages were passed on. Raises ValueError for a malformed key or text.
         """
-        sender, to, index = records.parse_relay(key)
+        sender, to, index = records.parse_relay_key(key)
         if to != self.context.node or sender == self.context.node:
             return False
         part = msgspec.json.decode(value, type=records.RelayPart)
         incoming = self.incoming.get(sender)
-        if incoming is None or incoming.number != part.text:
-            incoming = self.incoming[sender] = IncomingText(part.text)
-        incoming.pieces[index] = part.piece
-        text = incoming.joined(part.parts)
+        if incoming is None or incoming.number != part.sequence:
+            incoming = self.incoming[sender] = IncomingText(part.sequence)
+        incoming.pieces[index] = part.fragment
+        text = incoming.joined(part.part_count)
         if text is None:
             return False
         del self.incoming[sender]
--- a/starlingdeck/transport/server.py
+++ b/starlingdeck/transport/server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server on curio and h11, bounded in every direction."""
+"""A small HTTP/1.1 server on curio and h11 with limits on bodies, connections and time."""
 
 import contextlib
 import functools
@@ -11,19 +11,19 @@
 from curio import socket
 
 from starlingdeck.transport.connections import Connection, ConnectionTable
+from starlingdeck.transport.listener import accept_connections
 
 log = logging.getLogger(__name__)
 
 MAX_BODY = 64 * 1024
 READ_BYTES = 16 * 1024
-HEADS_KEPT = 512
-# Connections that may wait to be accepted: those of 4,000 workers that connect at once, as after
-# a controller's restart. Linux allows no more than net.core.somaxconn, 4,096 by default.
-ACCEPT_BACKLOG = 4_096
-END = h11.EndOfMessage()
+MAX_CACHED_HEADS = 512
+END_OF_MESSAGE = h11.EndOfMessage()
 
 
 class Request:
+    """A request that was read whole."""
+
     __slots__ = ("body", "method", "path", "query")
 
     def __init__(self, method: str, target: str, body: bytes) -> None:
@@ -33,6 +33,8 @@
 
 
 class Response:
+    """A response with a JSON body."""
+
     __slots__ = ("body", "headers", "status")
 
     def __init__(
@@ -81,18 +83,17 @@
 
     async def run(self) -> None:
         """Accept connections until cancelled."""
-        sock = listen(self.address)
-        async with sock:
-            while True:
-                client, _ = await sock.accept()
-                if self.connections.is_full() and not await self._evict_idle():
-                    # Refuse at once rather than let sockets run out for workers and peers.
-                    self.refused += 1
-                    await client.close()
-                    continue
-                connection = Connection(client)
-                self.connections.add(connection)
-                connection.task = await curio.spawn(self._serve, connection, daemon=True)
+        await accept_connections(self.address, self._admit)
+
+    async def _admit(self, client: curio.io.Socket) -> None:
+        if self.connections.is_full() and not await self._evict_idle():
+            # Refuse at once rather than let sockets run out for workers and peers.
+            self.refused += 1
+            await client.close()
+            return
+        connection = Connection(client)
+        self.connections.add(connection)
+        connection.task = await curio.spawn(self._serve_connection, connection, daemon=True)
 
     async def _evict_idle(self) -> bool:
         """Close the idle connection that is to go first; False when there is none."""
@@ -108,22 +109,22 @@
         await victim.task.wait()
         return True
 
-    async def _serve(self, connection: Connection) -> None:
+    async def _serve_connection(self, connection: Connection) -> None:
         try:
             async with connection.socket:
-                await self._talk(connection)
+                await self._serve_requests(connection)
         except (OSError, h11.ProtocolError, curio.TaskTimeout) as error:
-            log.debug("connection ended: %r", error)
-        except Exception:
-            log.exception("a request broke its handler")
+            log.debug("connection ended: error=%r", error)
+        except Exception:  # the task's outermost edge: it ends this connection only
+            log.exception("request handler failed")
         finally:
             self.connections.remove(connection)
 
-    async def _talk(self, connection: Connection) -> None:
+    async def _serve_requests(self, connection: Connection) -> None:
         conn, client = h11.Connection(h11.SERVER), connection.socket
         while True:
             try:
-                request = await self._read(conn, connection)
+                request = await self._read_request(conn, connection)
             except h11.RemoteProtocolError as error:
                 if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                     note = b'{"error":"malformed request"}'
@@ -131,7 +132,7 @@
                 return
             if request is None:
                 return
-            if isinstance(request, Response):
+            if isinstance(request, Response):  # the request is refused without its handler
                 await self._send(conn, client, request, True)
                 return
             self.connections.classify(connection, self.is_from_worker(request))
@@ -152,7 +153,7 @@
         self.closed_after_response += 1
         return True
 
-    async def _read(
+    async def _read_request(
         self, conn: h11.Connection, connection: Connection
     ) -> Request | Response | None:
         head: h11.Request | None = None
@@ -187,7 +188,7 @@
         return b"" if connection.evicted else data
 
     async def _receive_more(self, conn: h11.Connection, client: curio.io.Socket) -> bytes:
-        """More of a request that has begun. A half-sent one may not hold a socket for ever."""
+        """More of a request that has begun. A half-sent one may not keep a socket for ever."""
         async with curio.timeout_after(self.stall_s):
             if conn.they_are_waiting_for_100_continue:
                 go_on = h11.InformationalResponse(status_code=100, headers=[])
@@ -198,27 +199,21 @@
     async def _send(
         self, conn: h11.Connection, client: curio.io.Socket, response: Response, close: bool
     ) -> None:
-        head = _head(response.status, len(response.body), response.headers, close)
+        head = _response_head(response.status, len(response.body), response.headers, close)
         out = conn.send(head) or b""
         out += conn.send(h11.Data(data=response.body)) or b""
-        out += conn.send(END) or b""
+        out += conn.send(END_OF_MESSAGE) or b""
         async with curio.timeout_after(self.stall_s):
             await client.sendall(out)
 
 
-@functools.lru_cache(HEADS_KEPT)
-def _head(status: int, length: int, more: tuple[tuple[str, str], ...], close: bool) -> h11.Response:
-    """Most answers have one of few heads; checking its fields anew was a sixth of a report."""
+@functools.lru_cache(MAX_CACHED_HEADS)
+def _response_head(
+    status: int, length: int, more: tuple[tuple[str, str], ...], close: bool
+) -> h11.Response:
+    """The head of a response, cached: most have one of few, and h11's checks of a new one took a
+    sixth of the processor time of a report."""
     headers = [("content-type", "application/json"), ("content-length", str(length)), *more]
     if close:
         headers.append(("connection", "close"))
     return h11.Response(status_code=status, headers=headers)
-
-
-def listen(address: tuple[str, int]) -> curio.io.Socket:
-    """A socket that listens on the address."""
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    sock.bind(address)
-    sock.listen(ACCEPT_BACKLOG)
-    return sock
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -200,13 +200,13 @@
         await second.join()
 
     curio.run(write)
-    assert len({c.value.text for changes in arrived for c in changes}) == 2
+    assert len({c.value.sequence for changes in arrived for c in changes}) == 2
     for changes in arrived:
         for change in changes:
             value = msgspec.Raw(msgspec.json.encode(change.value))
             at_once(theirs.state_sync.receive_relay(change.put or "", value, receive))
     assert set(received) <= set(payloads)
-    for change in [c for changes in arrived for c in changes if c.value.text == 2]:
+    for change in [c for changes in arrived for c in changes if c.value.sequence == 2]:
         value = msgspec.Raw(msgspec.json.encode(change.value))
         at_once(theirs.state_sync.receive_relay(change.put or "", value, receive))
     assert payloads[1] in received
@@ -287,7 +287,7 @@
     assert len(first.tasks) == FULL_TASKS and len(first.images) == FULL_IMAGES
     # Also for the largest fleet, half as many machines again, it is one frame.
     size = len(pb.Envelope(snapshot=shard.full_snapshot(True)).SerializeToString())
-    assert size * frames.MOST_MACHINES // 4_001 <= frames.MAX_FRAME
+    assert size * frames.MAX_MACHINES // 4_001 <= frames.MAX_FRAME
 
 
 events = st.lists(
