--- a/starlingdeck/api/job_api.py
+++ b/starlingdeck/api/job_api.py
@@ -20,7 +20,7 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.api import JobSpec
 from starlingdeck.storage import records
-from starlingdeck.storage.commit_log import LoggedChange, done_bits, replay
+from starlingdeck.storage.commit_log import LoggedChange, completed_by_chunk, replay
 from starlingdeck.storage.records import FinalRecord, JobRecord, ShardValue
 from starlingdeck.storage.state import (
     OutcomeUnknownError,
@@ -330,7 +330,7 @@
                 if not known:
                     return error_response(503, CANCELLATION_UNACKNOWLEDGED)
             done = await self._completed_tasks(shard, record, changes, held)
-            running = len(replay({0: record.chunk}, changes)[0].on)
+            running = len(replay({0: record.chunk}, changes)[0].placements)
             state = api.CANCELLED if record.cancelled else api.RUNNING if running else api.QUEUED
             return json_response(200, api.JobStatus(name, state, done, running))
         entry = await self.state.get(records.final_key(shard, name), True)
@@ -343,7 +343,7 @@
         """What the shard's commit log says of a job beyond its record, if the shard has one."""
         if not self.membership.writes_log(shard):
             return []
-        return (await self.log_reader.read(self.state, shard)).of(name)
+        return (await self.log_reader.read(self.state, shard)).changes_of(name)
 
     async def _completed_tasks(
         self, shard: int, record: JobRecord, changes: list[LoggedChange], held: Job | None
@@ -351,7 +351,7 @@
         """How many tasks of a job have completed by its record and the log, all parts counted: by
         the first part alone an array's count fell whenever its holder couldn't be asked. Its
         holder reads only the parts of which the record may say more than it knows."""
-        name, parts = record.spec.id, {0: record.chunk.done}
+        name, parts = record.spec.id, {0: record.chunk.completed_bits}
         if record.spec.tasks > records.TASKS_PER_CHUNK and held is None:
             prefix = records.chunk_key(shard, name, None)
             for entry in (await self.state.read(prefix))[0]:
@@ -361,7 +361,7 @@
                 key = records.chunk_key(shard, name, number)
                 if (part := await self.state.get(key, True)) is not None:
                     parts[number] = _done_bits(part)
-        bits = done_bits(parts, changes)
+        bits = completed_by_chunk(parts, changes)
         if held is None:
             return sum(one.bit_count() for one in bits.values())
         # Both at once, after all reading: a commit in between was counted as undone in a part
@@ -423,7 +423,7 @@
             if await self.state.get(records.mailbox_key(shard, name), True) is None:
                 return True
             entry = await self.state.get(records.shard_key(shard), True)
-            epoch = msgspec.json.decode(entry.value, type=ShardValue).gen if entry else None
+            epoch = msgspec.json.decode(entry.value, type=ShardValue).epoch if entry else None
             if epoch is None or (first is not None and epoch != first):
                 return True
             if self.context.now() >= until:
@@ -438,7 +438,7 @@
 
 
 def _done_bits(part: api.Entry) -> str:
-    return msgspec.json.decode(part.value, type=records.DonePart).done
+    return msgspec.json.decode(part.value, type=records.CompletedBits).completed_bits
 
 
 def final_status(name: str, state: str, done: int) -> api.JobStatus:
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -14,9 +14,9 @@
 from starlingdeck.storage.records import NodeValue, ShardValue
 from starlingdeck.storage.state import (
     LeaseLostError,
+    RevisionTooOldError,
     StateClient,
     StateError,
-    TooOld,
     TransactionConflictError,
     delete_change,
     put_change,
@@ -151,7 +151,7 @@
             for event in events.events:
                 await self._event(event)
             self.revision = max(self.revision, events.revision)
-        except TooOld:
+        except RevisionTooOldError:
             self.synced = False
         except StateError as error:
             log.debug("watch failed: %s", error)
@@ -212,7 +212,7 @@
         value = msgspec.json.decode(event.value, type=ShardValue)
         if mine is not None and event.version <= mine.token:
             return
-        if mine is not None and value.gen == mine.epoch:
+        if mine is not None and value.epoch == mine.epoch:
             # A raise of ours that got no answer was executed after all.
             await self._raised(shard, event.version)
             return
@@ -222,7 +222,7 @@
             self.logged.add(shard)
         self.present[shard] = (event.version, value)
         self.absent.pop(shard, None)
-        self.record_owner(shard, ShardOwner(value.node, event.version, value.gen))
+        self.record_owner(shard, ShardOwner(value.node, event.version, value.epoch))
 
     async def ownership_loop(self) -> None:
         while True:
@@ -274,10 +274,10 @@
         Our former process is dead and renews none. But it may have just taken the shard from one
         that is cut off and goes on: back within a fraction of a second, we judged its silence.
         """
-        if not value.quiet_ms:
+        if not value.former_leases_end_ms:
             return 0.0
         off_ms = 2 * self.context.settings.settings.skew_ms
-        left_ms = value.quiet_ms + off_ms - self.context.wall_clock_ms()
+        left_ms = value.former_leases_end_ms + off_ms - self.context.wall_clock_ms()
         return min(max(0.0, left_ms / 1000), self.context.outage_renewal_s)
 
     async def _take(self, shard: int, version: int, wait_s: float) -> None:
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -133,7 +133,7 @@
 
 
 async def history(counts: LedgerStore, name: str) -> Response:
-    entries, _ = await counts.state.read(records.change_key(name, 0)[:-8])
+    entries, _ = await counts.state.read(records.count_change_key(name, 0)[:-8])
     found = [msgspec.json.decode(e.value, type=Change) for e in entries]
     return json_response(200, {"changes": found}) if found else error_response(404, "no such count")
 
@@ -187,8 +187,8 @@
     )
     changes = [
         put_change(records.count_key(name), new),
-        put_change(records.change_key(name, new.rev), made),
+        put_change(records.count_change_key(name, new.rev), made),
     ]
     if new.rev > HISTORY_KEPT:
-        changes.append(delete_change(records.change_key(name, new.rev - HISTORY_KEPT)))
+        changes.append(delete_change(records.count_change_key(name, new.rev - HISTORY_KEPT)))
     return new, changes
--- a/starlingdeck/counts/plugin.py
+++ b/starlingdeck/counts/plugin.py
@@ -494,7 +494,7 @@
                 )
                 puts = [
                     put_change(self.key(count), new),
-                    put_change(records.change_key(name, 1), change),
+                    put_change(records.count_change_key(name, 1), change),
                 ]
                 try:
                     version = await self.state.transact({self.key(count): 0}, puts)
--- a/starlingdeck/jobs/commit_log.py
+++ b/starlingdeck/jobs/commit_log.py
@@ -10,8 +10,8 @@
 
 from starlingdeck.storage.commit_log import (
     JobChange,
+    LogContents,
     LoggedChange,
-    LogView,
     encode_commit,
     encode_segment,
     segment_key,
@@ -72,14 +72,14 @@
 
     # --- as read at a takeover
 
-    def adopt(self, view: LogView) -> None:
+    def adopt(self, view: LogContents) -> None:
         """Takes over what former holders left; `adopt_job` says which of it is still needed."""
         self.lost = {segment.slot for segment in view.unreadable}
         for slot, version in view.versions.items():
             if slot not in self.lost:
-                self.slots[slot] = Slot(version, view.last.get(slot, LOG_START))
+                self.slots[slot] = Slot(version, view.newest_positions.get(slot, LOG_START))
         if view.versions:
-            self.durable = (self.token, 0)
+            self.durable = Position(self.token, 0)
 
     def pin(self, slots: Iterable[int]) -> None:
         """Slots that hold something of a job that can't be read: they stay as they are."""
@@ -95,7 +95,7 @@
         """Notes which of a job's changes its record doesn't hold yet."""
         for logged in changes:
             for number in logged.change.chunks():
-                if number in chunks and logged.position <= chunks[number].upto:
+                if number in chunks and logged.position <= chunks[number].applied_position:
                     continue
                 if logged.slot in self.slots:
                     self._mark(logged.slot, (index, number))
@@ -153,7 +153,7 @@
         A key whose content all records hold is begun anew: what they hold is left out.
         """
         self.number += 1
-        position = (self.token, self.number)
+        position = Position(self.token, self.number)
         commit = encode_commit(position, encoded)
         self.open = self._choose(len(commit))
         slot = self.slots.setdefault(self.open, Slot())
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -198,7 +198,7 @@
         added = []
         for update, change in zip(batch.drafts, batch.changes, strict=True):
             ended = {
-                task // records.TASKS_PER_CHUNK for task in change.done
+                task // records.TASKS_PER_CHUNK for task in change.completed
             } - update.job.uncertain_chunks
             update.job.uncertain_chunks |= ended
             added.append((update.job, ended))
@@ -262,7 +262,7 @@
         log.info("shard %d: a commit without an answer was fenced off", self.shard.shard)
 
     def _read_fate(self, commit: Prepared, entry: api.Entry) -> None:
-        if commit.position in read_segments([entry]).last.values():
+        if commit.position in read_segments([entry]).newest_positions.values():
             self.shard.commit_log.written(commit, entry.version)
             log.info("shard %d: a commit without an answer was carried out", self.shard.shard)
         else:
--- a/starlingdeck/jobs/job.py
+++ b/starlingdeck/jobs/job.py
@@ -138,7 +138,7 @@
     def unknown_done(self, number: int, bits: int) -> int:
         """How many tasks of chunk `number`, given as bits, are done and not known here as such."""
         first = number * TASKS_PER_CHUNK
-        known = int(records.pack_done(self.task_states, first, DONE) or "0", 16)
+        known = int(records.encode_completed(self.task_states, first, DONE) or "0", 16)
         return (bits & ~known).bit_count()
 
     def active_attempts(self) -> int:
@@ -199,24 +199,24 @@
     context: ControllerContext, shard: int, main: JobRecord, chunks: dict[int, Chunk]
 ) -> Job:
     """A job as the state service has it; `chunks` are those beyond the first."""
-    job = new_job(context, main.spec, shard, main.at_ms)
+    job = new_job(context, main.spec, shard, main.submitted_ms)
     job.cancelled = main.cancelled
     for number, chunk in {0: main.chunk, **chunks}.items():
         first = number * TASKS_PER_CHUNK
-        for i in records.unpack_done(chunk.done):
+        for i in records.decode_completed(chunk.completed_bits):
             job.task_states[first + i] = DONE
             job.completed += 1
-        for i, tries in enumerate(chunk.tries):
+        for i, tries in enumerate(chunk.attempts):
             job.attempts[first + i] = tries
-        for task, attempt, machine, session, zone in chunk.on:
-            job.task_states[task] = PLACED
-            owner = shard_of_machine(machine, zone, context.shard_zones)
-            job.placements[task] = TaskPlacement(
-                context.machine_names.intern(machine),
-                session,
-                attempt,
+        for place in chunk.placements:
+            job.task_states[place.task] = PLACED
+            owner = shard_of_machine(place.machine, place.zone, context.shard_zones)
+            job.placements[place.task] = TaskPlacement(
+                context.machine_names.intern(place.machine),
+                place.session,
+                place.attempt,
                 owner,
-                context.zone_names.intern(zone),
+                context.zone_names.intern(place.zone),
             )
     return job
 
@@ -226,7 +226,7 @@
 ) -> PlacementRecord:
     """An attempt as records and the log say it."""
     machine, zone = context.machine_names[placement.machine], context.zone_names[placement.zone]
-    return (task, placement.attempt, machine, placement.session, zone)
+    return PlacementRecord(task, placement.attempt, machine, placement.session, zone)
 
 
 def encode_chunk(
@@ -241,7 +241,7 @@
     commit log says up to `upto`."""
     first = number * TASKS_PER_CHUNK
     last = min(first + TASKS_PER_CHUNK, job.spec.tasks)
-    done = int(records.pack_done(job.task_states, first, DONE) or "0", 16)
+    done = int(records.encode_completed(job.task_states, first, DONE) or "0", 16)
     for task, error in ends.items():
         if first <= task < last and error == api.W_DONE:
             done |= 1 << (task - first)
@@ -252,7 +252,7 @@
             placements[task] = placement
             tries[task - first] = placement.attempt
     return Chunk(
-        records.pack_tries(tries, 0),
+        records.encode_attempts(tries, 0),
         f"{done:x}" if done else "",
         [encode_placement(context, task, place) for task, place in placements.items()],
         upto,
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -10,7 +10,7 @@
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.protocol import api
 from starlingdeck.storage import records
-from starlingdeck.storage.commit_log import LogView, log_prefix, read_segments, replay
+from starlingdeck.storage.commit_log import LogContents, log_prefix, read_segments, replay
 from starlingdeck.storage.records import Chunk, FinalRecord, JobRecord
 from starlingdeck.storage.state import StateClient, StateError
 
@@ -44,9 +44,9 @@
         segments, _ = await self.state.read(log_prefix(shard))
         view = read_segments(segments)
         for segment in view.unreadable:
-            self.context.quarantine_failed("segment", str(segment.slot), ValueError(segment.fault))
+            self.context.quarantine_failed("segment", str(segment.slot), ValueError(segment.error))
         self.shard.commit_log.adopt(view)
-        self.shard.commit_log.pin(view.broken_slots)
+        self.shard.commit_log.pin(view.unreadable_job_slots)
         chunks, broken = self._chunks(parts)
         unfinished = {entry.key.rsplit("/", 1)[1] for entry in mains}
         self.shard.schedule_key_deletion(
@@ -55,13 +55,13 @@
         for entry in mains:
             name = entry.key.rsplit("/", 1)[1]
             if name in broken:
-                self.shard.commit_log.pin(logged.slot for logged in view.of(name))
+                self.shard.commit_log.pin(logged.slot for logged in view.changes_of(name))
                 continue
             try:
                 self._take(entry, chunks.get(name, {}), view)
             except Exception as error:
                 self.context.quarantine_failed("record", entry.key, error)
-                self.shard.commit_log.pin(logged.slot for logged in view.of(name))
+                self.shard.commit_log.pin(logged.slot for logged in view.changes_of(name))
         self.shard.loaded = True
         log.info("shard %d: %d unfinished jobs read", shard, len(mains))
 
@@ -80,16 +80,16 @@
                 broken.add(job)
         return chunks, broken
 
-    def _take(self, entry: api.Entry, parts: Parts, view: LogView) -> None:
+    def _take(self, entry: api.Entry, parts: Parts, view: LogContents) -> None:
         main = msgspec.json.decode(entry.value, type=JobRecord)
         name = main.spec.id
         many = records.chunks_of(main.spec.tasks)
-        if hidden := view.hides(name, entry.version, main.cancelled, many):
+        if hidden := view.incomplete_reason(name, entry.version, main.cancelled, many):
             self.hidden[name] = hidden
             raise ValueError(hidden)
         index = self.context.job_names.intern(name)
         stored = {0: main.chunk, **{n: chunk for n, (_, chunk) in parts.items()}}
-        self.shard.commit_log.adopt_job(index, name, stored, view.of(name))
+        self.shard.commit_log.adopt_job(index, name, stored, view.changes_of(name))
         self._adopt(entry, main, parts)
 
     def _adopt(self, entry: api.Entry, main: JobRecord, parts: Parts) -> Job:
@@ -100,7 +100,7 @@
         job = load_job(self.context, self.shard.shard, main, chunks)
         job.key_versions = {0: entry.version, **{n: v for n, (v, _) in parts.items()}}
         for number, chunk in stored.items():
-            self.shard.commit_log.covered((job.index, number), chunk.upto)
+            self.shard.commit_log.covered((job.index, number), chunk.applied_position)
         old = self.shard.jobs.get(job.index)
         if old is not None:
             _keep_seen(job, old, entry.version)
--- a/starlingdeck/jobs/log_reader.py
+++ b/starlingdeck/jobs/log_reader.py
@@ -4,7 +4,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from starlingdeck.storage.commit_log import LogView, log_prefix, read_segments
+from starlingdeck.storage.commit_log import LogContents, log_prefix, read_segments
 from starlingdeck.storage.state import StateClient, StateError
 
 
@@ -12,7 +12,7 @@
     """One reading, and all who wait for it."""
 
     ended: curio.Event = field(default_factory=curio.Event)
-    view: LogView | None = None
+    view: LogContents | None = None
     fault: str = ""
 
 
@@ -27,7 +27,7 @@
         self.next: dict[int, Reading] = {}  # shard -> a reading that has not begun
         self.busy: dict[int, curio.Lock] = {}
 
-    async def read(self, state: StateClient, shard: int) -> LogView:
+    async def read(self, state: StateClient, shard: int) -> LogContents:
         """Raises StateError when it can't be read."""
         reading = self.next.get(shard)
         if reading is None:
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -143,7 +143,7 @@
         return (
             job.backoff_until <= now
             and not job.placements
-            and self.probe_limiter.delay(1.0, True) <= 0
+            and self.probe_limiter.take_or_delay(1.0, True) <= 0
         )
 
     def _starving(self, jobs: list[Job]) -> list[Job]:
@@ -382,7 +382,7 @@
                     tuning.refit_candidates,
                     self.context.rng,
                 )
-                if not drawn or self.move_limiter.delay(1.0, True) > 0:
+                if not drawn or self.move_limiter.take_or_delay(1.0, True) > 0:
                     job.retry_at[task] = now + 0.3
                     continue
                 cached = [r for r in drawn if job.spec.image in r.images]
--- a/starlingdeck/storage/records.py
+++ b/starlingdeck/storage/records.py
@@ -1,23 +1,26 @@
-"""Bookkeeping: what is kept in the state service, and under which keys.
+"""The records in the state service: their keys, and their stored form.
 
-c/n/NODE        a living controller, on its lease
-c/h/SHARD       its last takeover; changed by each, so that none can be carried out late
-c/s/SHARD       who holds a shard, on its holder's lease; the stamp is the token
-c/i/SHARD/JOB   a note to the holder that another node changed this job
-c/r/FROM-TO-N   messages between controllers that can't reach each other, part N
+A field's stored name is its `name=` where the two differ; stored names never change.
+
+c/n/NODE        a live controller, on its lease
+c/h/SHARD       the last takeover; every takeover changes it, so that none can be executed late
+c/s/SHARD       the owner of a shard, on the owner's lease; its version is the fencing token
+c/i/SHARD/JOB   a notice to the owner that another controller changed this job
+c/r/FROM-TO-N   relayed messages between controllers that can't reach each other, part N
 j/SHARD/JOB     an unfinished job with its first tasks
 t/SHARD/JOB/C   further tasks of a large job
-f/SHARD/JOB     the final state of a job, for ever
+f/SHARD/JOB     the terminal state of a job, kept for ever
 w/SHARD/N       a segment of a shard's commit log (storage.commit_log)
 c/q/TEAM        how a team's limit is split over the shards
-c/u/COUNT       a count's ceiling, and how many units each shard holds
-u/COUNT/N       the Nth change that an operator made to a count
-m/types         the machine types last seen
+c/u/COUNT       a counted resource's limit, and how many units each shard has
+u/COUNT/N       the Nth change that an operator made to a counted resource
+m/types         the machine types last read from the cloud
 """
 
-from array import array
+from collections.abc import Sequence
 
 import msgspec
+from msgspec import field
 
 from starlingdeck.protocol.api import DONE, JobSpec
 
@@ -33,155 +36,202 @@
 TYPES = "m/types"
 
 
-# Of a commit: the token under which its writer took the shard, and a number from then on.
-Position = tuple[int, int]
-LOG_START: Position = (0, 0)  # before every commit; what no log was written over
-PlacementRecord = tuple[int, int, str, int, str]  # task, attempt, machine, session, zone
+class Position(
+    msgspec.Struct, array_like=True, frozen=True, order=True, forbid_unknown_fields=True
+):
+    """Where a commit stands in a shard's log. Positions are ordered as commits were made."""
+
+    token: int  # under which the writer owned the shard
+    number: int  # of the commit since that takeover
+
+
+LOG_START = Position(0, 0)  # before every commit; that of a chunk no log was ever applied to
+
+
+class PlacementRecord(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """An active attempt of a task, as records and the commit log store it."""
+
+    task: int
+    attempt: int
+    machine: str
+    session: int
+    zone: str
 
 
 class NodeValue(msgspec.Struct):
+    """A live controller. `incarnation` is drawn at its start."""
+
     node: int
-    boot: int
+    incarnation: int = field(name="boot")
 
 
 class ShardValue(msgspec.Struct, omit_defaults=True):
-    """`quiet_ms`: the time of day from which no former holder renews workers' leases any more.
-    `logged`: records may be behind the shard's commit log."""
+    """The owner of a shard.
+
+    `former_leases_end_ms`: the wall-clock time from which no former owner renews workers' leases.
+    `logged`: records may be behind the shard's commit log.
+    """
 
     node: int
-    gen: int
-    quiet_ms: int = 0
+    epoch: int = field(name="gen")
+    former_leases_end_ms: int = field(default=0, name="quiet_ms")
     logged: bool = False
 
 
 class RelayPart(msgspec.Struct):
-    """A piece of the text numbered `text`, which has `parts` pieces."""
+    """A fragment of the relayed text numbered `sequence`, which has `part_count` fragments."""
 
-    text: int
-    parts: int
-    piece: str
+    sequence: int = field(name="text")
+    part_count: int = field(name="parts")
+    fragment: str = field(name="piece")
 
 
 class Chunk(msgspec.Struct, omit_defaults=True):
-    """Tasks CHUNK*c … of a job: attempts used, which are done, where the others are.
-    `upto`: it holds all that the shard's commit log says up to there."""
+    """The states of TASKS_PER_CHUNK consecutive tasks of a job.
 
-    tries: list[int] = []
-    done: str = ""
-    on: list[PlacementRecord] = []
-    upto: Position = LOG_START
+    `attempts`: how many each task has used, without trailing zeros. `completed_bits`: the
+    completed tasks, as a hexadecimal bitmap. `applied_position`: the chunk has all that the
+    shard's commit log says up to and including it.
+    """
+
+    attempts: list[int] = field(default_factory=list, name="tries")
+    completed_bits: str = field(default="", name="done")
+    placements: list[PlacementRecord] = field(default_factory=list, name="on")
+    applied_position: Position = field(default=LOG_START, name="upto")
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
+    """An unfinished job, with the chunk of its first tasks."""
+
     spec: JobSpec
-    at_ms: int
+    submitted_ms: int = field(name="at_ms")  # wall-clock time
     cancelled: bool = False
-    chunk: Chunk = msgspec.field(default_factory=Chunk)
+    chunk: Chunk = field(default_factory=Chunk)
 
 
 class FinalRecord(msgspec.Struct, omit_defaults=True):
-    """`done`: how many tasks of a cancelled job had completed."""
+    """The terminal state of a job.
+
+    `completed_before_end`: how many tasks had completed of a job that did not complete.
+    """
 
     state: str
     tasks: int
-    done: int = 0
+    completed_before_end: int = field(default=0, name="done")
 
     @property
     def completed(self) -> int:
-        return self.tasks if self.state == DONE else self.done
+        """How many tasks completed."""
+        return self.tasks if self.state == DONE else self.completed_before_end
 
 
-class DonePart(msgspec.Struct):
-    """What a look reads of a Chunk."""
+class CompletedBits(msgspec.Struct):
+    """The part of a Chunk that a status query reads."""
 
-    done: str = ""
+    completed_bits: str = field(default="", name="done")
 
 
 def node_key(node: int) -> str:
+    """The key of a controller."""
     return f"{NODES}{node}"
 
 
 def shard_key(shard: int) -> str:
+    """The key of a shard's owner."""
     return f"{SHARDS}{shard}"
 
 
 def takeover_key(shard: int) -> str:
+    """The key of a shard's last takeover."""
     return f"{TAKEOVERS}{shard}"
 
 
 def job_key(shard: int, job: str) -> str:
+    """The key of an unfinished job."""
     return f"j/{shard}/{job}"
 
 
 def job_prefix(shard: int) -> str:
+    """The prefix of the keys of a shard's unfinished jobs."""
     return f"j/{shard}/"
 
 
 def chunk_prefix(shard: int) -> str:
+    """The prefix of the keys of all further chunks of a shard's jobs."""
     return f"t/{shard}/"
 
 
 def chunks_of(tasks: int) -> int:
-    """How many chunks the record of a job of so many tasks has at the most."""
+    """The maximum number of chunks of a job with so many tasks."""
     return -(-tasks // TASKS_PER_CHUNK)
 
 
 def chunk_key(shard: int, job: str, chunk: int | None) -> str:
-    """Of one part; without a number, what the keys of all parts begin with."""
+    """The key of one further chunk of a job; without a number the prefix of all."""
     return f"t/{shard}/{job}/" + ("" if chunk is None else f"{chunk:04d}")
 
 
 def final_key(shard: int, job: str) -> str:
+    """The key of a job's terminal state."""
     return f"f/{shard}/{job}"
 
 
 def mailbox_key(shard: int, job: str) -> str:
+    """The key of a notice that a job was changed; without a job the prefix of a shard's."""
     return f"{MAILBOX}{shard}/{job}"
 
 
 def relay_key(sender: int, to: int, part: int) -> str:
+    """The key of a part of a relayed message."""
     return f"{RELAY}{sender}-{to}-{part}"
 
 
-def parse_relay(key: str) -> tuple[int, int, int]:
-    """Sender, receiver and number of a part; ValueError for anything else."""
+def parse_relay_key(key: str) -> tuple[int, int, int]:
+    """Sender, receiver and number of a part. Raises ValueError for any other key."""
     sender, to, part = key[len(RELAY) :].split("-")
     return int(sender), int(to), int(part)
 
 
 def quota_key(team: int) -> str:
+    """The key of a team's split quota."""
     return f"{QUOTA}{team}"
 
 
 def count_key(count: str) -> str:
+    """The key of a counted resource."""
     return f"{COUNTS}{count}"
 
 
-def change_key(count: str, number: int) -> str:
-    """Of an operator's change; they sort by number."""
+def count_change_key(count: str, number: int) -> str:
+    """The key of an operator's change to a counted resource; keys sort by number."""
     return f"u/{count}/{number:08d}"
 
 
-def pack_done(state: "array[int]", first: int, done: int) -> str:
+def encode_completed(states: Sequence[int], first: int, completed: int) -> str:
+    """A bitmap of the tasks of the chunk that starts at `first` whose state is `completed`."""
     bits = 0
-    for i, value in enumerate(state[first : first + TASKS_PER_CHUNK]):
-        if value == done:
+    for i, state in enumerate(states[first : first + TASKS_PER_CHUNK]):
+        if state == completed:
             bits |= 1 << i
     return f"{bits:x}" if bits else ""
 
 
-def unpack_done(text: str) -> list[int]:
-    bits, found, i = int(text, 16) if text else 0, [], 0
+def decode_completed(bitmap: str) -> list[int]:
+    """The numbers, within their chunk, of the tasks of a bitmap. Raises ValueError."""
+    bits = int(bitmap, 16) if bitmap else 0
+    tasks = []
+    task = 0
     while bits:
         if bits & 1:
-            found.append(i)
+            tasks.append(task)
         bits >>= 1
-        i += 1
-    return found
+        task += 1
+    return tasks
 
 
-def pack_tries(tries: "array[int]", first: int) -> list[int]:
-    part = list(tries[first : first + TASKS_PER_CHUNK])
-    while part and not part[-1]:
-        part.pop()
-    return part
+def encode_attempts(attempts: Sequence[int], first: int) -> list[int]:
+    """The attempts of the chunk that starts at `first`, without trailing zeros."""
+    stored = list(attempts[first : first + TASKS_PER_CHUNK])
+    while stored and not stored[-1]:
+        stored.pop()
+    return stored
--- a/starlingdeck/storage/state.py
+++ b/starlingdeck/storage/state.py
@@ -1,4 +1,4 @@
-"""The state service's client: conditions, leases, watches, and honest failures."""
+"""The state service's client: transactions, leases and watches, within a request budget."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -11,13 +11,21 @@
 
 T = TypeVar("T")
 
+REQUEST_TIMEOUT_S = 2.0
+LIST_TIMEOUT_S = 5.0
+RENEW_TIMEOUT_S = 1.0
+WATCH_MARGIN_S = 1.5  # beyond the wait that the service was asked for
+PAGE_ENTRIES = 500
+BUDGET_SHARE = 0.9  # of the service's rates, shared by all controllers
+BURST_S = 1.0
+
 
 class StateError(Exception):
-    """The call was not executed: refused, out of budget, or nobody there."""
+    """The request was not executed: it was refused, rejected for its rate, or no connection."""
 
 
 class OutcomeUnknownError(StateError):
-    """No usable answer: the call may have been executed, or may be executed later."""
+    """No usable response: the request may have been executed, or may be executed later."""
 
 
 class TransactionConflictError(Exception):
@@ -29,31 +37,39 @@
 
 
 class LeaseLostError(Exception):
-    """The lease is over."""
+    """The lease has expired or was revoked."""
 
 
-class TooOld(Exception):
-    """The watch's revision is forgotten; read the keys again."""
+class RevisionTooOldError(Exception):
+    """The service no longer has the events after a watch's revision; read the keys again."""
 
 
 def put_change(key: str, value: Any, lease: int | None = None) -> api.Change:
+    """A change that writes a key, attached to a lease if one is given."""
     return api.Change(put=key, value=value, lease=lease)
 
 
 def delete_change(key: str) -> api.Change:
+    """A change that deletes a key."""
     return api.Change(delete=key)
 
 
 class StateClient:
+    """Requests to the state service, each within the budget.
+
+    All methods raise StateError when the request was not executed, and OutcomeUnknownError when
+    it may have been. `urgent` requests may use the reserved part of the budget.
+    """
+
     def __init__(
         self, http: HttpClient, address: str, limit: "RequestBudget", now: Callable[[], float]
     ) -> None:
         self.http = http
         self.address = address
-        self.limit = limit
+        self.budget = limit
         self.now = now
-        self.timeout_s = 2.0
-        self.calls = 0
+        self.timeout_s = REQUEST_TIMEOUT_S
+        self.calls = 0  # requests since the start
 
     async def _call(
         self, method: str, path: str, body: Any, timeout_s: float | None = None
@@ -73,37 +89,43 @@
         return reply
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
-        await self.limit.reads.take(1, urgent)
+        """The entry of a key, or None."""
+        await self.budget.reads.take(1, urgent)
         reply = await self._call("GET", f"{api.KV}/{key}", None)
         if reply.status == 404:
             return None
         return _decode(reply, api.Entry)
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
-        """All entries, and the revision of the first page (later changes come by watch)."""
-        found: list[api.Entry] = []
+        """All entries of a prefix, and the revision of the first page, to watch from."""
+        entries: list[api.Entry] = []
         revision, after = -1, None
         while True:
-            await self.limit.reads.take(1, True)
-            page = _decode(
-                await self._call("GET", api.list_query(prefix, after, 500), None, 5.0), api.Entries
-            )
-            found += page.items
+            await self.budget.reads.take(1, True)
+            path = api.list_query(prefix, after, PAGE_ENTRIES)
+            page = _decode(await self._call("GET", path, None, LIST_TIMEOUT_S), api.Entries)
+            entries += page.items
             revision = page.revision if revision < 0 else revision
             if not page.more or not page.items:
-                return found, revision
+                return entries, revision
             after = page.items[-1].key
 
     def writable(self, urgent: bool) -> tuple[int, float]:
-        """How many changes the budget has room for now, and how long until it has for one."""
-        return self.limit.writes.free(urgent)
+        """How many changes the budget allows now, and in how many seconds it allows one."""
+        return self.budget.writes.available(urgent)
 
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
-        await self.limit.reads.take(1, urgent)
-        await self.limit.writes.take(len(changes), urgent)
-        body = api.Transaction([api.Condition(k, v) for k, v in conditions.items()], changes)
+        """Apply all changes at once if each key of `conditions` has that version (0: absent).
+
+        Returns the revision of the changes. Raises TransactionConflictError when a condition
+        fails, and LeaseLostError when a lease named in a change has ended.
+        """
+        await self.budget.reads.take(1, urgent)
+        await self.budget.writes.take(len(changes), urgent)
+        required = [api.Condition(key, version) for key, version in conditions.items()]
+        body = api.Transaction(required, changes)
         reply = await self._call("POST", api.TXN, body)
         if reply.status == 409:
             raise TransactionConflictError(_decode(reply, api.TransactionConflict, 409).failed)
@@ -112,50 +134,57 @@
         return _decode(reply, api.TransactionResult).revision
 
     async def lease(self, ttl_s: float) -> int:
-        await self.limit.reads.take(1, True)
+        """Grant a lease and return its id."""
+        await self.budget.reads.take(1, True)
         reply = await self._call("POST", api.LEASES, api.LeaseRequest(int(ttl_s * 1000)))
         return _decode(reply, api.LeaseGrant).lease
 
     async def renew(self, lease: int) -> None:
-        await self.limit.reads.take(1, True)
-        reply = await self._call("POST", f"{api.LEASES}/{lease}/{api.RENEW}", None, 1.0)
+        """Renew a lease. Raises LeaseLostError when it has ended."""
+        await self.budget.reads.take(1, True)
+        reply = await self._call("POST", f"{api.LEASES}/{lease}/{api.RENEW}", None, RENEW_TIMEOUT_S)
         if reply.status == 404:
             raise LeaseLostError
         if reply.status != 200:
-            raise OutcomeUnknownError(f"renewal answered {reply.status}")
+            raise OutcomeUnknownError(f"lease renewal: status {reply.status}, expected 200")
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> api.Events:
-        await self.limit.reads.take(1, True)
+        """The events of a prefix after a revision; waits up to `wait_s` for the first.
+
+        Raises RevisionTooOldError when the service no longer has all of them.
+        """
+        await self.budget.reads.take(1, True)
         path = api.watch_query(prefix, after, int(wait_s * 1000))
-        # A watch opened before a cut hangs after it: its end must be noticed soon.
-        reply = await self._call("GET", path, None, wait_s + 1.5)
+        # A watch opened before a network partition hangs after it: that must be noticed soon.
+        reply = await self._call("GET", path, None, wait_s + WATCH_MARGIN_S)
         if reply.status == 410:
-            raise TooOld
+            raise RevisionTooOldError
         return _decode(reply, api.Events)
 
 
 class RequestBudget:
-    """This node's share of the state service's two budgets."""
+    """This controller's share of the state service's rates of requests and of changes."""
 
     def __init__(self, rps: float, write_rps: float, nodes: int, now: Callable[[], float]) -> None:
-        self.rates = (rps * 0.9, write_rps * 0.9)
+        self.total_rps = rps * BUDGET_SHARE
+        self.total_write_rps = write_rps * BUDGET_SHARE
         self.nodes = nodes
-        self.reads = TokenBucket(self.rates[0] / nodes, 1.0, now)
-        self.writes = TokenBucket(self.rates[1] / nodes, 1.0, now)
+        self.reads = TokenBucket(self.total_rps / nodes, BURST_S, now)
+        self.writes = TokenBucket(self.total_write_rps / nodes, BURST_S, now)
 
     def share_among(self, nodes: int) -> None:
-        """The living share the budgets: whoever stands in for the dead has their work too."""
+        """Share the rates among the live controllers: they do the work of failed ones too."""
         if nodes != self.nodes and nodes > 0:
             self.nodes = nodes
-            self.reads.set_rate(self.rates[0] / nodes)
-            self.writes.set_rate(self.rates[1] / nodes)
+            self.reads.set_rate(self.total_rps / nodes)
+            self.writes.set_rate(self.total_write_rps / nodes)
 
 
-def _decode(reply: Reply, kind: type[T], status: int = 200) -> T:
-    # A nonsense answer says nothing of what was executed: the caller must look again.
+def _decode(reply: Reply, expected: type[T], status: int = 200) -> T:
+    """The body of a response. An unexpected one doesn't say whether the request was executed."""
     if reply.status != status:
-        raise OutcomeUnknownError(f"answered {reply.status}")
+        raise OutcomeUnknownError(f"status {reply.status}, expected {status}")
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=expected)
     except msgspec.DecodeError as error:
-        raise OutcomeUnknownError(f"nonsense: {error}") from error
+        raise OutcomeUnknownError(f"invalid response body: {error}") from error
--- a/starlingdeck/sync/state_sync.py
+++ b/starlingdeck/sync/state_sync.py
@@ -255,18 +255,18 @@
         self, key: str, value: msgspec.Raw, on_message: Callable[[pb.Envelope], Awaitable[object]]
     ) -> bool:
         """One part; the last to arrive of a text delivers its messages."""
-        sender, to, number = records.parse_relay(key)
+        sender, to, number = records.parse_relay_key(key)
         if to != self.context.node or sender == self.context.node:
             return False
         part = msgspec.json.decode(value, type=records.RelayPart)
         text_number, pieces = self.relay_parts.get(sender, (0, {}))
-        if text_number != part.text:
+        if text_number != part.sequence:
             pieces = {}
-        pieces[number] = part.piece
-        self.relay_parts[sender] = (part.text, pieces)
-        if not all(i in pieces for i in range(part.parts)):
+        pieces[number] = part.fragment
+        self.relay_parts[sender] = (part.sequence, pieces)
+        if not all(i in pieces for i in range(part.part_count)):
             return False
         del self.relay_parts[sender]
-        for envelope in decode_batch("".join(pieces[i] for i in range(part.parts))):
+        for envelope in decode_batch("".join(pieces[i] for i in range(part.part_count))):
             await on_message(envelope)
         return True
--- a/starlingdeck/transport/server.py
+++ b/starlingdeck/transport/server.py
@@ -16,11 +16,11 @@
 
 MAX_BODY = 64 * 1024
 READ_BYTES = 16 * 1024
-HEADS_KEPT = 512
+MAX_CACHED_HEADS = 512
 # Connections that may wait to be accepted: those of 4,000 workers that connect at once, as after
 # a controller's restart. Linux allows no more than net.core.somaxconn, 4,096 by default.
 ACCEPT_BACKLOG = 4_096
-END = h11.EndOfMessage()
+END_OF_MESSAGE = h11.EndOfMessage()
 
 
 class Request:
@@ -92,7 +92,7 @@
                     continue
                 connection = Connection(client)
                 self.connections.add(connection)
-                connection.task = await curio.spawn(self._serve, connection, daemon=True)
+                connection.task = await curio.spawn(self._serve_connection, connection, daemon=True)
 
     async def _evict_idle(self) -> bool:
         """Close the idle connection that is to go first; False when there is none."""
@@ -108,10 +108,10 @@
         await victim.task.wait()
         return True
 
-    async def _serve(self, connection: Connection) -> None:
+    async def _serve_connection(self, connection: Connection) -> None:
         try:
             async with connection.socket:
-                await self._talk(connection)
+                await self._serve_requests(connection)
         except (OSError, h11.ProtocolError, curio.TaskTimeout) as error:
             log.debug("connection ended: %r", error)
         except Exception:
@@ -119,11 +119,11 @@
         finally:
             self.connections.remove(connection)
 
-    async def _talk(self, connection: Connection) -> None:
+    async def _serve_requests(self, connection: Connection) -> None:
         conn, client = h11.Connection(h11.SERVER), connection.socket
         while True:
             try:
-                request = await self._read(conn, connection)
+                request = await self._read_request(conn, connection)
             except h11.RemoteProtocolError as error:
                 if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                     note = b'{"error":"malformed request"}'
@@ -152,7 +152,7 @@
         self.closed_after_response += 1
         return True
 
-    async def _read(
+    async def _read_request(
         self, conn: h11.Connection, connection: Connection
     ) -> Request | Response | None:
         head: h11.Request | None = None
@@ -198,16 +198,18 @@
     async def _send(
         self, conn: h11.Connection, client: curio.io.Socket, response: Response, close: bool
     ) -> None:
-        head = _head(response.status, len(response.body), response.headers, close)
+        head = _response_head(response.status, len(response.body), response.headers, close)
         out = conn.send(head) or b""
         out += conn.send(h11.Data(data=response.body)) or b""
-        out += conn.send(END) or b""
+        out += conn.send(END_OF_MESSAGE) or b""
         async with curio.timeout_after(self.stall_s):
             await client.sendall(out)
 
 
-@functools.lru_cache(HEADS_KEPT)
-def _head(status: int, length: int, more: tuple[tuple[str, str], ...], close: bool) -> h11.Response:
+@functools.lru_cache(MAX_CACHED_HEADS)
+def _response_head(
+    status: int, length: int, more: tuple[tuple[str, str], ...], close: bool
+) -> h11.Response:
     """Most answers have one of few heads; checking its fields anew was a sixth of a report."""
     headers = [("content-type", "application/json"), ("content-length", str(length)), *more]
     if close:
--- a/tests/support/counted_resources.py
+++ b/tests/support/counted_resources.py
@@ -41,12 +41,12 @@
                 main = msgspec.json.decode(value, type=records.JobRecord)
                 specs[key[2:]] = main.spec.counts or {}
                 for name, units in specs[key[2:]].items():
-                    found[(name, int(key.split("/")[1]))] += units * len(main.chunk.on)
+                    found[(name, int(key.split("/")[1]))] += units * len(main.chunk.placements)
         for key, (value, _) in self.keys.items():
             if key.startswith("t/"):
                 chunk = msgspec.json.decode(value, type=records.Chunk)
                 for name, units in specs.get(key[2:-5], {}).items():
-                    found[(name, int(key.split("/")[1]))] += units * len(chunk.on)
+                    found[(name, int(key.split("/")[1]))] += units * len(chunk.placements)
         return found
 
     def ledger(self, name: str) -> Ledger:
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -58,7 +58,7 @@
             await curio.sleep(self.deck.rng.uniform(0.0, self.slow_s))
 
     def writable(self, urgent: bool) -> tuple[int, float]:
-        return self.budget.free(urgent) if self.budget else (1000, 0.0)
+        return self.budget.available(urgent) if self.budget else (1000, 0.0)
 
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
@@ -622,7 +622,7 @@
         for shard in range(len(self.nodes)):
             entry = self.state.keys.get(records.shard_key(shard))
             if entry is not None:
-                found[shard] = msgspec.json.decode(entry[0], type=records.ShardValue).gen
+                found[shard] = msgspec.json.decode(entry[0], type=records.ShardValue).epoch
         return found
 
     def hold_of(self, worker: Worker) -> tuple[int, int]:
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -24,7 +24,14 @@
 from starlingdeck.protocol.config import Tuning
 from starlingdeck.storage import commit_log as stored
 from starlingdeck.storage import records
-from starlingdeck.storage.records import LOG_START, TASKS_PER_CHUNK, Chunk, JobRecord
+from starlingdeck.storage.records import (
+    LOG_START,
+    TASKS_PER_CHUNK,
+    Chunk,
+    JobRecord,
+    PlacementRecord,
+    Position,
+)
 from starlingdeck.storage.state import (
     OutcomeUnknownError,
     StateError,
@@ -171,7 +178,7 @@
         }, job.completed
 
     def log_keys(self) -> list[str]:
-        return [k for k in self.client.state.keys if k.startswith(stored.LOG)]
+        return [k for k in self.client.state.keys if k.startswith(stored.LOG_PREFIX)]
 
 
 def site() -> tuple[Strict, Clock]:
@@ -212,7 +219,7 @@
     ended = [t for t, attempt in before[0].items() if after[0].get(t) != attempt]
     return stored.JobChange(
         JOB,
-        [(t, a, "m", 1, "z") for t, a in after[0].items() if before[0].get(t) != a],
+        [PlacementRecord(t, a, "m", 1, "z") for t, a in after[0].items() if before[0].get(t) != a],
         [t for t in ended if t in after[1]],
         [t for t in ended if t not in after[1]],
     )
@@ -234,19 +241,26 @@
     """Each chunk was last rewritten after any commit, before or after its segments went."""
     tasks = 2 * TASKS_PER_CHUNK
     logged = [
-        stored.LoggedChange((5, n + 1), 0, change_of(history, n, tasks))
+        stored.LoggedChange(Position(5, n + 1), 0, change_of(history, n, tasks))
         for n in range(len(history))
     ]
     chunks = {}
     for number, upto in enumerate(written):
         upto = min(upto, len(history))
         whole = stored.replay({}, logged[:upto]).get(number, Chunk())
-        chunks[number] = Chunk(whole.tries, whole.done, whole.on, (5, upto) if upto else LOG_START)
+        chunks[number] = Chunk(
+            whole.attempts,
+            whole.completed_bits,
+            whole.placements,
+            Position(5, upto) if upto else LOG_START,
+        )
     # What all checkpoints have may be gone from the log, or still be there.
     for first in (0, min(min(written), len(history))):
         found = stored.replay(chunks, logged[first:])
-        on = {p[0]: p[1] for chunk in found.values() for p in chunk.on}
-        bits = stored.done_bits({n: c.done for n, c in found.items()}, logged[first:])
+        on = {p.task: p.attempt for chunk in found.values() for p in chunk.placements}
+        bits = stored.completed_by_chunk(
+            {n: c.completed_bits for n, c in found.items()}, logged[first:]
+        )
         done = {
             n * TASKS_PER_CHUNK + i
             for n, b in bits.items()
@@ -254,7 +268,10 @@
             if b >> i & 1
         }
         tries = {
-            n * TASKS_PER_CHUNK + i: t for n, c in found.items() for i, t in enumerate(c.tries) if t
+            n * TASKS_PER_CHUNK + i: t
+            for n, c in found.items()
+            for i, t in enumerate(c.attempts)
+            if t
         }
         assert (on, done, tries) == plain(history, tasks)
 
@@ -552,7 +569,9 @@
     keys = after.client.state.keys
     main = msgspec.json.decode(keys[records.job_key(SHARD, JOB)][0], type=JobRecord)
     part = msgspec.json.decode(keys[records.chunk_key(SHARD, JOB, 1)][0], type=Chunk)
-    assert main.chunk.done == "1" and [p[0] for p in part.on] == [TASKS_PER_CHUNK + 1]
+    assert main.chunk.completed_bits == "1" and [p.task for p in part.placements] == [
+        TASKS_PER_CHUNK + 1
+    ]
 
 
 CASES = [
@@ -648,7 +667,7 @@
 
 
 def hidden_changes_ignored(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(stored.LogView, "hides", lambda self, *rest: "")
+    monkeypatch.setattr(stored.LogContents, "incomplete_reason", lambda self, *rest: "")
 
 
 def tasks_not_bounded(monkeypatch: Patch) -> None:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -88,7 +88,7 @@
         super().__init__(PlainState(random.Random(1)), 0.0)
         self.node, self.clock = node, clock
         self.limiter = TokenBucket(rate, 1.0, clock.now)
-        self.limiter.level = 0.0
+        self.limiter.tokens = 0.0
         self.until = 0.0
         self.sent: list[api.Change] = []
         self.begun: list[curio.Task] = []
@@ -96,7 +96,7 @@
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
-        while (wait_s := self.limiter.delay(len(changes), urgent)) > 0:
+        while (wait_s := self.limiter.take_or_delay(len(changes), urgent)) > 0:
             await curio.sleep(0)
             self.clock.at += min(wait_s, 0.02)
             await self.step()
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -95,7 +95,7 @@
             "settings",
         )
     },
-    "chunk_done_part": records.DonePart,
+    "chunk_done_part": records.CompletedBits,
 }
 FUNCTIONS: dict[str, Callable[..., Any]] = {
     "node": records.node_key,
@@ -110,15 +110,15 @@
     "relay_part": records.relay_key,
     "quota_split": records.quota_key,
     "count": records.count_key,
-    "count_change": records.change_key,
+    "count_change": records.count_change_key,
     "log_prefix": commit_log.log_prefix,
     "segment": commit_log.segment_key,
     "list_query": api.list_query,
     "watch_query": api.watch_query,
     "task": api.task_name,
-    "parse_relay_part": records.parse_relay,
+    "parse_relay_part": records.parse_relay_key,
     "parse_task": api.parse_task,
-    "unpack_done": records.unpack_done,
+    "unpack_done": records.decode_completed,
     "chunks_of": records.chunks_of,
 }
 CONSTANTS: dict[str, Any] = {
@@ -132,7 +132,7 @@
     "count_prefix": records.COUNTS,
     "machine_types_key": records.TYPES,
     "tasks_of_a_chunk": records.TASKS_PER_CHUNK,
-    "log_form": commit_log.FORM,
+    "log_form": commit_log.SEGMENT_FORMAT,
     "log_start": records.LOG_START,
     "path_jobs": api.JOBS,
     "path_cancel": api.CANCEL,
@@ -370,17 +370,17 @@
     return bytes(commit_log.encode_segment(commits))
 
 
-def plain_view(view: commit_log.LogView) -> Any:
+def plain_view(view: commit_log.LogContents) -> Any:
     """What was read of a log, without our names."""
     found = {
         "versions": view.versions,
-        "last": view.last,
+        "last": view.newest_positions,
         "slots_of_changes": {
             job: [(logged.position, logged.slot) for logged in changes]
             for job, changes in view.changes.items()
         },
-        "broken_jobs": sorted(view.broken),
-        "broken_slots": sorted(view.broken_slots),
+        "broken_jobs": sorted(view.unreadable_jobs),
+        "broken_slots": sorted(view.unreadable_job_slots),
         "unreadable": [(segment.slot, segment.version) for segment in view.unreadable],
     }
     return as_json(found)
@@ -389,12 +389,12 @@
 def test_log_read_with_damaged_segments_gives_the_same_view() -> None:
     view = commit_log.read_segments(LOG.entries)
     assert plain_view(view) == LOG.view
-    assert view.broken and len(view.unreadable) == 2
+    assert view.unreadable_jobs and len(view.unreadable) == 2
 
 
 def test_log_segments_that_can_be_read_are_written_back_as_the_same_bytes() -> None:
     view = commit_log.read_segments(LOG.entries)
-    bad = view.broken_slots | {segment.slot for segment in view.unreadable}
+    bad = view.unreadable_job_slots | {segment.slot for segment in view.unreadable}
     good = [entry for entry in LOG.entries if int(entry.key.rsplit("/", 1)[1]) not in bad]
     assert len(good) == 3
     for entry in good:
@@ -404,22 +404,24 @@
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_replayed_over_a_record_gives_the_same_chunks(name: str) -> None:
     job, view = LOG.jobs[name], commit_log.read_segments(LOG.entries)
-    replayed = commit_log.replay(job.all_chunks, view.of(name))
+    replayed = commit_log.replay(job.all_chunks, view.changes_of(name))
     assert msgspec.json.encode(replayed) == bytes(job.replayed)
 
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_done_bits_of_a_job_are_the_same(name: str) -> None:
     job, view = LOG.jobs[name], commit_log.read_segments(LOG.entries)
-    stored = {number: chunk.done for number, chunk in job.all_chunks.items()}
-    bits = commit_log.done_bits(stored, view.of(name))
+    stored = {number: chunk.completed_bits for number, chunk in job.all_chunks.items()}
+    bits = commit_log.completed_by_chunk(stored, view.changes_of(name))
     assert {number: f"{one:x}" for number, one in bits.items()} == job.done_bits
 
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_damaged_segments_hide_the_same_jobs(name: str) -> None:
     view = commit_log.read_segments(LOG.entries)
-    assert [bool(view.hides(name, *case)) for case in HIDING_CASES] == LOG.jobs[name].hidden
+    assert [bool(view.incomplete_reason(name, *case)) for case in HIDING_CASES] == LOG.jobs[
+        name
+    ].hidden
 
 
 def test_log_written_with_the_same_changes_has_the_same_keys_and_bytes() -> None:
@@ -448,7 +450,7 @@
     view = commit_log.read_segments(stored.values())
     log.adopt(view)
     for index, name in enumerate(names):
-        log.adopt_job(index, name, {}, view.of(name))
+        log.adopt_job(index, name, {}, view.changes_of(name))
     return log
 
 
@@ -457,7 +459,7 @@
     stored, context = LOG.jobs[name], make_world(Clock())
     job = load_job(context, SHARD, stored.record, stored.chunks)
     for number, chunk in stored.all_chunks.items():
-        assert encode_chunk(context, job, number, {}, {}, chunk.upto) == chunk
+        assert encode_chunk(context, job, number, {}, {}, chunk.applied_position) == chunk
 
 
 # --- messages between controllers
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -6,7 +6,7 @@
 
 from starlingdeck.api.job_api import JobApi
 from starlingdeck.jobs import commit_log
-from starlingdeck.storage.commit_log import LOG
+from starlingdeck.storage.commit_log import LOG_PREFIX
 from tests.support import builders
 from tests.support.reference_model import Broken, Model
 from tests.support.simulated_cluster import Deck, play
@@ -45,7 +45,7 @@
         for _ in range(1500):
             model.step()
         starts += model.starts
-        segments += sum(key.startswith(LOG) for key in model.state.keys)
+        segments += sum(key.startswith(LOG_PREFIX) for key in model.state.keys)
     assert starts > 60 and segments > 60
 
 
@@ -55,7 +55,7 @@
     deck = Deck(7, **WORLDS.get(meeting, {}))
     deck.crowded = meeting.startswith("more work than room")
     play(monkeypatch, deck, live_meeting(deck, MEETINGS[meeting]))
-    assert any(key.startswith(LOG) for key in deck.state.keys)
+    assert any(key.startswith(LOG_PREFIX) for key in deck.state.keys)
 
 
 def test_no_rule_breaks_where_troubles_meet(monkeypatch: Patch) -> None:
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -177,14 +177,14 @@
     limiter = TokenBucket(10.0, 1.0, clock.now)
     ordinary = urgent = 0
     for _ in range(100):
-        ordinary += limiter.delay(1.0, False) == 0.0
+        ordinary += limiter.take_or_delay(1.0, False) == 0.0
     for _ in range(100):
-        urgent += limiter.delay(1.0, True) == 0.0
+        urgent += limiter.take_or_delay(1.0, True) == 0.0
     assert 5 <= ordinary <= 7 and ordinary + urgent == 10
     granted = 0
     for _ in range(1000):
         clock.at += 0.01
-        granted += limiter.delay(1.0, True) == 0.0
+        granted += limiter.take_or_delay(1.0, True) == 0.0
     assert 95 <= granted <= 101
 
 
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -139,9 +139,9 @@
     clock = Clock()
     context = make_world(clock)
     limiter = TokenBucket(10.0, 1.0, clock.now)
-    limiter.level = 0.5
+    limiter.tokens = 0.5
     client = PlainClient(PlainState(random.Random(1)), 0.0)
-    client.writable = limiter.free  # type: ignore[method-assign]
+    client.writable = limiter.available  # type: ignore[method-assign]
     client.state.apply({}, [put_change(records.shard_key(0), 1)])
     shard = JobShard(context, 0, client.state.epoch, 9)
     shard.loaded = True
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -197,13 +197,13 @@
         await second.join()
 
     curio.run(write)
-    assert len({c.value.text for changes in arrived for c in changes}) == 2
+    assert len({c.value.sequence for changes in arrived for c in changes}) == 2
     for changes in arrived:
         for change in changes:
             value = msgspec.Raw(msgspec.json.encode(change.value))
             at_once(theirs.state_sync.receive_relay(change.put or "", value, take))
     assert set(got) <= set(noise)
-    for change in [c for changes in arrived for c in changes if c.value.text == 2]:
+    for change in [c for changes in arrived for c in changes if c.value.sequence == 2]:
         value = msgspec.Raw(msgspec.json.encode(change.value))
         at_once(theirs.state_sync.receive_relay(change.put or "", value, take))
     assert noise[1] in got
@@ -284,7 +284,7 @@
     assert len(first.tasks) == FULL_TASKS and len(first.images) == FULL_IMAGES
     # Of the largest fleet: with half as many machines again it is still one frame.
     size = len(pb.Envelope(snapshot=shard.full_snapshot(True)).SerializeToString())
-    assert size * frames.MOST_MACHINES // 4_001 <= frames.MAX_FRAME
+    assert size * frames.MAX_MACHINES // 4_001 <= frames.MAX_FRAME
 
 
 events = st.lists(
