--- a/starlingdeck/transport/frames.py
+++ b/starlingdeck/transport/frames.py
@@ -7,27 +7,28 @@
 import curio.io
 
 from starlingdeck.transport.client import connect
-from starlingdeck.transport.server import listen
+from starlingdeck.transport.listener import accept_connections
 
-# The largest message is a whole view of one shard that holds every machine. A machine with 32
-# tasks and 20 images takes 920 to 1,030 bytes in it; the rest is for longer names.
+# The largest message is the full snapshot of a shard with every machine. A machine with 32 tasks
+# and 20 images takes 920 to 1,030 bytes in it; the rest is for longer names.
 MAX_MACHINES = 6_000
 MACHINE_SNAPSHOT_BYTES = 1_400
 MAX_FRAME = MAX_MACHINES * MACHINE_SNAPSHOT_BYTES  # 8.4 MB
-# Behind a whole view a link may have to queue the whole list of what is to run on its machines
-# (24 bytes a task, 4.6 MB for 32 tasks each) and the differences that follow while both are sent.
+# Behind a full snapshot a link may have to queue the full desired state of its machines (24 bytes
+# a task, 4.6 MB for 32 tasks each) and the updates that follow while both are sent.
 MAX_BACKLOG = 2 * MAX_FRAME
+READ_BYTES = 64 * 1024
 WRITE_BYTES = 64 * 1024  # sent under one time-out
 CLOSE_POLL_INTERVAL_S = 0.02
 LENGTH_PREFIX = struct.Struct("!I")
 
 
 class LinkBusyError(ConnectionError):
-    """A frame could not be begun in time because another is being sent; the link goes on."""
+    """Another frame was being sent for the whole time-out; the link stays usable."""
 
 
 class FrameLink:
-    """One connection carrying frames both ways. Writes are serialised."""
+    """A connection that carries frames both ways. Writes are serialised."""
 
     def __init__(self, sock: curio.io.Socket) -> None:
         self.sock = sock
@@ -38,7 +39,7 @@
         self.has_backlog = curio.Event()
 
     async def enqueue(self, payload: bytes) -> None:
-        """Queue a frame for `drain`. A peer that takes nothing loses its link, not our memory."""
+        """Queue a frame for `drain`. Closes the link when more than MAX_BACKLOG would be queued."""
         if len(self.backlog) + LENGTH_PREFIX.size + len(payload) > MAX_BACKLOG:
             self.closed = True
             return
@@ -46,7 +47,7 @@
         await self.has_backlog.set()
 
     async def drain(self, timeout_s: float) -> None:
-        """Send what is queued, in order, until the link ends or takes nothing for `timeout_s`."""
+        """Send queued frames in order until the link ends or accepts no data for `timeout_s`."""
         try:
             while not self.closed:
                 await self.has_backlog.wait()
@@ -58,8 +59,11 @@
             self.closed = True
 
     async def send(self, payload: bytes, timeout_s: float) -> None:
-        """Send one frame. Raises LinkBusy when `timeout_s` passed before its turn came, and
-        TaskTimeout when the link took nothing for as long."""
+        """Send one frame.
+
+        Raises LinkBusyError when other frames were being sent for `timeout_s`, and TaskTimeout
+        when the link accepted no data for as long.
+        """
         self.active_senders += 1
         try:
             await self._acquire_write_lock(timeout_s)
@@ -78,7 +82,7 @@
             raise LinkBusyError("another frame is being sent") from error
 
     async def _write(self, data: bytes, timeout_s: float) -> None:
-        """Send all of it. The time-out is for each piece: a large frame may take long."""
+        """Send all data. The time-out is for each WRITE_BYTES: a large frame may take long."""
         view = memoryview(data)
         for start in range(0, len(data), WRITE_BYTES):
             if self.closed:
@@ -87,60 +91,65 @@
                 await self.sock.sendall(view[start : start + WRITE_BYTES])
 
     async def receive(self) -> bytes:
-        """The next frame. Raises ConnectionError when the link ends or a frame is too long."""
+        """Receive a frame. Raises ConnectionError when the link ends or the frame is too long."""
         (size,) = LENGTH_PREFIX.unpack(await self._receive_exactly(LENGTH_PREFIX.size))
         if size > MAX_FRAME:
-            raise ConnectionError("frame too long")
+            raise ConnectionError(f"frame of {size} bytes, at most {MAX_FRAME} expected")
         return await self._receive_exactly(size)
 
     async def _receive_exactly(self, size: int) -> bytes:
-        parts = bytearray()
-        while len(parts) < size:
-            piece = await self.sock.recv(min(65536, size - len(parts)))
-            if not piece:
+        received = bytearray()
+        while len(received) < size:
+            data = await self.sock.recv(min(READ_BYTES, size - len(received)))
+            if not data:
                 raise ConnectionError("the other side closed")
-            parts += piece
-        return bytes(parts)
+            received += data
+        return bytes(received)
 
     async def close(self) -> None:
-        """Who reads must have ended before. A socket closed under a task that waits for it stays
-        registered for that, and the next one with its number ends the whole process."""
+        """Close the socket once all senders have ended; the task that reads must have ended before.
+
+        curio keeps a socket registered that is closed while a task waits for it, and the next
+        socket with the same file number ends the whole process.
+        """
         self.closed = True
-        while self.active_senders:  # each for its time-out at the most
+        while self.active_senders:  # each for its time-out at most
             await curio.sleep(CLOSE_POLL_INTERVAL_S)
         await self.sock.close()
 
 
 async def dial(address: str, timeout_s: float) -> FrameLink:
-    """A new link to a peer that listens at the address."""
+    """Connect a link to a peer. Raises OSError or TaskTimeout."""
     async with curio.timeout_after(timeout_s):
         return FrameLink(await connect(address))
 
 
 class FrameServer:
-    """Accepts links on one listening address, `most` at a time."""
+    """Accepts links on one listening address; refuses those beyond `max_links` open ones."""
 
     def __init__(
-        self, address: tuple[str, int], serve: Callable[[FrameLink], Awaitable[None]], limit: int
+        self,
+        address: tuple[str, int],
+        serve: Callable[[FrameLink], Awaitable[None]],
+        max_links: int,
     ) -> None:
         self.address = address
         self.serve = serve
-        self.max_links = limit
+        self.max_links = max_links
         self.open = 0
 
     async def run(self) -> None:
         """Accept links until cancelled."""
-        sock = listen(self.address)
-        async with sock:
-            while True:
-                client, _ = await sock.accept()
-                if self.open >= self.max_links:
-                    await client.close()
-                    continue
-                self.open += 1
-                await curio.spawn(self._one, client, daemon=True)
-
-    async def _one(self, client: curio.io.Socket) -> None:
+        await accept_connections(self.address, self._admit)
+
+    async def _admit(self, client: curio.io.Socket) -> None:
+        if self.open >= self.max_links:
+            await client.close()
+            return
+        self.open += 1
+        await curio.spawn(self._serve_link, client, daemon=True)
+
+    async def _serve_link(self, client: curio.io.Socket) -> None:
         link = FrameLink(client)
         try:
             await self.serve(link)
--- a/starlingdeck/transport/server.py
+++ b/starlingdeck/transport/server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server on curio and h11, bounded in every direction."""
+"""A small HTTP/1.1 server on curio and h11 with limits on bodies, connections and time."""
 
 import contextlib
 import functools
@@ -11,19 +11,19 @@
 from curio import socket
 
 from starlingdeck.transport.connections import Connection, ConnectionTable
+from starlingdeck.transport.listener import accept_connections
 
 log = logging.getLogger(__name__)
 
 MAX_BODY = 64 * 1024
 READ_BYTES = 16 * 1024
 MAX_CACHED_HEADS = 512
-# Connections that may wait to be accepted: those of 4,000 workers that connect at once, as after
-# a controller's restart. Linux allows no more than net.core.somaxconn, 4,096 by default.
-ACCEPT_BACKLOG = 4_096
 END_OF_MESSAGE = h11.EndOfMessage()
 
 
 class Request:
+    """A request that was read whole."""
+
     __slots__ = ("body", "method", "path", "query")
 
     def __init__(self, method: str, target: str, body: bytes) -> None:
@@ -33,6 +33,8 @@
 
 
 class Response:
+    """A response with a JSON body."""
+
     __slots__ = ("body", "headers", "status")
 
     def __init__(
@@ -81,18 +83,17 @@
 
     async def run(self) -> None:
         """Accept connections until cancelled."""
-        sock = listen(self.address)
-        async with sock:
-            while True:
-                client, _ = await sock.accept()
-                if self.connections.is_full() and not await self._evict_idle():
-                    # Refuse at once rather than let sockets run out for workers and peers.
-                    self.refused += 1
-                    await client.close()
-                    continue
-                connection = Connection(client)
-                self.connections.add(connection)
-                connection.task = await curio.spawn(self._serve_connection, connection, daemon=True)
+        await accept_connections(self.address, self._admit)
+
+    async def _admit(self, client: curio.io.Socket) -> None:
+        if self.connections.is_full() and not await self._evict_idle():
+            # Refuse at once rather than let sockets run out for workers and peers.
+            self.refused += 1
+            await client.close()
+            return
+        connection = Connection(client)
+        self.connections.add(connection)
+        connection.task = await curio.spawn(self._serve_connection, connection, daemon=True)
 
     async def _evict_idle(self) -> bool:
         """Close the idle connection that is to go first; False when there is none."""
@@ -113,9 +114,9 @@
             async with connection.socket:
                 await self._serve_requests(connection)
         except (OSError, h11.ProtocolError, curio.TaskTimeout) as error:
-            log.debug("connection ended: %r", error)
-        except Exception:
-            log.exception("a request broke its handler")
+            log.debug("connection ended: error=%r", error)
+        except Exception:  # the task's outermost edge: it ends this connection only
+            log.exception("request handler failed")
         finally:
             self.connections.remove(connection)
 
@@ -131,7 +132,7 @@
                 return
             if request is None:
                 return
-            if isinstance(request, Response):
+            if isinstance(request, Response):  # the request is refused without its handler
                 await self._send(conn, client, request, True)
                 return
             self.connections.classify(connection, self.is_from_worker(request))
@@ -187,7 +188,7 @@
         return b"" if connection.evicted else data
 
     async def _receive_more(self, conn: h11.Connection, client: curio.io.Socket) -> bytes:
-        """More of a request that has begun. A half-sent one may not hold a socket for ever."""
+        """More of a request that has begun. A half-sent one may not keep a socket for ever."""
         async with curio.timeout_after(self.stall_s):
             if conn.they_are_waiting_for_100_continue:
                 go_on = h11.InformationalResponse(status_code=100, headers=[])
@@ -210,17 +211,9 @@
 def _response_head(
     status: int, length: int, more: tuple[tuple[str, str], ...], close: bool
 ) -> h11.Response:
-    """Most answers have one of few heads; checking its fields anew was a sixth of a report."""
+    """The head of a response, cached: most have one of few, and h11's checks of a new one took a
+    sixth of the processor time of a report."""
     headers = [("content-type", "application/json"), ("content-length", str(length)), *more]
     if close:
         headers.append(("connection", "close"))
     return h11.Response(status_code=status, headers=headers)
-
-
-def listen(address: tuple[str, int]) -> curio.io.Socket:
-    """A socket that listens on the address."""
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    sock.bind(address)
-    sock.listen(ACCEPT_BACKLOG)
-    return sock
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -12,7 +12,8 @@
 from starlingdeck.protocol import api
 from starlingdeck.transport.client import connect
 from starlingdeck.transport.connections import Connection, ConnectionTable
-from starlingdeck.transport.server import HttpServer, Request, Response, listen
+from starlingdeck.transport.listener import listen
+from starlingdeck.transport.server import HttpServer, Request, Response
 from tests.support.builders import Clock, make_world
 from tests.support.ports import free_port
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -19,7 +19,8 @@
 )
 from starlingdeck.transport.client import HttpClient, Reply
 from starlingdeck.transport.frames import MAX_FRAME, FrameLink, LinkBusyError, dial
-from starlingdeck.transport.server import HttpServer, Request, Response, listen
+from starlingdeck.transport.listener import listen
+from starlingdeck.transport.server import HttpServer, Request, Response
 from tests.support.builders import Clock, make_world
 from tests.support.ports import free_port
 
