--- a/starlingdeck/storage/__init__.py
+++ b/starlingdeck/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The state service and what is kept in it."""
+"""The state service's client, and the stored form of records and commit logs."""
--- a/starlingdeck/transport/__init__.py
+++ b/starlingdeck/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes in and out: HTTP server, pooled HTTP client, peer frames."""
+"""The network: an HTTP server, a pooled HTTP client and framed links between controllers."""
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -281,14 +281,14 @@
 @pytest.mark.parametrize(
     "line", lines_of(GOLDEN / "messages" / "user_job.jsonl"), ids=("all", "least")
 )
-def test_submission_read_by_the_door_is_the_same_bytes(line: bytes) -> None:
+def test_submission_read_by_the_request_handler_is_the_same_bytes(line: bytes) -> None:
     assert msgspec.json.encode(api.decode_job(line)) == line
 
 
 @pytest.mark.parametrize(
     "line", lines_of(GOLDEN / "messages" / "worker_report.jsonl"), ids=("all", "tasks")
 )
-def test_report_read_by_the_door_is_the_same_bytes(line: bytes) -> None:
+def test_report_read_by_the_request_handler_is_the_same_bytes(line: bytes) -> None:
     assert msgspec.json.encode(api.decode_report(line)) == line
 
 
@@ -370,31 +370,31 @@
     return bytes(commit_log.encode_segment(commits))
 
 
-def plain_view(view: commit_log.LogContents) -> Any:
+def plain_contents(contents: commit_log.LogContents) -> Any:
     """What was read of a log, without our names."""
     found = {
-        "versions": view.versions,
-        "last": view.newest_positions,
+        "versions": contents.versions,
+        "last": contents.newest_positions,
         "slots_of_changes": {
             job: [(logged.position, logged.slot) for logged in changes]
-            for job, changes in view.changes.items()
+            for job, changes in contents.changes.items()
         },
-        "broken_jobs": sorted(view.unreadable_jobs),
-        "broken_slots": sorted(view.unreadable_job_slots),
-        "unreadable": [(segment.slot, segment.version) for segment in view.unreadable],
+        "broken_jobs": sorted(contents.unreadable_jobs),
+        "broken_slots": sorted(contents.unreadable_job_slots),
+        "unreadable": [(segment.slot, segment.version) for segment in contents.unreadable],
     }
     return as_json(found)
 
 
-def test_log_read_with_damaged_segments_gives_the_same_view() -> None:
-    view = commit_log.read_segments(LOG.entries)
-    assert plain_view(view) == LOG.view
-    assert view.unreadable_jobs and len(view.unreadable) == 2
+def test_log_read_with_damaged_segments_gives_the_same_contents() -> None:
+    contents = commit_log.read_segments(LOG.entries)
+    assert plain_contents(contents) == LOG.view
+    assert contents.unreadable_jobs and len(contents.unreadable) == 2
 
 
 def test_log_segments_that_can_be_read_are_written_back_as_the_same_bytes() -> None:
-    view = commit_log.read_segments(LOG.entries)
-    bad = view.unreadable_job_slots | {segment.slot for segment in view.unreadable}
+    contents = commit_log.read_segments(LOG.entries)
+    bad = contents.unreadable_job_slots | {segment.slot for segment in contents.unreadable}
     good = [entry for entry in LOG.entries if int(entry.key.rsplit("/", 1)[1]) not in bad]
     assert len(good) == 3
     for entry in good:
@@ -403,29 +403,29 @@
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_replayed_over_a_record_gives_the_same_chunks(name: str) -> None:
-    job, view = LOG.jobs[name], commit_log.read_segments(LOG.entries)
-    replayed = commit_log.replay(job.all_chunks, view.changes_of(name))
+    job, contents = LOG.jobs[name], commit_log.read_segments(LOG.entries)
+    replayed = commit_log.replay(job.all_chunks, contents.changes_of(name))
     assert msgspec.json.encode(replayed) == bytes(job.replayed)
 
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_done_bits_of_a_job_are_the_same(name: str) -> None:
-    job, view = LOG.jobs[name], commit_log.read_segments(LOG.entries)
+    job, contents = LOG.jobs[name], commit_log.read_segments(LOG.entries)
     stored = {number: chunk.completed_bits for number, chunk in job.all_chunks.items()}
-    bits = commit_log.completed_by_chunk(stored, view.changes_of(name))
+    bits = commit_log.completed_by_chunk(stored, contents.changes_of(name))
     assert {number: f"{one:x}" for number, one in bits.items()} == job.done_bits
 
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_damaged_segments_hide_the_same_jobs(name: str) -> None:
-    view = commit_log.read_segments(LOG.entries)
-    assert [bool(view.incomplete_reason(name, *case)) for case in HIDING_CASES] == LOG.jobs[
+    contents = commit_log.read_segments(LOG.entries)
+    assert [bool(contents.incomplete_reason(name, *case)) for case in HIDING_CASES] == LOG.jobs[
         name
     ].hidden
 
 
 def test_log_written_with_the_same_changes_has_the_same_keys_and_bytes() -> None:
-    """By two holders one after the other: the second takes the next slot of the ring."""
+    """By two owners one after the other: the second takes the next slot of the ring."""
     stored: dict[str, api.Entry] = {}
     names = list(LOG.jobs)
     log: CommitLog | None = None
@@ -445,12 +445,12 @@
 
 
 def taken_over_log(token: int, stored: dict[str, api.Entry], names: list[str]) -> CommitLog:
-    """A new holder's log, of which no job's record holds anything yet."""
+    """A new owner's log, of which no job's record has anything yet."""
     log = CommitLog(SHARD, token, VALUE_BYTES)
-    view = commit_log.read_segments(stored.values())
-    log.adopt(view)
+    contents = commit_log.read_segments(stored.values())
+    log.adopt(contents)
     for index, name in enumerate(names):
-        log.adopt_job(index, name, {}, view.changes_of(name))
+        log.adopt_job(index, name, {}, contents.changes_of(name))
     return log
 
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -41,13 +41,13 @@
 
 
 def test_idle_connections_to_old_addresses_make_room_for_new_ones() -> None:
-    """They were never closed: after enough machines had come and gone, nobody could be called."""
+    """They were never closed: once enough machines had come and gone, every call failed."""
     assert curio.run(talk, 5, 2) == ([200] * 5, 2)
 
 
 def test_a_call_ends_with_its_link() -> None:
     """Submissions passed on to a controller that crashed waited 1 s for nothing."""
-    node = Controller(make_world(Clock()))
+    controller = Controller(make_world(Clock()))
 
     async def cut() -> str:
         crash = curio.Event()
@@ -61,10 +61,10 @@
 
         link = FrameLink(None)
         link.receive, link.send = receive, send  # type: ignore[method-assign]
-        node.peers.links[1] = link
-        reader = await curio.spawn(node.peers._read_replies, 1, link)
+        controller.peers.links[1] = link
+        reader = await curio.spawn(controller.peers._read_replies, 1, link)
         try:
-            await node.peers.call(1, pb.Envelope(forward_request=pb.ForwardRequest()), 1.0)
+            await controller.peers.call(1, pb.Envelope(forward_request=pb.ForwardRequest()), 1.0)
         except PeerUnavailableError as error:
             return str(error)
         finally:
@@ -74,9 +74,9 @@
     assert curio.run(cut) == "the link to 1 ended"
 
 
-def test_a_failed_condition_is_told_from_no_answer() -> None:
-    """A 409 passed for a call of unknown fate: every job of the transaction was read anew, and
-    a submission that was known already got 503."""
+def test_a_failed_condition_differs_from_an_unknown_outcome() -> None:
+    """A 409 was taken for an unknown outcome: every job of the transaction was read again, and a
+    submission that was known already got 503."""
 
     class Http:
         async def call(self, *args: object) -> Reply:
@@ -120,7 +120,7 @@
     sock.send(b"y")
 
 
-def test_a_link_that_fails_to_send_leaves_nobody_waiting_for_its_socket() -> None:
+def test_a_link_that_fails_to_send_leaves_no_task_waiting_for_its_socket() -> None:
     """After a freeze a send failed; the link was closed under the task that read from it. The next
     connection with the same file number found that task still registered, and the process ended."""
 
@@ -148,12 +148,12 @@
     assert curio.run(drive)
 
 
-def test_a_link_is_closed_when_all_who_send_on_it_have_ended() -> None:
+def test_a_link_is_closed_when_all_its_senders_have_ended() -> None:
     async def drive() -> BaseException | None:
         sock, address = await silent_listener()
         link = await dial(address, 1.0)
         sender = await curio.spawn(link.send, bytes(MAX_FRAME * 2), 0.3, daemon=True)
-        await curio.sleep(0.1)  # nobody reads: it waits
+        await curio.sleep(0.1)  # nothing reads: it waits
         await link.close()
         with pytest.raises(curio.TaskError) as ended:
             await sender.join()
@@ -192,8 +192,8 @@
 
 
 def test_a_large_frame_on_a_slow_link_has_its_time_while_it_makes_progress() -> None:
-    """The time-out was for all that was queued: on a slow link a large view never came through.
-    Who waits for the link meanwhile is told that it is busy, and doesn't end it."""
+    """The time-out was for all that was queued: on a slow link a large snapshot never arrived.
+    A sender that waits for the link meanwhile gets LinkBusyError, and the link stays open."""
 
     async def drive() -> None:
         link, other = await slow_link(0.02)
