--- a/starlingdeck/storage/state.py
+++ b/starlingdeck/storage/state.py
@@ -29,7 +29,7 @@
 
 
 class TransactionConflictError(Exception):
-    """A condition did not hold; nothing was changed."""
+    """A condition failed; nothing was changed."""
 
     def __init__(self, failed: list[str]) -> None:
         super().__init__(f"changed meanwhile: {failed}")
