--- a/standins/hollow.py
+++ b/standins/hollow.py
@@ -140,7 +140,7 @@
         attempt, now = task.attempt, time.monotonic()
         if name in self.host.completed:
             self.done(name, attempt)
-        elif not workload.describe(name.split("/")[0]).service:
+        elif not workload.describe(name.split("/", maxsplit=1)[0]).service:
             self.host.at(now + workload.run_s(name), lambda: self.done(name, attempt))
         self.change(now)
 
--- a/standins/scale/checker.py
+++ b/standins/scale/checker.py
@@ -95,7 +95,7 @@
 
     def begin(self, at: float, task: str, machine: str) -> None:
         """A task began on a machine: checks ran_twice, quota and ran_cancelled."""
-        job = task.split("/")[0]
+        job = task.split("/", maxsplit=1)[0]
         other = self.running.get(task)
         if other is not None and other.machine != machine:
             self.fail(
@@ -122,7 +122,7 @@
         place = self.running.get(task)
         if place is not None and place.machine == machine:
             del self.running[task]
-            self.used[workload.describe(task.split("/")[0]).team] -= 1
+            self.used[workload.describe(task.split("/", maxsplit=1)[0]).team] -= 1
 
     def check_done(self, at: float, job: str, tasks: int) -> None:
         """A user was told that a job is done: checks not_done."""
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -40,5 +40,5 @@
 
 def run_s(task: str) -> float:
     """How long one task of a job runs; the same wherever it is started."""
-    described = describe(task.split("/")[0])
+    described = describe(task.split("/", maxsplit=1)[0])
     return described.run_ds / 10 * random.Random(task).uniform(1 - SPREAD, 1 + SPREAD)
--- a/tests/support/fuzz_targets.py
+++ b/tests/support/fuzz_targets.py
@@ -44,7 +44,8 @@
     for after in range(1, 5):
         granted = grant(found, 1, after)
         if granted is not None:
-            assert granted.allocated[1] >= after and granted.total <= found.ceiling
+            assert granted.allocated[1] >= after
+            assert granted.total <= found.ceiling
     return "ledger"
 
 
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -177,7 +177,7 @@
         return not dead and (min(one, other), max(one, other)) not in self.cuts
 
     def began(self, task: str, worker: Worker, full: bool) -> None:
-        job = task.split("/")[0]
+        job = task.split("/", maxsplit=1)[0]
         if full:
             return
         for other in self.workers:
--- a/tests/support/reference_model.py
+++ b/tests/support/reference_model.py
@@ -270,7 +270,7 @@
     # --- the rules
 
     def launched(self, name: str) -> None:
-        job = name.split("/")[0]
+        job = name.split("/", maxsplit=1)[0]
         if job not in self.accepted:
             raise Broken(f"invented: {name}")
 
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -366,13 +366,13 @@
     # --- workers
 
     def launched(self, task: str) -> None:
-        if task.split("/")[0] not in self.known:
+        if task.split("/", maxsplit=1)[0] not in self.known:
             raise Broken(f"invented: {task}")
 
     def ended(self, task: str) -> None:
         """A task has completed; some users call their job off at the moment of its end."""
         self.finished.add(task)
-        job = task.split("/")[0]
+        job = task.split("/", maxsplit=1)[0]
         whole = all(f"{job}/{i}" in self.finished for i in range(self.jobs[job]["chores"]))
         if whole and job in self.known and self.rng.random() < self.at_end:
             self.calls.append((job, self.rng.randrange(len(self.nodes))))
@@ -392,7 +392,7 @@
         return self.workers[name]
 
     def run_s(self, task: str) -> float:
-        return self.lasts.get(task) or self.lasts[task.split("/")[0]]
+        return self.lasts.get(task) or self.lasts[task.split("/", maxsplit=1)[0]]
 
     def begins(self, worker: PlainWorker, name: str) -> None:
         self.begun[name] = self.begun.get(name, 0) + 1
@@ -400,7 +400,7 @@
             task = other.tasks.get(name)
             if other is not worker and task is not None and task.state == "running":
                 raise Broken(f"ran_twice: {name} on {worker.name} and {other.name}")
-        job = name.split("/")[0]
+        job = name.split("/", maxsplit=1)[0]
         state, at = self.told.get(job, ("", 0.0))
         if state == api.CANCELLED:
             self.late_starts[name] = self.clock.at - at
--- a/tests/test_autoscaling_policy.py
+++ b/tests/test_autoscaling_policy.py
@@ -80,7 +80,8 @@
     assert first is not None
     state.no_capacity[first] = clock.at + 5
     second = rentals.cheapest_kind(context, state, need, clock.at)
-    assert second is not None and second != first
+    assert second is not None
+    assert second != first
 
 
 def test_headroom_is_rented_before_anything_waits() -> None:
@@ -91,7 +92,8 @@
     idle = [Candidate(i, 0, 0, False, 0, total, [4.0, 0.0, 16.0]) for i in range(10)]
     assert rentals.headroom_demand(context, idle, []) == []
     need = rentals.headroom_demand(context, full, [])
-    assert need and need[0].count * 4.0 >= 40 * context.tuning.spare_share
+    assert need
+    assert need[0].count * 4.0 >= 40 * context.tuning.spare_share
 
 
 def test_wave_of_demand_is_requested_at_once() -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -35,7 +35,8 @@
 ) -> None:
     measured = capacity["Measured"](capacity["load"]())
     reaches = [row[0] for row in capacity["gaps"](measured)]
-    assert reaches == sorted(reaches) and len(reaches) > 8
+    assert reaches == sorted(reaches)
+    assert len(reaches) > 8
     limits = [limit for rows in measured.runs.values() for r in rows for limit in r["limited_by"]]
     assert not any("generator" in limit for limit in limits)
 
@@ -44,7 +45,8 @@
     rows = [{"workers": x, "y": y} for x, y in ((1, 3.0), (2, 5.0), (3, 7.0))]
     line = capacity["fit"](rows, "workers", lambda r: r["y"])
     assert (round(line.base, 9), round(line.slope, 9), line.seen) == (1.0, 2.0, 3.0)
-    assert line.mark(3) == "measured" and line.mark(12) == "extrapolated ×4.0"
+    assert line.mark(3) == "measured"
+    assert line.mark(12) == "extrapolated ×4.0"
 
 
 def test_rows_are_recorded_under_their_run(
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -92,11 +92,13 @@
         return self.state.epoch
 
     def check_limits(self, conditions: dict[str, int], changes: list[api.Change]) -> None:
-        assert len(changes) <= TXN_OPS and len(conditions) <= 4 * TXN_OPS
+        assert len(changes) <= TXN_OPS
+        assert len(conditions) <= 4 * TXN_OPS
         sizes = [len(bytes(c.value)) for c in changes if c.put is not None]
         self.largest_value = max([self.largest_value, *sizes])
         body = api.Transaction([api.Condition(k, v) for k, v in conditions.items()], changes)
-        assert self.largest_value <= VALUE_BYTES and len(msgspec.json.encode(body)) <= TXN_BYTES
+        assert self.largest_value <= VALUE_BYTES
+        assert len(msgspec.json.encode(body)) <= TXN_BYTES
 
     def execute_late(self) -> list[list[str]]:
         """What was delayed arrives; the conditions of each that failed."""
@@ -284,7 +286,8 @@
     owner.start(0, 1)
     owner.flush()
     text = owner.client.state.keys[records.job_key(SHARD, JOB)][0]
-    assert b"upto" not in text and not owner.log_keys()
+    assert b"upto" not in text
+    assert not owner.log_keys()
     assert b"logged" not in owner.client.state.keys[records.shard_key(SHARD)][0]
     assert owner.recorded() == ({0: 1, 1: 1}, 0)
 
@@ -296,7 +299,8 @@
         owner.accept(name)
         owner.start(0, 1, name=name)
     owner.flush(2)
-    assert owner.client.changes == 1 and len(owner.log_keys()) == 1
+    assert owner.client.changes == 1
+    assert len(owner.log_keys()) == 1
     assert all(owner.recorded(name) == ({0: 1, 1: 1}, 0) for name in names)
 
 
@@ -314,7 +318,8 @@
     owner.clock.at += 0.11
     curio.run(owner.writer.flush)
     # Due for the urgent one, it takes along what waits.
-    assert owner.recorded(OTHER) == ({0: 1}, 0) and owner.recorded() == ({0: 1}, 0)
+    assert owner.recorded(OTHER) == ({0: 1}, 0)
+    assert owner.recorded() == ({0: 1}, 0)
 
 
 # --- the hard cases: each raises AssertionError where it goes wrong
@@ -404,7 +409,8 @@
     assert not owner.client.state.apply({main: version}, [put_change(main, record)])
     owner.start(1)
     owner.flush()
-    assert owner.job().cancelled and owner.recorded() == ({0: 1}, 0)
+    assert owner.job().cancelled
+    assert owner.recorded() == ({0: 1}, 0)
     assert take_over(owner).recorded() == ({0: 1}, 0)
 
 
@@ -446,7 +452,8 @@
     dirty = [bool(slot.dirty) for _, slot in sorted(owner.shard.commit_log.slots.items())]
     assert dirty == [True, False]
     assert not owner.client.state.apply({}, [api.Change(delete=newer)])
-    assert take_over(owner).recorded(OTHER) == ({}, 0) and older in owner.log_keys()
+    assert take_over(owner).recorded(OTHER) == ({}, 0)
+    assert older in owner.log_keys()
 
 
 def large_array() -> None:
@@ -476,7 +483,8 @@
     checkpoint = owner.shard.drafter.rewrite(owner.job(), [0], {}, {})
     assert curio.run(owner.writer._write, [checkpoint], False)
     curio.run(owner.writer.cancel, owner.job())
-    assert owner.job().cancelled and len(take_over(owner).recorded()[0]) == running
+    assert owner.job().cancelled
+    assert len(take_over(owner).recorded()[0]) == running
 
 
 def torn_entry() -> None:
@@ -566,13 +574,13 @@
     owner.flush()
     after = take_over(owner, Tuning())
     after.flush()
-    assert not after.log_keys() and after.recorded() == ({TASKS_PER_CHUNK + 1: 1}, 1)
+    assert not after.log_keys()
+    assert after.recorded() == ({TASKS_PER_CHUNK + 1: 1}, 1)
     keys = after.client.state.keys
     main = msgspec.json.decode(keys[records.job_key(SHARD, JOB)][0], type=JobRecord)
     part = msgspec.json.decode(keys[records.chunk_key(SHARD, JOB, 1)][0], type=Chunk)
-    assert main.chunk.completed_bits == "1" and [p.task for p in part.placements] == [
-        TASKS_PER_CHUNK + 1
-    ]
+    assert main.chunk.completed_bits == "1"
+    assert [p.task for p in part.placements] == [TASKS_PER_CHUNK + 1]
 
 
 CASES = [
@@ -767,4 +775,5 @@
         with pytest.raises(StateError):
             curio.run(owner.writer.reload, JOB)
     curio.run(owner.writer.reload, JOB)
-    assert owner.recorded() == ({0: 1}, 0) and isinstance(owner.writer.loader, Loader)
+    assert owner.recorded() == ({0: 1}, 0)
+    assert isinstance(owner.writer.loader, Loader)
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -574,7 +574,8 @@
         client.late = 0.0
         await deck.run(3.0)
         assert words[0] > sent + 1.0
-        assert jobs.terminal_states[name] == api.CANCELLED and not deck.live(name)
+        assert jobs.terminal_states[name] == api.CANCELLED
+        assert not deck.live(name)
         other = new_job(node.context, spec(of_shard(0, 1)), 0, 0)
         other.outcome_unknown = True
         jobs.jobs[other.index] = other
@@ -606,7 +607,8 @@
         deck.asked.add(name)
         assert await deck.ask(0, "GET", f"{api.JOBS}/{name}") == 503
         await deck.nodes[0].writers[0].reload(name)
-        assert await deck.ask(0, "GET", f"{api.JOBS}/{name}") == 200 and name in deck.told
+        assert await deck.ask(0, "GET", f"{api.JOBS}/{name}") == 200
+        assert name in deck.told
 
     play(monkeypatch, deck, drive())
 
@@ -782,9 +784,9 @@
                 shard.pending_cancellations,
                 writer.batches.since,
             )
-            assert (
-                not any(kept) and len(shard.terminal_states) == len(shard.terminal_completed) <= 20
-            )
+            assert not any(kept)
+            assert len(shard.terminal_states) == len(shard.terminal_completed) <= 20
         for machines in node.machines.values():
             machines.prune()
-            assert not machines.jobs and not any(machines.desired_tasks.values())
+            assert not machines.jobs
+            assert not any(machines.desired_tasks.values())
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -61,7 +61,8 @@
 
     async def call(node: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
         reply = await owner.on_message(envelope)
-        assert node == 1 and reply is not None
+        assert node == 1
+        assert reply is not None
         return reply
 
     node.peers.call = call  # type: ignore[method-assign]
@@ -77,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    "state, peer, healthy",
+    ("state", "peer", "healthy"),
     [(True, True, True), (True, False, True), (False, True, True), (False, False, False)],
 )
 def test_a_controller_with_neither_state_service_nor_peers_is_not_healthy(
@@ -104,7 +105,8 @@
     jobs = JobShard(node.context, 1, 5, 77)
     jobs.loaded = True
     node.writers[1] = RecordWriter(node.context, node.state, jobs)
-    assert not node.peers.is_reachable(1) and node.may_hand_back(1)
+    assert not node.peers.is_reachable(1)
+    assert node.may_hand_back(1)
 
 
 def test_a_controller_that_starts_while_the_cloud_is_down_loads_the_machine_types() -> None:
@@ -148,7 +150,8 @@
     assert first.status == 200
     clock.at += node.context.outage_renewal_s - 0.1
     renewed = curio.run(node.heartbeat_api.handle, report("vm-1", "b", seq=2))
-    assert renewed.status == 200 and not node.membership.lease_is_valid()
+    assert renewed.status == 200
+    assert not node.membership.lease_is_valid()
     clock.at += 0.2
     assert curio.run(node.heartbeat_api.handle, report("vm-1", "b", seq=3)).status == 503
     s = node.context.settings.settings.workers
@@ -171,7 +174,8 @@
 
     async def call(node: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
         reply = await theirs.on_message(envelope)
-        assert node == 1 and reply is not None
+        assert node == 1
+        assert reply is not None
         return reply
 
     ours.peers.call = call  # type: ignore[method-assign]
@@ -194,7 +198,8 @@
     refused = curio.run(
         ours.serve, Request("POST", api.JOBS, msgspec.json.encode(job_body("j-000007")))
     )
-    assert refused.status == 503 and dict(refused.headers)["retry-after"]
+    assert refused.status == 503
+    assert dict(refused.headers)["retry-after"]
 
 
 def test_a_submission_is_stored_by_us_when_the_state_service_refuses_the_owner() -> None:
@@ -213,9 +218,11 @@
     """One controller alone had the work of three, and a third of the requests."""
     limit = RequestBudget(200.0, 60.0, 3, Clock().now)
     limit.share_among(1)
-    assert limit.reads.rate == 180.0 and limit.writes.rate == 54.0
+    assert limit.reads.rate == 180.0
+    assert limit.writes.rate == 54.0
     limit.share_among(3)
-    assert limit.writes.rate == 18.0 and limit.writes.burst == 18.0
+    assert limit.writes.rate == 18.0
+    assert limit.writes.burst == 18.0
 
 
 def test_a_shard_that_was_retaken_is_not_handed_back_again_at_once() -> None:
@@ -241,7 +248,8 @@
             node.writers[1].shard.loaded = True
         owned.append(1 in own.ownership.owned)
     changes = sum(a != b for a, b in itertools.pairwise(owned))
-    assert changes <= 3 and owned.count(False) < 15
+    assert changes <= 3
+    assert owned.count(False) < 15
 
 
 def test_a_write_that_conflicts_with_our_own_raised_token_loses_nothing() -> None:
@@ -264,10 +272,13 @@
     writer.shard.adopt(job)
     value = records.ShardValue(0, own.ownership.owned[1].epoch)
     assert not state.apply({key: own.ownership.owned[1].token}, [put_change(key, value)])
-    assert not curio.run(writer.flush) and writer.ownership_lost and not job.placements
+    assert not curio.run(writer.flush)
+    assert writer.ownership_lost
+    assert not job.placements
     event = api.Event(state.epoch, key, msgspec.Raw(msgspec.json.encode(value)))
     curio.run(own.handle_event, event)
-    assert curio.run(writer.flush) and list(job.placements) == [0]
+    assert curio.run(writer.flush)
+    assert list(job.placements) == [0]
 
 
 def test_only_an_owner_with_a_valid_lease_sends_desired_state() -> None:
@@ -283,7 +294,8 @@
     node.writers[0] = RecordWriter(node.context, node.state, jobs)
     clock.at += node.context.tuning.state_lease_s
     curio.run(node.reconcile)
-    assert not node.membership.lease_is_valid() and not node.machines[0].received_seqs
+    assert not node.membership.lease_is_valid()
+    assert not node.machines[0].received_seqs
     node.membership.lease.renewed_at = clock.at
     curio.run(node.reconcile)
     assert node.machines[0].received_seqs == {0: (5, 1)}
--- a/tests/test_counted_resources.py
+++ b/tests/test_counted_resources.py
@@ -147,7 +147,8 @@
     model.state.set("engine", 3, 2)
     for _ in range(9000):
         model.quiet_step()
-    assert model.ended() == set(model.accepted) and model.accepted
+    assert model.ended() == set(model.accepted)
+    assert model.accepted
     assert model.state.ledger("engine").total == 0
 
 
--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -97,7 +97,8 @@
     site.headroom(second, third)
     site.finish(first)
     site.flush()
-    assert site.total() == 1 and not site.shard.resource_use[0]
+    assert site.total() == 1
+    assert not site.shard.resource_use[0]
     return second, third
 
 
@@ -115,7 +116,8 @@
     site.start(third)
     site.flush()
     assert third.placements
-    assert len(site.state.late) == 1 and site.state.apply(*site.state.late.pop())
+    assert len(site.state.late) == 1
+    assert site.state.apply(*site.state.late.pop())
 
 
 def test_a_start_recorded_without_an_answer_is_read_before_the_next() -> None:
@@ -139,7 +141,9 @@
     site.plugin.store.reread = applied_first  # type: ignore[method-assign]  # the test is in between
     site.flush()
     again = site.shard.jobs[second.index]
-    assert again.placements and not third.placements and third.withheld
+    assert again.placements
+    assert not third.placements
+    assert third.withheld
 
 
 def test_a_late_release_takes_no_unit_from_a_task() -> None:
@@ -153,7 +157,8 @@
     site.clients[0].trouble = 0.0
     site.start(second)
     site.flush()
-    assert second.placements and site.state.apply(*site.state.late.pop())
+    assert second.placements
+    assert site.state.apply(*site.state.late.pop())
 
 
 def test_a_unit_moves_from_task_to_task_without_a_change_of_its_ledger() -> None:
@@ -167,7 +172,8 @@
     site.finish(first)
     site.start(second)
     site.flush()
-    assert second.placements and site.state.keys[records.count_key("engine")][1] == at
+    assert second.placements
+    assert site.state.keys[records.count_key("engine")][1] == at
 
 
 def test_units_of_several_resources_are_allocated_together_or_not_at_all() -> None:
@@ -179,10 +185,13 @@
     assert site.headroom(job) == [0]
     site.start(job)
     site.flush()
-    assert not job.placements and site.total() == 0 and job.withheld
+    assert not job.placements
+    assert site.total() == 0
+    assert job.withheld
     site.clock.at += 2.0
     site.flush()
-    assert not job.pending_starts and job.retry_at[0] > site.clock.at
+    assert not job.pending_starts
+    assert job.retry_at[0] > site.clock.at
     whys = [w.reason for w in site.plugin.wait_reasons(job)]
     assert whys == ["1 of seat needed, its ceiling is 0"]
 
@@ -249,7 +258,8 @@
     assert site.headroom(waiting) == [0]
     site.start(waiting)
     site.flush()
-    assert not waiting.placements and site.total() == 2
+    assert not waiting.placements
+    assert site.total() == 2
     site.state.set("engine", 1, 3, preempt_excess=True)
     site.deliver(0)
     site.plugin.preemption.preempt()
@@ -284,9 +294,8 @@
     site.clock.at += 1.0
     for node in (0, 1):
         site.plugins[node].preemption.preempt()
-    assert (
-        sum(job.placements[0].releasing for job in here) == 1 and not there.placements[0].releasing
-    )
+    assert sum(job.placements[0].releasing for job in here) == 1
+    assert not there.placements[0].releasing
 
 
 def snapshot_with(seen: bool, proof: str, site: SingleShard) -> pb.Snapshot:
@@ -338,7 +347,8 @@
         site.flush()
         site.clock.at += 1.0
         at_once(site.plugin.releaser.release(site.writers[0][1]))
-    assert site.total() == (0 if frees else 1) and site.shard.resource_use[0] == site.total()
+    assert site.total() == (0 if frees else 1)
+    assert site.shard.resource_use[0] == site.total()
     assert bool(job.placements) is not frees
 
 
@@ -464,7 +474,8 @@
         await site.start()
         body = msgspec.json.encode(job_body("j-7", counts=counts))
         code, reply = await site.ask("POST", api.JOBS, body)
-        assert code == status and named in reply.get("error", "")
+        assert code == status
+        assert named in reply.get("error", "")
 
     curio.run(drive)
 
@@ -505,13 +516,16 @@
         assert await site.submit(counts={}) == 201
         # Accepted while counted resources were enabled, it waits now.
         job = new_job(site.node.context, spec("j-2", counts={"engine": 1}), 0, 0)
-        assert site.node.admission.headroom(job) == 0 and site.node.admission.wait_reasons(job)
+        assert site.node.admission.headroom(job) == 0
+        assert site.node.admission.wait_reasons(job)
         writer = site.node.writers[0]
         job.key_versions[0] = 0
         job.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
         writer.shard.jobs[job.index] = job
         writer.shard.dirty_jobs.add(job.index)
-        assert not await writer.flush() and not job.placements and job.withheld
+        assert not await writer.flush()
+        assert not job.placements
+        assert job.withheld
 
     curio.run(drive)
 
@@ -549,7 +563,8 @@
         assert await site.submit(uid="j-2", chores=1, counts={"engine": 1}) == 422
         await site.run_rounds(20)
         _, told = await site.ask("GET", f"{api.JOBS}/j-1")
-        assert told["status"] == api.QUEUED and told["waits"] == ["count engine was removed"]
+        assert told["status"] == api.QUEUED
+        assert told["waits"] == ["count engine was removed"]
         await site.post("engine", ceiling=1, rev=3)
         await site.run_rounds(40)
         assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
@@ -617,4 +632,6 @@
     site.clients[0].cut = True
     with pytest.raises(StateError):
         site.flush()
-    assert not job.placements and site.total() == 0 and not site.plugin.store.uncertain_writes
+    assert not job.placements
+    assert site.total() == 0
+    assert not site.plugin.store.uncertain_writes
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -101,7 +101,8 @@
     assert not snapshot.update(part_of(0, {}, seq=4, token=3), 11.0)  # late
     assert not snapshot.update(part_of(0, {}, seq=99, token=2), 11.0)  # a former owner's
     assert snapshot.update(part_of(0, {}, seq=1, token=4), 12.0)  # its successor's
-    assert snapshot.known(31.9, 20.0) and not snapshot.known(32.1, 20.0)
+    assert snapshot.known(31.9, 20.0)
+    assert not snapshot.known(32.1, 20.0)
 
 
 WORKS = st.lists(
@@ -152,7 +153,8 @@
     fresh = [WorkItem(i, (0, "a"), 100 + i, 0.01, 0, 10) for i in range(4)]
     late = WorkItem(9, (0, "a"), 1, 0.01, 0, 40, late=True)
     found = dict(minimum_share.below_share([*fresh, late], lambda pair: 0.2))
-    assert found[9] == 5 and sum(found.values()) == 20
+    assert found[9] == 5
+    assert sum(found.values()) == 20
     old = WorkItem(1, (0, "a"), 1, 0.01, 10, 0, protected=10)
     assert minimum_share.protected_work([old], lambda pair: 0.08) == {
         1: 10
@@ -235,7 +237,8 @@
     plain, fair = Flood(3, quiet, None), Flood(3, quiet, ON)
     for context in (plain, fair):
         context.play(60)
-    assert plain.started == fair.started and len(plain.started) > 30
+    assert plain.started == fair.started
+    assert len(plain.started) > 30
 
 
 def test_controllers_with_the_same_snapshot_agree_and_the_overload_ends() -> None:
@@ -253,7 +256,8 @@
 
     def over(now: Flood) -> None:
         for node in now.nodes:
-            assert node.overload is not None and not node.overload.shares.overload
+            assert node.overload is not None
+            assert not node.overload.shares.overload
             placements = [
                 placement
                 for writer in node.writers.values()
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -177,7 +177,8 @@
     snapshots = [
         e.snapshot for e in received_messages(client, 2) if e.WhichOneof("body") == "snapshot"
     ]
-    assert snapshots and len(snapshots[0].machines) == MACHINES
+    assert snapshots
+    assert len(snapshots[0].machines) == MACHINES
     assert len(snapshots[0].machines[0].tasks) == TASKS
 
 
@@ -329,7 +330,8 @@
                 return
 
     curio.run(raise_all)
-    assert len(workers.called) == MACHINES and workers.peak <= node.worker_caller.max_in_flight
+    assert len(workers.called) == MACHINES
+    assert workers.peak <= node.worker_caller.max_in_flight
 
 
 def test_a_backlog_of_thousands_of_jobs_hides_no_guaranteed_work() -> None:
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -389,7 +389,8 @@
 def test_log_read_with_damaged_segments_gives_the_same_view() -> None:
     view = commit_log.read_segments(LOG.entries)
     assert plain_view(view) == LOG.view
-    assert view.unreadable_jobs and len(view.unreadable) == 2
+    assert view.unreadable_jobs
+    assert len(view.unreadable) == 2
 
 
 def test_log_segments_that_can_be_read_are_written_back_as_the_same_bytes() -> None:
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -46,7 +46,8 @@
             model.step()
         starts += model.starts
         segments += sum(key.startswith(LOG_PREFIX) for key in model.state.keys)
-    assert starts > 60 and segments > 60
+    assert starts > 60
+    assert segments > 60
 
 
 @pytest.mark.parametrize("meeting", [name for n, name in enumerate(MEETINGS) if n % 4 == 1])
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -247,7 +247,8 @@
         kept = [await harness.connected(STATUS) for _ in range(9)]
         worker = await harness.connect()
         response = await harness.ask(worker, REPORT)
-        assert response.startswith(b"http/1.1 200") and CLOSE in response
+        assert response.startswith(b"http/1.1 200")
+        assert CLOSE in response
         assert await worker.recv(1) == b""
         assert harness.counters() == (0, 0, 1)
         user = await harness.connect()
@@ -266,7 +267,8 @@
         for _ in range(3):
             for sock in socks:
                 response = await harness.ask(sock, REPORT)
-                assert response.startswith(b"http/1.1 200") and CLOSE not in response
+                assert response.startswith(b"http/1.1 200")
+                assert CLOSE not in response
         assert harness.counters() == (0, 0, 0)
         connections = harness.server.connections
         assert (connections.open, connections.workers) == (9, 9)
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -72,7 +72,8 @@
 )
 def test_a_job_that_can_never_run_is_infeasible(change: dict[str, Any], expected: str) -> None:
     reason = submission.infeasibility_reason(make_world(Clock()), spec(**change))
-    assert expected in reason and bool(expected) == bool(reason)
+    assert expected in reason
+    assert bool(expected) == bool(reason)
 
 
 def test_settings_errors_are_one_line_each(tmp_path) -> None:  # type: ignore[no-untyped-def]
@@ -120,7 +121,8 @@
     copies = [msgspec.json.decode(msgspec.json.encode(c), type=type(c)) for c in chunks]
     loaded = load_job(context, 1, JobRecord(job.spec, 5, False, copies[0]), {1: copies[1]})
     assert loaded.completed == 1
-    assert loaded.task_states[0] == 2 and loaded.task_states[7] == 0
+    assert loaded.task_states[0] == 2
+    assert loaded.task_states[7] == 0
     assert list(loaded.placements) == [TASKS_PER_CHUNK + 3]
     placement = loaded.placements[TASKS_PER_CHUNK + 3]
     assert (placement.machine, placement.session, placement.attempt) == (
@@ -128,7 +130,8 @@
         3,
         2,
     )
-    assert loaded.attempts[7] == 1 and loaded.attempts[TASKS_PER_CHUNK + 3] == 2
+    assert loaded.attempts[7] == 1
+    assert loaded.attempts[TASKS_PER_CHUNK + 3] == 2
 
 
 def test_a_full_chunk_fits_a_value() -> None:
@@ -159,7 +162,9 @@
         assert len(update.changes) <= context.settings.settings.state.txn_ops
         written += 1
         shard.apply_update(update, written + 1)
-    assert written == 4 and not job.pending_starts and len(job.placements) == job.spec.tasks
+    assert written == 4
+    assert not job.pending_starts
+    assert len(job.placements) == job.spec.tasks
 
 
 def test_a_relayed_batch_carries_messages_and_refuses_garbage() -> None:
@@ -168,7 +173,8 @@
         pb.Envelope(empty=pb.Empty()),
     ]
     received = message_batch.decode_batch(message_batch.encode_batch(sent))
-    assert received[0].snapshot.epoch == 9 and len(received) == 2
+    assert received[0].snapshot.epoch == 9
+    assert len(received) == 2
     for text in ("!!", "AAAA", message_batch.encode_batch(sent)[:-9]):
         with pytest.raises(ValueError):
             message_batch.decode_batch(text)
@@ -182,7 +188,8 @@
         ordinary += limiter.take_or_delay(1.0, False) == 0.0
     for _ in range(100):
         urgent += limiter.take_or_delay(1.0, True) == 0.0
-    assert 5 <= ordinary <= 7 and ordinary + urgent == 10
+    assert 5 <= ordinary <= 7
+    assert ordinary + urgent == 10
     granted = 0
     for _ in range(1000):
         clock.at += 0.01
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -77,7 +77,8 @@
     asked = preemption_plan(context, candidates, limit=5)
     jobs = [job(context, f"j-00000{i}", 0.0, chores=3, cores=2.0, rank="urgent") for i in range(3)]
     decisions = [p for job in jobs for p in asked.assign(job, [0, 1, 2], asked.cheapest(job, 0.0))]
-    assert len(decisions) == 5 and asked.remaining == 0
+    assert len(decisions) == 5
+    assert asked.remaining == 0
     assert (
         max(
             sum(p.candidate.index == candidate.index for p in decisions) for candidate in candidates
@@ -167,7 +168,8 @@
     assert (list(high.placements), list(low.placements)) == ([0], [])
     clock.at += 1.0
     assert curio.run(writer.flush)
-    assert list(low.placements) == [0, 1] and client.state.epoch == shard.token + 2
+    assert list(low.placements) == [0, 1]
+    assert client.state.epoch == shard.token + 2
 
 
 def test_starts_still_being_reserved_are_recorded_with_the_first() -> None:
@@ -287,8 +289,10 @@
     idle = new_job(context, spec("j-1", rank="idle", chores=99, cores=1.0, ram_gb=1.0), 0, 0)
     work = new_job(context, spec("j-2", rank="normal", chores=4, cores=1.0, ram_gb=1.0), 0, 0)
     cycle = SchedulingCycle(context, candidates, lambda job: 99, 999)
-    assert len(cycle.place(idle)) == 72 and cycle.unplaced[idle.index][1] == 27
-    assert len(cycle.place(work)) == 4 and not cycle.place(idle)
+    assert len(cycle.place(idle)) == 72
+    assert cycle.unplaced[idle.index][1] == 27
+    assert len(cycle.place(work)) == 4
+    assert not cycle.place(idle)
     assert len(cycle.place(idle, 2, prioritized=True)) == 2
 
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -57,7 +57,8 @@
         return JobInfo(team, rank, size, "i", 1.0, 0.0, 0.0, False, False, guaranteed, 0.0)
 
     array, service, low = info(0, 1, True), info(1, 3, False), info(1, 0, False)
-    assert may_preempt(array, low, False) and may_preempt(service, low, False)
+    assert may_preempt(array, low, False)
+    assert may_preempt(service, low, False)
     assert not may_preempt(array, service, False)
     assert may_preempt(array, service, True)
     assert not may_preempt(info(1, 1, True), service, True)  # its own team
@@ -123,10 +124,8 @@
 
     report(1, 1)
     (machine,) = machines.reconcile()
-    assert (
-        not request_capacity(machines, "j-1", False)
-        and not machines.commands_for(machine, True).commands
-    )
+    assert not request_capacity(machines, "j-1", False)
+    assert not machines.commands_for(machine, True).commands
     report(1, 2, renews=False)
     assert request_capacity(machines, "j-1", False)
     clock.at += 30.0
@@ -134,21 +133,26 @@
     assert machine.lost
     for session, seq in ((1, 3), (1, 4), (2, 5)):
         report(session, seq)
-        assert not machine.lost and not request_capacity(machines, "j-2", False)
+        assert not machine.lost
+        assert not request_capacity(machines, "j-2", False)
     assert machine in machines.reconcile()  # to be sent a command
     report(3, 6, renews=False)
-    assert machine.session == 3 and request_capacity(machines, "j-2", False)
+    assert machine.session == 3
+    assert request_capacity(machines, "j-2", False)
     # One that answers no command is confirmed by reporting a later token: one is raised.
     clock.at += 30.0
     report(3, 7)
-    assert not request_capacity(machines, "j-3", False) and not machines.needs_new_token()
+    assert not request_capacity(machines, "j-3", False)
+    assert not machines.needs_new_token()
     machines.on_command_unanswered(machine, machines.commands_for(machine, True), True)
-    assert machines.needs_new_token() and not machines.needs_new_token()
+    assert machines.needs_new_token()
+    assert not machines.needs_new_token()
     machines.token = 4
     report(3, 8)
     assert not request_capacity(machines, "j-3", False)
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 3, 9, 4), True)
-    assert request_capacity(machines, "j-3", False) and machine.unconfirmed_since is None
+    assert request_capacity(machines, "j-3", False)
+    assert machine.unconfirmed_since is None
 
 
 def test_probes_in_flight_are_limited() -> None:
@@ -162,13 +166,15 @@
     first = machines.reconcile()
     for machine in first:
         machine.command_in_flight = True
-    assert len(first) == MAX_PROBES and not machines.reconcile()
+    assert len(first) == MAX_PROBES
+    assert not machines.reconcile()
     for machine in first:
         machine.command_in_flight = False
         report = api.Report(machine.name, "x", "small", "a", 1, 2, 3)
         machines.apply_report(report, False)
     second = machines.reconcile()
-    assert len(second) == MAX_PROBES and not {m.index for m in first} & {m.index for m in second}
+    assert len(second) == MAX_PROBES
+    assert not {m.index for m in first} & {m.index for m in second}
 
 
 def send_desired_state(
@@ -201,13 +207,15 @@
     running = api.ReportTask("j-1/0", 1, "running")
     wanted = pb.DesiredTask(task=0, attempt=1, machine="vm-1", session=1)
     send_desired_state(1, machines, wanted, full=True)
-    assert commands_after(running) == [] and commands_after(running) == []
+    assert commands_after(running) == []
+    assert commands_after(running) == []
     clock.at += 50.0
     assert commands_after(running) == []
     assert machines.machines[0].empty_since == clock.at
     wanted.stop = True
     send_desired_state(2, machines, wanted)
-    assert commands_after(running) == [api.STOP] and commands_after(running) == [api.STOP]
+    assert commands_after(running) == [api.STOP]
+    assert commands_after(running) == [api.STOP]
     wanted.stop = False
     send_desired_state(3, machines, wanted)
     assert commands_after(running) == []
@@ -218,7 +226,8 @@
     send_desired_state(4, machines)
     assert commands_after(running) == [api.STOP]  # no desired state names it any more
     ended = api.ReportTask("j-1/0", 1, "exited", "halted")
-    assert commands_after(ended) == [api.REAP] and commands_after(ended) == [api.REAP]
+    assert commands_after(ended) == [api.REAP]
+    assert commands_after(ended) == [api.REAP]
     assert commands_after() == []
 
 
@@ -240,14 +249,13 @@
         message.tasks.add(task=0, attempt=1, machine="vm-1")
         return [g.evicting for g in machines.reserve(message).granted]
 
-    assert (
-        accumulate("j-8") == [True]
-        and accumulate("j-9") == []
-        and not machines.machines[0].evictions
-    )
+    assert accumulate("j-8") == [True]
+    assert accumulate("j-9") == []
+    assert not machines.machines[0].evictions
     # What comes free isn't given to the next small task, and goes to the large one in the end.
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 3, 3, tasks=running[:1]), False)
-    assert request_capacity(machines, "j-7", False, **small) == [] and accumulate("j-8") == [True]
+    assert request_capacity(machines, "j-7", False, **small) == []
+    assert accumulate("j-8") == [True]
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 4, 3), False)
     assert accumulate("j-8") == [False]
     # A protected task is preempted for no job, whatever its rank.
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -178,7 +178,8 @@
     candidates.update(snapshot, set(snapshot.machines))
     candidates.allocate(chosen, (7, 0), (2.0, 0.0, 0.0), "img")
     (current,) = candidates.candidates()
-    assert current is not chosen and current.available[0] == 2.0
+    assert current is not chosen
+    assert current.available[0] == 2.0
     candidates.resolve(chosen, (7, 0), False)
     assert current.available[0] == 4.0
 
@@ -229,4 +230,5 @@
     node.planner.reservations.reserve_local = reserve
     node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
-    assert requested and len(requested) <= 6
+    assert requested
+    assert len(requested) <= 6
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -40,4 +40,5 @@
         getattr(model, model.rng.choice([*quiet, "do_work", "do_mail", "do_mail"]))()
         model.check_cancelled()
         model.check_told()
-    assert model.ended() == set(model.accepted) and model.accepted
+    assert model.ended() == set(model.accepted)
+    assert model.accepted
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -94,10 +94,12 @@
     pair.report(*full)
     pair.machines.desired.learn_job(pb.Job(id="j-000009", cpus=2.0))
     job = pair.place()
-    assert pair.exchange() == [] and job.pending_ends  # no capacity: refused, and so freed
+    assert pair.exchange() == []
+    assert job.pending_ends
     pair.change_owner()
     pair.report()
-    assert pair.exchange() == [] and job.pending_ends  # there is capacity now
+    assert pair.exchange() == []
+    assert job.pending_ends
 
 
 def test_stale_reports_renew_revive_and_prove_nothing() -> None:
@@ -106,21 +108,24 @@
     running = ("j-000001/0", 1, "running")
     pair.report(running, seq=40)
     job = pair.place()
-    assert pair.exchange() == [] and not job.pending_ends
+    assert pair.exchange() == []
+    assert not job.pending_ends
     machine = pair.machines.machines[0]
     for _ in range(3):  # it dies; copies come for longer than its lease
         pair.clock.at += 5.0
         copy = api.Report("vm-1", "x", "small", "b", 1, 40, pair.token)
         assert pair.machines.is_stale_report(copy)
         pair.machines.expire_leases()
-    assert machine.lost and pair.machines.stale_reports == 3
+    assert machine.lost
+    assert pair.machines.stale_reports == 3
     pair.exchange()
     assert job.pending_ends
     # Of a deleted machine they bring nothing back, at whatever time.
     pair.machines.mark_deleted("vm-1")
     pair.clock.at += 100.0
     pair.machines.reconcile()
-    assert pair.machines.is_stale_report(copy) and not pair.machines.machines
+    assert pair.machines.is_stale_report(copy)
+    assert not pair.machines.machines
 
 
 def test_a_stale_report_to_a_new_owner_proves_nothing() -> None:
@@ -136,12 +141,14 @@
     for _ in range(60):
         pair.clock.at += 0.5
         pair.machines.expire_leases()
-        assert pair.exchange() == [] and not pair.machines.is_schedulable(machine)
+        assert pair.exchange() == []
+        assert not pair.machines.is_schedulable(machine)
         assert not machine.lost and not job.pending_ends, "before the former leases ended"
     pair.clock.at += 0.5
     pair.machines.expire_leases()
     pair.exchange()
-    assert machine.lost and job.pending_ends
+    assert machine.lost
+    assert job.pending_ends
 
 
 def test_a_session_shown_by_a_command_answer_lasts_a_lease_from_then() -> None:
@@ -158,7 +165,8 @@
     pair.exchange()
     pair.report(("j-000001/0", 1, "running"), session=2, answer=True)
     for _ in range(99):
-        assert not machine.lost and not job.pending_ends
+        assert not machine.lost
+        assert not job.pending_ends
         # Nothing new is begun there: no start renews a lease.
         assert not pair.machines.is_schedulable(machine)
         pair.clock.at += 0.1
@@ -167,7 +175,8 @@
     pair.clock.at += 0.6
     pair.machines.expire_leases()
     pair.exchange()
-    assert machine.lost and job.pending_ends
+    assert machine.lost
+    assert job.pending_ends
 
 
 def test_an_unreachable_machine_that_reports_is_counted_and_not_schedulable() -> None:
@@ -188,13 +197,15 @@
             tokens += 1
         if second % 5 == 4:  # a report every 5 s, and its lease ends all the same
             pair.report(session=1 + second // 10, token=first)
-    assert tokens <= 3 and not machines.is_schedulable(machine)
+    assert tokens <= 3
+    assert not machines.is_schedulable(machine)
     assert max(machines.unreachable_counts()) > 20.0
     assert job.pending_ends  # its session ended: proven
     # Once it answers it is used again.
     pair.token = machines.token
     pair.report(session=5, answer=True)
-    assert machines.is_schedulable(machine) and machines.unreachable_counts() == []
+    assert machines.is_schedulable(machine)
+    assert machines.unreachable_counts() == []
 
 
 @pytest.mark.parametrize("sign", ["two unanswered commands", "a new session", "silence"])
@@ -230,7 +241,8 @@
     machine = machines.machines[0]
     machine.unconfirmed_token = 0
     body = api.Report("vm-1", "x", "small", "b", 1, 3, 0)
-    assert machines.is_stale_report(body) and machine.probe_needed
+    assert machines.is_stale_report(body)
+    assert machine.probe_needed
     assert machine in machines.reconcile()  # it is to be sent a command
     asked = machine.position()
     assert asked == (1, 40)
@@ -240,14 +252,19 @@
     for token, tasks in ((6, []), (7, [held])):
         body = api.Report("vm-1", "x", "small", "b", 1, 4, token, tasks=tasks)
         machines.apply_report(body, False, asked)
-        assert machine.session == 1 and machines.needs_new_token() and not job.pending_ends
+        assert machine.session == 1
+        assert machines.needs_new_token()
+        assert not job.pending_ends
         orders = machines.commands_for(machine, True)
-        assert [c.op for c in orders.commands] == [api.STOP] * len(tasks) and orders.session == 1
+        assert [c.op for c in orders.commands] == [api.STOP] * len(tasks)
+        assert orders.session == 1
     machines.token = pair.token = 7
     machines.apply_report(api.Report("vm-1", "x", "small", "b", 1, 5, 7), False, asked)
-    assert machine.session == 2 and machines.commands_for(machine, True).session == 1
+    assert machine.session == 2
+    assert machines.commands_for(machine, True).session == 1
     pair.exchange()
-    assert job.pending_ends and machines.is_schedulable(machine)
+    assert job.pending_ends
+    assert machines.is_schedulable(machine)
     # What comes late of its former incarnation is stale: by its token.
     assert machines.is_stale_report(api.Report("vm-1", "x", "small", "b", 1, 900, 6))
     assert not machines.is_stale_report(api.Report("vm-1", "x", "small", "b", 1, 6, 7))
@@ -256,7 +273,8 @@
     job.pending_ends.clear()
     job.placements[0].session = 2
     pair.report(session=1, seq=8)
-    assert pair.exchange() and pair.machines.machines[0].session == 2
+    assert pair.exchange()
+    assert pair.machines.machines[0].session == 2
 
 
 def failing(
@@ -275,7 +293,7 @@
 
 
 @pytest.mark.parametrize(
-    "case, jobs, succeeds, fails_elsewhere, faulty",
+    ("case", "jobs", "succeeds", "fails_elsewhere", "faulty"),
     [
         ("one broken job's many tasks", range(1), False, False, False),
         ("broken jobs that failed elsewhere too", range(9), False, True, False),
@@ -330,7 +348,8 @@
         [n * TASKS_PER_CHUNK for n in range(8)],
     )
     assert densest_chunks([*starts, *ends], 3) == [0, 1, 10]
-    assert densest_chunks([*starts, *ends], 1) == [0] and densest_chunks([], 3) == []
+    assert densest_chunks([*starts, *ends], 1) == [0]
+    assert densest_chunks([], 3) == []
 
 
 def test_starts_whose_reservation_expired_are_not_recorded() -> None:
@@ -342,7 +361,8 @@
     job.pending_starts[0], job.key_versions[0] = placement, 1
     assert pair.jobs.draft_update(job) is not None
     pair.clock.at += 0.8
-    assert pair.jobs.draft_update(job) is None and job.pending(1) == [0]
+    assert pair.jobs.draft_update(job) is None
+    assert job.pending(1) == [0]
 
 
 def test_a_restarted_owner_waits_until_former_leases_ended() -> None:
@@ -400,7 +420,8 @@
                 sent[name] += 1
                 until[name] = clock.at + 10.5  # two controllers that don't answer
         clock.at += 1.0
-    assert sum(sent.values()) <= 4 and len(forwarded) > 60 * len(mine)
+    assert sum(sent.values()) <= 4
+    assert len(forwarded) > 60 * len(mine)
     # When one doesn't come back, the others follow.
     for _ in range(40):
         for name in mine:
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -116,7 +116,8 @@
         return deck.done[name], deck.told[name][0]
 
     done, state = play(monkeypatch, deck, drive())
-    assert (done, state) == ((3, "done") if end == "done" else (done, "cancelled")) and done >= 2
+    assert (done, state) == ((3, "done") if end == "done" else (done, "cancelled"))
+    assert done >= 2
 
 
 def test_a_job_that_ended_while_its_acceptance_was_under_way_stays_so(
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -35,10 +35,12 @@
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
         body = api.Transaction([api.Condition(k, v) for k, v in conditions.items()], changes)
-        assert len(msgspec.json.encode(body)) <= TXN_BYTES and len(changes) <= 12
+        assert len(msgspec.json.encode(body)) <= TXN_BYTES
+        assert len(changes) <= 12
         for change in changes:
             key = change.put or change.delete or ""
-            assert 0 < len(key.encode()) <= 200 and not any(c.isspace() for c in key)
+            assert 0 < len(key.encode()) <= 200
+            assert not any(c.isspace() for c in key)
             assert len(msgspec.json.encode(change.value)) <= VALUE_BYTES
         return await super().transact(conditions, changes, urgent)
 
@@ -179,7 +181,8 @@
         assert (await cluster.ask("GET", f"{api.JOBS}/{GOOD}"))[1]["status"] != api.QUEUED
         for n, status in enumerate(statuses):
             code, job_status = await cluster.ask("GET", f"{api.JOBS}/j-{n + 100}")
-            assert code == (200 if status == 201 else 404) and "fault" not in job_status
+            assert code == (200 if status == 201 else 404)
+            assert "fault" not in job_status
 
     curio.run(drive)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -56,7 +56,8 @@
     assert [one.rule for one in checked.broken] == ([rule] if rule else [])
     if rule:
         text = str(checked.broken[0])
-        assert JOB in text and "vm-" in text
+        assert JOB in text
+        assert "vm-" in text
 
 
 @pytest.mark.parametrize(
@@ -78,7 +79,8 @@
     if starts_at is not None:
         checked.hear(f"{starts_at} on {TASK} vm-2")
     checked.judge(100.0)
-    assert [one.rule for one in checked.broken] == rules and len(checked.late) == late
+    assert [one.rule for one in checked.broken] == rules
+    assert len(checked.late) == late
 
 
 @pytest.mark.parametrize(("done_at", "rules"), [(9.0, []), (11.0, ["not_done"])])
@@ -123,7 +125,8 @@
         checked.hear(line)
     checked.judge(1e12)
     assert [one.rule for one in checked.broken] == (["ran_twice"] if broken else [])
-    assert checked.starts == 1 and checked.finished == {TASK}
+    assert checked.starts == 1
+    assert checked.finished == {TASK}
 
 
 def test_a_machine_without_power_is_not_restarted() -> None:
@@ -133,7 +136,8 @@
     machine = made.machines["vm-0"]
     machine.end()
     machine.restart()
-    assert machine.dead and [line.split()[1] for line in made.lines] == ["gone"]
+    assert machine.dead
+    assert [line.split()[1] for line in made.lines] == ["gone"]
 
 
 # --- hollow workers follow the protocol
@@ -189,8 +193,11 @@
 def test_a_lease_that_is_over_ends_the_session_and_all_tasks() -> None:
     one = agent()
     one.execute([api.Command(START, TASK, 1)])
-    assert one.expire(10.0, 10.0) == [] and one.session == 1
-    assert one.expire(10.1, 10.0) == [TASK] and one.session == 2 and not one.tasks
+    assert one.expire(10.0, 10.0) == []
+    assert one.session == 1
+    assert one.expire(10.1, 10.0) == [TASK]
+    assert one.session == 2
+    assert not one.tasks
     tally = one.report().seq
     assert one.report().seq == tally + 1
 
@@ -285,7 +292,8 @@
 def test_a_summary_says_what_broke(fields: dict[str, Any], failed: bool) -> None:
     text = "\n".join(reports.summary(row(**fields)))
     assert reports.failed(row(**fields)) == failed
-    assert ("no rule broken" in text) != failed and "0.50 changes" in text
+    assert ("no rule broken" in text) != failed
+    assert "0.50 changes" in text
 
 
 # --- the state service refuses what the protocol refuses
@@ -328,7 +336,8 @@
 def test_requests_over_the_rate_are_refused_and_counted() -> None:
     state = State(StateLimits(rps=3))
     found = [curio.run(state.handle, Request("GET", f"{api.KV}/a", b"")).status for _ in range(5)]
-    assert found == [404, 404, 404, 429, 429] and state.stats.over_rate == 2
+    assert found == [404, 404, 404, 429, 429]
+    assert state.stats.over_rate == 2
 
 
 def test_a_rate_allows_a_burst_worth_its_seconds() -> None:
@@ -351,18 +360,22 @@
         return msgspec.json.decode(reply.body, type=api.Entries)
 
     first_page = page("prefix=a/")
-    assert len(first_page.items) == 1000 and first_page.more
+    assert len(first_page.items) == 1000
+    assert first_page.more
     rest = page(f"prefix=a/&after={first_page.items[-1].key}")
-    assert len(rest.items) == 500 and not rest.more
+    assert len(rest.items) == 500
+    assert not rest.more
     large = page("prefix=b/")
-    assert large.more and 400 < len(large.items) < 700
+    assert large.more
+    assert 400 < len(large.items) < 700
 
 
 def test_a_condition_that_fails_changes_nothing() -> None:
     state = State(StateLimits())
     assert post(state, {"a/00000": 0}, puts(1)) == 200
     assert post(state, {"a/00000": 0}, puts(2)) == 409
-    assert len(state.keys) == 1 and state.stats.refused == 1
+    assert len(state.keys) == 1
+    assert state.stats.refused == 1
 
 
 def test_keys_go_with_their_lease_and_watchers_hear_of_it() -> None:
@@ -430,7 +443,8 @@
             timeout=30,
             check=False,
         )
-    assert done.returncode == 2 and f"port {port}: taken" in done.stderr
+    assert done.returncode == 2
+    assert f"port {port}: taken" in done.stderr
     assert "ended by itself" not in done.stderr
 
 
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -55,7 +55,8 @@
         )
         for candidate in cached
     )
-    assert got is not None and got in cached
+    assert got is not None
+    assert got in cached
     assert abs(scoring.start_score(got.utilization_with(need)) - best) < 1e-9
 
 
@@ -90,7 +91,8 @@
     ]
     got = scoring.choose_refit(candidates, (2.0, 0.0, 2.0), 2000, 15, random.Random(3))
     open_ = [candidate.index for candidate in got if candidate.available[0] >= 2]
-    assert sorted(candidate.index for candidate in got) == list(range(9)) and len(open_) == 7
+    assert sorted(candidate.index for candidate in got) == list(range(9))
+    assert len(open_) == 7
     # Forced candidates, fitting only by their whole capacity, come last.
     assert [candidate.index for candidate in got][: len(open_)] == open_
 
@@ -166,7 +168,8 @@
     ]
     decisions, _ = scheduler.schedule(context, [job], candidates, lambda j: 99, 99)
     zones = [p.candidate.zone for p in decisions]
-    assert len(zones) == 5 and max(zones.count(0), zones.count(1)) == 3
+    assert len(zones) == 5
+    assert max(zones.count(0), zones.count(1)) == 3
 
 
 def test_a_job_with_a_wait_objective_preempts_once_where_its_image_is() -> None:
@@ -200,5 +203,7 @@
         Candidate(i, 0, i, False, i, (16.0, 0.0, 64.0), [4.0, 0.0, 64.0]) for i in range(2)
     ]
     decisions, waiting = scheduler.schedule(context, [job], candidates, lambda j: 99, 99)
-    assert len({p.candidate.zone for p in decisions}) == 1 and len(decisions) == 2
-    assert waiting and waiting[0][0] is job
+    assert len({p.candidate.zone for p in decisions}) == 1
+    assert len(decisions) == 2
+    assert waiting
+    assert waiting[0][0] is job
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -91,7 +91,8 @@
     machines.reconcile()
     apply_snapshot_message(context, snapshots, machines.snapshot_update(True))
     jobs.apply_snapshot(snapshots[1], None)
-    assert not job.pending_ends and snapshots[1].applied_seqs[jobs.shard] == (3, 1)
+    assert not job.pending_ends
+    assert snapshots[1].applied_seqs[jobs.shard] == (3, 1)
     assert snapshots[1].task(context.machine_names.intern("vm-1"), "j-000001", 0, 1) is not None
 
 
@@ -126,18 +127,22 @@
         )
     jobs.adopt(job)
     first = jobs.desired_state_message(1, 77)
-    assert first.full and len(first.tasks) == 200 and machines.apply_desired_state(first)
+    assert first.full
+    assert len(first.tasks) == 200
+    assert machines.apply_desired_state(first)
     jobs.remove_placement(job, 7)
     second = jobs.desired_state_message(1, 77)
-    assert not second.full and (len(second.tasks), len(second.removed)) == (0, 1)
+    assert not second.full
+    assert (len(second.tasks), len(second.removed)) == (0, 1)
     lost = jobs.desired_state_message(1, 77)
     third = jobs.desired_state_message(1, 77)
-    assert machines.apply_desired_state(second) and not machines.apply_desired_state(third)
-    assert sum(len(t) for t in machines.desired_tasks[0].values()) == 199 and lost.seq == 3
+    assert machines.apply_desired_state(second)
+    assert not machines.apply_desired_state(third)
+    assert sum(len(t) for t in machines.desired_tasks[0].values()) == 199
+    assert lost.seq == 3
     assert machines.apply_desired_state(jobs.desired_state_message(1, 77, True))
-    assert jobs.desired_state_message(1, 78).full and not machines.apply_desired_state(
-        jobs.desired_state_message(1, 78)
-    )
+    assert jobs.desired_state_message(1, 78).full
+    assert not machines.apply_desired_state(jobs.desired_state_message(1, 78))
 
 
 def test_a_relayed_text_of_many_parts_arrives() -> None:
@@ -152,7 +157,8 @@
     curio.run(ours.state_sync.write_relay, 1, text)
     parts = {k: v for k, (v, _) in state.keys.items() if k.startswith(records.RELAY)}
     limit = ours.context.settings.settings.state.value_kb * 1000
-    assert len(parts) > 1 and all(len(value) <= limit for value in parts.values())
+    assert len(parts) > 1
+    assert all(len(value) <= limit for value in parts.values())
     received: list[pb.Envelope] = []
 
     async def receive(envelope: pb.Envelope) -> None:
@@ -222,7 +228,8 @@
         return link
 
     link = curio.run(fill)
-    assert link.closed and len(link.backlog) <= frames.MAX_BACKLOG
+    assert link.closed
+    assert len(link.backlog) <= frames.MAX_BACKLOG
 
 
 FULL_TASKS = 32
@@ -284,7 +291,8 @@
     assert not curio.run(play).closed
     assert len(names()) == 4_001
     first = theirs.state_sync.snapshots[1].machines[theirs.context.machine_names.intern("vm-00000")]
-    assert len(first.tasks) == FULL_TASKS and len(first.images) == FULL_IMAGES
+    assert len(first.tasks) == FULL_TASKS
+    assert len(first.images) == FULL_IMAGES
     # Also for the largest fleet, half as many machines again, it is one frame.
     size = len(pb.Envelope(snapshot=shard.full_snapshot(True)).SerializeToString())
     assert size * frames.MAX_MACHINES // 4_001 <= frames.MAX_FRAME
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -205,7 +205,8 @@
         began = clock()
         async with curio.timeout_after(20.0):
             assert len(await other.receive()) == 2_000_000
-        assert clock() - began > 0.2 and not link.closed
+        assert clock() - began > 0.2
+        assert not link.closed
         await link.send(b"later", 0.2)
         assert await other.receive() == b"later"
         await drain.cancel()
