--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -146,7 +146,7 @@
         line(
             "a controller's sockets",
             f"{m.sockets.slope:.2f} a worker with three, two thirds of it reports",
-            controller(lambda w, s: CONTROLLERS * m.sockets.at(w)), m.sockets.mark(workers),
+            controller(lambda w, _s: CONTROLLERS * m.sockets.at(w)), m.sockets.mark(workers),
             "{:.0f}",
         ),
         line(
@@ -157,7 +157,7 @@
         line(
             "between controllers, kB a second",
             f"{m.between.slope / 1000:.2f} kB a start",
-            same(lambda w, s: m.between.at(s) / 1000), m.between.mark(peak), "{:.0f}",
+            same(lambda _w, s: m.between.at(s) / 1000), m.between.mark(peak), "{:.0f}",
         ),
         line(
             "state service, changes a second",
--- a/scripts/counts_proof.py
+++ b/scripts/counts_proof.py
@@ -307,7 +307,7 @@
 @click.option("--port", default=21000, help="The first of some 400 ports on loopback.")
 @click.option("--limit-s", default=1800.0, help="Give up after this long.")
 @click.option("--keep", type=click.Path(path_type=Path), help="Keep the logs in this new folder.")
-def main(
+def main(  # noqa: PLR0913 -- click passes each option by its name
     trouble: str, jobs: int, session_s: float, ceiling: int, counted: bool, seed: int, port: int,
     limit_s: float, keep: Path | None,
 ) -> None:  # fmt: skip
--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -21,7 +21,7 @@
 
 from standins.scale import report as reports  # noqa: E402
 from standins.scale.plan import Plan, Rung, load  # noqa: E402
-from standins.scale.run import PortsTaken, play  # noqa: E402
+from standins.scale.run import PortsTakenError, play  # noqa: E402
 from starlingdeck.protocol.config import ConfigError  # noqa: E402
 
 
@@ -79,7 +79,7 @@
     """A rung's row; without one the whole run ends, with the status that tells why."""
     try:
         return play(wanted, rung, folder, say)
-    except PortsTaken as error:
+    except PortsTakenError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     except RuntimeError as error:
--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -23,7 +23,7 @@
 JUDGE_S = 0.2
 
 
-class PortsTaken(Exception):
+class PortsTakenError(Exception):
     """Something listens already where a rung's processes would; most likely another run."""
 
     def __init__(self, ports: list[int]) -> None:
@@ -253,7 +253,7 @@
         folder.mkdir(exist_ok=True)
         one = Play(plan, rung, folder, say)
         if taken := one.site.taken_ports():
-            raise PortsTaken(taken)
+            raise PortsTakenError(taken)
         try:
             return curio.run(one.run)  # type: ignore[no-any-return]
         finally:
--- a/starlingdeck/__main__.py
+++ b/starlingdeck/__main__.py
@@ -1,4 +1,4 @@
-"""python -m starlingdeck"""
+"""Entry point of `python -m starlingdeck`."""
 
 from starlingdeck.cli import main
 
--- a/starlingdeck/admission/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -145,13 +145,14 @@
                 version = self.quota.versions.get(team, 0)
                 shares = self.quota.split(team)
                 new_version = await self.state.transact({key: version}, [put_change(key, shares)])
-                self.quota.learn(team, shares, new_version)
-                return
             except TransactionConflictError:
                 await self._reread_quota(key)
                 return
             except StateError:
                 await self._retry_wait()
+            else:
+                self.quota.learn(team, shares, new_version)
+                return
 
     def on_key_changed(self, key: str, value: msgspec.Raw, version: int) -> None:
         """Take over a team's shares from the value of its key; msgspec.DecodeError if invalid."""
--- a/starlingdeck/api/job_request.py
+++ b/starlingdeck/api/job_request.py
@@ -1,10 +1,11 @@
 """A user's request for one job, as it is handled here or forwarded to another controller."""
 
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
 from enum import StrEnum
 from typing import NamedTuple
 
+from msgspec import Struct
+
 from starlingdeck.cluster.membership import Membership
 from starlingdeck.cluster.peers import Peers
 from starlingdeck.context import ControllerContext
@@ -29,8 +30,7 @@
     body: bytes = b""  # of a submission: the job's JSON
 
 
-@dataclass(kw_only=True, eq=False)
-class JobApiServices:
+class JobApiServices(Struct, kw_only=True, eq=False, dict=True):
     """The parts of the controller that job requests are handled with."""
 
     context: ControllerContext
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -136,7 +136,8 @@
             else:
                 await self.hooks.on_cluster_key(event)
         except (ValueError, msgspec.DecodeError) as error:
-            log.error("cluster key malformed: key=%s error=%r", key, error)
+            # The malformed value says all; a traceback would add nothing.
+            log.error("cluster key malformed: key=%s error=%r", key, error)  # noqa: TRY400
 
     def _on_node_key(self, node: int, event: api.Event) -> None:
         if event.put:
--- a/starlingdeck/controller/autoscaling_loop.py
+++ b/starlingdeck/controller/autoscaling_loop.py
@@ -1,9 +1,9 @@
 """The loop that runs the autoscaler at the owner of shard 0."""
 
 import logging
-from dataclasses import dataclass
 
 import curio
+from msgspec import Struct
 
 from starlingdeck.autoscaling.autoscaler import Autoscaler
 from starlingdeck.autoscaling.cloud_client import CloudClient, CloudError
@@ -19,8 +19,7 @@
 AUTOSCALING_INTERVAL_S = 0.5
 
 
-@dataclass(kw_only=True, eq=False)
-class AutoscalingLoop:
+class AutoscalingLoop(Struct, kw_only=True, eq=False, dict=True):
     """Steps the autoscaler while shard 0 is owned here and the lease is valid."""
 
     context: ControllerContext
--- a/starlingdeck/controller/cluster_keys.py
+++ b/starlingdeck/controller/cluster_keys.py
@@ -1,9 +1,9 @@
 """Dispatch of changed cluster keys of the state service that are neither nodes nor shards."""
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 
 import curio
+from msgspec import Struct
 
 from starlingdeck.admission.quota_transfer import QuotaTransfer
 from starlingdeck.cluster.peers import MessageHandler
@@ -16,8 +16,7 @@
 from starlingdeck.sync.state_sync import StateSync
 
 
-@dataclass(kw_only=True, eq=False)
-class ClusterKeyHandler:
+class ClusterKeyHandler(Struct, kw_only=True, eq=False, dict=True):
     """Hands each event of the watch to the part whose key has changed."""
 
     writers: Mapping[int, RecordWriter]
--- a/starlingdeck/controller/gossip.py
+++ b/starlingdeck/controller/gossip.py
@@ -1,6 +1,6 @@
 """The gossip that controllers exchange: shard ownership, demand, quota needs, deleted machines."""
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from starlingdeck.admission.quota_transfer import QuotaTransfer
 from starlingdeck.cluster.membership import Membership, ShardOwner
@@ -13,8 +13,7 @@
 from starlingdeck.scheduling.planner import Planner
 
 
-@dataclass(kw_only=True, eq=False)
-class GossipExchange:
+class GossipExchange(Struct, kw_only=True, eq=False, dict=True):
     """Builds this controller's gossip and applies that of its peers."""
 
     context: ControllerContext
--- a/starlingdeck/controller/http_router.py
+++ b/starlingdeck/controller/http_router.py
@@ -1,9 +1,9 @@
 """Routing of HTTP requests: worker heartbeats, health, counted resources, jobs."""
 
 import logging
-from dataclasses import dataclass
 
 import curio
+from msgspec import Struct
 
 from starlingdeck.api.heartbeat_api import HeartbeatApi
 from starlingdeck.api.job_api import JobApi
@@ -24,8 +24,7 @@
     return request.path == path or request.path.startswith(path + "/")
 
 
-@dataclass(kw_only=True, eq=False)
-class HttpRouter:
+class HttpRouter(Struct, kw_only=True, eq=False, dict=True):
     """Serves every request that reaches the controller's public address."""
 
     context: ControllerContext
--- a/starlingdeck/controller/metrics_report.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -2,9 +2,9 @@
 
 import logging
 from collections.abc import Iterator, Mapping
-from dataclasses import dataclass
 
 import curio
+from msgspec import Struct
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.admission import AdmissionController
@@ -22,8 +22,7 @@
 MIN_CPUS = 1e-9  # so that jobs without CPUs are ordered by their tasks
 
 
-@dataclass(kw_only=True, eq=False)
-class MetricsReporter:
+class MetricsReporter(Struct, kw_only=True, eq=False, dict=True):
     """Logs the metrics of all parts of a controller, a line each."""
 
     context: ControllerContext
--- a/starlingdeck/controller/peer_messages.py
+++ b/starlingdeck/controller/peer_messages.py
@@ -1,9 +1,9 @@
 """Dispatch of messages from other controllers to the parts that handle them."""
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 
 import curio
+from msgspec import Struct
 
 from starlingdeck.api.heartbeat_api import HeartbeatApi
 from starlingdeck.api.heartbeat_redirect import REPORT
@@ -15,8 +15,7 @@
 from starlingdeck.sync.state_sync import SnapshotResult, StateSync
 
 
-@dataclass(kw_only=True, eq=False)
-class PeerMessageHandler:
+class PeerMessageHandler(Struct, kw_only=True, eq=False, dict=True):
     """Handles one message of a peer at a time and builds its reply, if it has one."""
 
     membership: Membership
--- a/starlingdeck/controller/reconciler.py
+++ b/starlingdeck/controller/reconciler.py
@@ -2,9 +2,9 @@
 
 import logging
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
 
 import curio
+from msgspec import Struct
 
 from starlingdeck.cluster.membership import Membership
 from starlingdeck.context import ControllerContext
@@ -26,8 +26,7 @@
 MIN_RECONCILE_INTERVAL_S = 0.04  # what arrives meanwhile is handled together
 
 
-@dataclass(kw_only=True, eq=False)
-class Reconciler:
+class Reconciler(Struct, kw_only=True, eq=False, dict=True):
     """Calls workers, publishes snapshots and sends desired state, a round at a time."""
 
     context: ControllerContext
--- a/starlingdeck/controller/record_flusher.py
+++ b/starlingdeck/controller/record_flusher.py
@@ -2,10 +2,10 @@
 
 import logging
 from collections.abc import Mapping
-from dataclasses import dataclass
 
 import curio
 import msgspec
+from msgspec import Struct
 
 from starlingdeck.cluster.membership import Membership
 from starlingdeck.context import ControllerContext
@@ -17,8 +17,7 @@
 OWNERSHIP_CHECK_DELAY_S = 0.1  # for the membership to read the shard's key again
 
 
-@dataclass(kw_only=True, eq=False)
-class RecordFlusher:
+class RecordFlusher(Struct, kw_only=True, eq=False, dict=True):
     """Flushes the record writers of all shards owned here."""
 
     context: ControllerContext
--- a/starlingdeck/controller/shard_loader.py
+++ b/starlingdeck/controller/shard_loader.py
@@ -2,10 +2,10 @@
 
 import logging
 from collections.abc import Mapping
-from dataclasses import dataclass
 
 import curio
 import msgspec
+from msgspec import Struct
 
 from starlingdeck.admission.quota_transfer import QuotaTransfer
 from starlingdeck.context import ControllerContext
@@ -18,8 +18,7 @@
 log = logging.getLogger(__name__)
 
 
-@dataclass(kw_only=True, eq=False)
-class ShardLoader:
+class ShardLoader(Struct, kw_only=True, eq=False, dict=True):
     """Reads a shard's quota, mailbox and records until it is loaded or owned here no longer."""
 
     context: ControllerContext
--- a/starlingdeck/controller/worker_caller.py
+++ b/starlingdeck/controller/worker_caller.py
@@ -1,9 +1,8 @@
 """Calls from the controller to workers: commands, probes and the announcement of a new token."""
 
-from dataclasses import dataclass, field
-
 import curio
 import msgspec
+from msgspec import Struct
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.machines.machine import Machine
@@ -19,15 +18,14 @@
 LAUNCH_RETRY_S = 0.3  # until a start that the worker has not shown yet is sent again
 
 
-@dataclass(kw_only=True, eq=False)
-class WorkerCaller:
+class WorkerCaller(Struct, kw_only=True, eq=False, dict=True):
     """Calls workers, never more at once than the HTTP client has connections for."""
 
     context: ControllerContext
     http: HttpClient
     machines: dict[int, MachineShard]
     wake: curio.Event
-    max_in_flight: int = field(init=False)
+    max_in_flight: int = 0  # set from what the HTTP client has
     in_flight: int = 0
 
     def __post_init__(self) -> None:
@@ -104,7 +102,7 @@
             if reply.status == 409:
                 machines.on_command_rejected(reported)
             elif reply.status != 200:
-                raise NoResponseError(f"status {reply.status}")
+                raise NoResponseError(f"status {reply.status}")  # noqa: TRY301 -- as no reply
             elif reported.pending_launches:
                 reported.retry_at = self.context.now() + LAUNCH_RETRY_S
         except (NoResponseError, api.ValidationError) as error:
--- a/starlingdeck/machines/scoring.py
+++ b/starlingdeck/machines/scoring.py
@@ -86,7 +86,7 @@
 
 
 def refit_score(utilization: Sequence[float]) -> float:
-    """DESIGN 4: tight fits first; nothing above HIGH_UTILIZATION. (Our own: mean minus spread.)"""
+    """DESIGN 4: tight fits first; nothing above HIGH_UTILIZATION. Our own: mean minus spread."""
     high, low = max(utilization), min(utilization)
     if high > HIGH_UTILIZATION:
         return 0.0
--- a/starlingdeck/metrics/latency.py
+++ b/starlingdeck/metrics/latency.py
@@ -68,11 +68,11 @@
         self.started_at = 0.0
         self.runtimes: dict[str, TaskRuntime] = {}
 
-    def running(self, task: Any) -> None:
+    def running(self, task: Any) -> None:  # noqa: ARG002 -- an interface of curio
         """Note the start of a run; the kernel calls this."""
         self.started_at = self.now()
 
-    def suspended(self, task: Any, trap: Any) -> None:
+    def suspended(self, task: Any, trap: Any) -> None:  # noqa: ARG002 -- an interface of curio
         """Add a finished run; the kernel calls this."""
         run_s = self.now() - self.started_at
         runtime = self.runtimes.setdefault(task.name, TaskRuntime())
--- a/starlingdeck/scheduling/constraints.py
+++ b/starlingdeck/scheduling/constraints.py
@@ -38,7 +38,7 @@
     if spec.spread:
         limit = (spec.tasks + 1) // 2
         return lambda zone: zone_counts.get(zone, 0) < limit
-    return lambda zone: True
+    return lambda _zone: True
 
 
 def count_by_zone(job: Job, leaving: TaskPlacement | None = None) -> dict[int, int]:
--- a/starlingdeck/scheduling/scheduler.py
+++ b/starlingdeck/scheduling/scheduler.py
@@ -48,7 +48,7 @@
         candidates: Sequence[Candidate],
         headroom: Callable[[Job], int],
         limit: int,
-        may_preempt: Callable[[Job], bool] = lambda job: True,
+        may_preempt: Callable[[Job], bool] = lambda _job: True,
     ) -> None:
         self.context = context
         self.eligible = EligibleCandidates(context, candidates)
