--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -19,7 +19,7 @@
 FIRST = re.compile(r"machine registered: machine=(\S+)")
 TAKEN = re.compile(r"shard acquired: shard=(\d+)\b")
 READ = re.compile(r"shard jobs loaded: shard=(\d+) unfinished_jobs=(\d+)")
-GONE = "returned to the cloud: "
+GONE = "machines released: machines="
 MAX_TASKS_SHOWN = 10  # kinds of task a minute
 
 
--- a/starlingdeck/autoscaling/autoscaler.py
+++ b/starlingdeck/autoscaling/autoscaler.py
@@ -101,7 +101,7 @@
         if not names:
             return
         await self.cloud.release(names)
-        log.info("returned to the cloud: %s", " ".join(names))
+        log.info("machines released: machines=%s", " ".join(names))
         for name in names:
             self.released[name] = now
             self.state.listed.pop(name, None)
--- a/tests/test_cost_table.py
+++ b/tests/test_cost_table.py
@@ -19,7 +19,7 @@
    60.21 n-1 D starlingdeck.controller.controller: task run time: task=Planner.run runs=50 \
 total_s=3.000 max_s=0.009
 a line of something else
-   70.00 n-0 I starlingdeck.autoscaling.autoscaler: returned to the cloud: vm-1 vm-9
+   70.00 n-0 I starlingdeck.autoscaling.autoscaler: machines released: machines=vm-1 vm-9
   120.20 n-0 D starlingdeck.controller: task run time: task=Node.step_loop runs=10 \
 total_s=1.500 max_s=0.001
 """
