--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -26,8 +26,8 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.state import put_change
-from tests.support.builders import Clock, make_world, spec
-from tests.support.reference_model import PlainClient, PlainState, at_once
+from tests.support.builders import Clock, make_context, spec
+from tests.support.reference_model import FakeStateClient, FakeStateService, run_without_waiting
 
 
 @click.command()
@@ -39,7 +39,7 @@
 def main(counts: int, jobs: int, tasks: int, machines: int, plans: int) -> None:
     """Fill a controller with jobs that wait, and time its plans. No time passes for it."""
     rng = random.Random(1)
-    node = Controller(make_world(Clock()))
+    node = Controller(make_context(Clock()))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, 1e9
     shard = JobShard(node.context, 0, 3, 9)
     shard.loaded = True
@@ -100,7 +100,7 @@
         print(f"{what}: {starts} starts, {changes / max(1, starts):.2f} state changes each")
 
 
-class CountingState(PlainState):
+class CountingState(FakeStateService):
     """A state service that counts what is written."""
 
     written = 0
@@ -115,7 +115,7 @@
     """Starts of up to 3 tasks a job from nothing, then in the place of others that end."""
     state = CountingState(random.Random(1))
     writer, plugin = node.writers[0], node.admission.durable
-    writer.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+    writer.state = FakeStateClient(state, 0.0)  # type: ignore[assignment]
     puts = [put_change(records.shard_key(0), 0)]
     for job in shard.jobs.values():
         puts.append(put_change(records.job_key(0, job.id), 0))
@@ -127,14 +127,14 @@
             puts.append(put_change(store.key(resource_id), ledger))
             store.versions[resource_id] = 2
     state.apply({}, puts)
-    shard.token = state.epoch
+    shard.token = state.revision
     zone, machine = node.context.zone_names.intern("a"), node.context.machine_names.intern("vm-0")
     for what in ("from nothing", "in the place of others"):
         state.written = starts = 0
         for job in shard.jobs.values():
             for task, placement in job.placements.items():
                 shard.end_attempt(job, task, placement, api.W_DONE, "exit done")
-        at_once(node.admission.begin_cycle(list(shard.jobs.values())))
+        run_without_waiting(node.admission.begin_cycle(list(shard.jobs.values())))
         for job in shard.jobs.values():
             found = job.pending(min(3, node.admission.headroom(job)))
             for task in found:
@@ -144,7 +144,7 @@
                 shard.dirty_jobs.add(job.index)
             node.admission.on_requested(job, len(found))
             starts += len(found)
-        while at_once(writer.flush()):
+        while run_without_waiting(writer.flush()):
             pass
         yield what, starts, state.written
 
--- a/scripts/overload_size.py
+++ b/scripts/overload_size.py
@@ -27,7 +27,7 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.protocol.config import OverloadSettings, Tuning
-from tests.support.builders import Clock, make_world, spec
+from tests.support.builders import Clock, make_context, spec
 
 MACHINES = 600
 TASKS_A_JOB = 40
@@ -37,7 +37,7 @@
 def build(nodes: int, pairs: int, tasks: int, floors: bool) -> tuple[Controller, Clock]:
     """A controller with that many peers, pairs of team and class, and tasks."""
     clock = Clock()
-    context = make_world(clock, 1, ("a",) * nodes)
+    context = make_context(clock, 1, ("a",) * nodes)
     context.tuning = Tuning(overload=OverloadSettings() if floors else None)
     node = Controller(context)
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Builds the small worlds that tests use. No clock, no network: time is a number."""
+"""Builders for contexts, settings and jobs in tests. No network; time is a number."""
 
 import os
 import random
@@ -11,11 +11,13 @@
 from starlingdeck.protocol.config import GroupCommitSettings, Settings, Tuning
 
 LOGGED = Tuning(group_commit=GroupCommitSettings())
-# Of the worlds that are made from then on. With GROUP_COMMIT=1 the whole suite plays with the log.
+# Used by the contexts made from then on. GROUP_COMMIT=1 runs the whole suite with the commit log.
 tuning = LOGGED if os.environ.get("GROUP_COMMIT") else Tuning()
 
 
 class Clock:
+    """A clock that tests advance, in seconds."""
+
     def __init__(self) -> None:
         self.at = 1000.0
 
@@ -55,7 +57,7 @@
     }
 
 
-def make_world(
+def make_context(
     clock: Clock, seed: int = 1, zones: tuple[str, ...] = ("a", "b", "a"), node: int = 0
 ) -> ControllerContext:
     raw = settings_dict(zones)
--- a/tests/support/counted_resources.py
+++ b/tests/support/counted_resources.py
@@ -16,10 +16,10 @@
 from starlingdeck.protocol.config import CountSettings
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateClient, put_change
-from tests.support.reference_model import Broken, PlainClient, PlainState
+from tests.support.reference_model import FakeStateClient, FakeStateService, InvariantViolationError
 
 
-class CountedState(PlainState):
+class CountedState(FakeStateService):
     """Checks every change: a start may never bring a resource over its ceiling."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -56,11 +56,15 @@
         total: Counter[str] = Counter()
         for (name, shard), units in self.use().items():
             if units and units > self.ledger(name).allocated[shard]:
-                raise Broken(f"shard {shard} uses {units} of {name}: {self.ledger(name)}")
+                raise InvariantViolationError(
+                    f"shard {shard} uses {units} of {name}: {self.ledger(name)}"
+                )
             total[name] += units
         for name, units in total.items():
             if units > self.used[name] and units > self.ledger(name).ceiling:
-                raise Broken(f"{name} is over its ceiling: {units} of {self.ledger(name)}")
+                raise InvariantViolationError(
+                    f"{name} is over its ceiling: {units} of {self.ledger(name)}"
+                )
         self.used = total
 
     def set(self, name: str, ceiling: int, shards: int, **fields: Any) -> None:
@@ -74,7 +78,7 @@
 
 def make_plugin(
     context: ControllerContext,
-    client: PlainClient,
+    client: FakeStateClient,
     writers: dict[int, RecordWriter],
     **settings: Any,
 ) -> CountedResourcePlugin:
@@ -89,7 +93,7 @@
 
 def deliver_changes(
     plugin: CountedResourcePlugin,
-    state: PlainState,
+    state: FakeStateService,
     is_delivered: Callable[[], bool] = lambda: True,
 ) -> None:
     """Deliver the ledgers' changes to a plugin, as its controller's watch would."""
--- a/tests/support/fuzz_targets.py
+++ b/tests/support/fuzz_targets.py
@@ -8,9 +8,9 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
-from tests.support.builders import Clock, job_body, make_world
+from tests.support.builders import Clock, job_body, make_context
 from tests.support.counted_resources import make_plugin
-from tests.support.reference_model import PlainClient, PlainState, at_once
+from tests.support.reference_model import FakeStateClient, FakeStateService, run_without_waiting
 
 
 def decode(data: bytes) -> str:
@@ -37,7 +37,9 @@
 
 
 def decode_ledger(data: bytes) -> str:
-    plugin = make_plugin(make_world(Clock()), PlainClient(PlainState.__new__(PlainState), 0.0), {})
+    plugin = make_plugin(
+        make_context(Clock()), FakeStateClient(FakeStateService.__new__(FakeStateService), 0.0), {}
+    )
     plugin.on_key_changed(records.count_key("engine"), data, 7)
     found = plugin.store.ledgers[0]
     assert is_valid(found, 3)
@@ -50,12 +52,14 @@
 
 
 def decode_gossip(data: bytes) -> str:
-    plugin = make_plugin(make_world(Clock()), PlainClient(PlainState.__new__(PlainState), 0.0), {})
+    plugin = make_plugin(
+        make_context(Clock()), FakeStateClient(FakeStateService.__new__(FakeStateService), 0.0), {}
+    )
     plugin.on_key_changed(
         records.count_key("engine"), b'{"ceiling":1,"held":[1,1,0],"stop":true}', 7
     )
     plugin.receive_gossip(1, pb.Gossip.FromString(data))
-    at_once(plugin.begin_cycle([]))
+    run_without_waiting(plugin.begin_cycle([]))
     plugin.preemption.preempt()
     plugin.context.now = lambda: 1001.0
     plugin.preemption.preempt()
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -1,8 +1,9 @@
-"""A plain world of several whole controllers under overload, in simulated time, seeded.
+"""Simulated cluster under overload: whole controllers, simulated time, seeded.
 
-The controllers are real `Node`s; their sockets are replaced. Workers run tasks by PROTOCOL with
-given sizes and run times, the state service is the model's. Links between controllers can be
-cut, greetings lost or late, controllers crash and their shards are taken over.
+The controllers are real `Controller`s; their sockets are replaced. Workers run tasks as PROTOCOL
+prescribes with given sizes and run times; the state service is the reference model's. Links
+between controllers can be partitioned, gossip lost or late; controllers crash, and their shards
+fail over.
 """
 
 import random
@@ -27,43 +28,45 @@
 from starlingdeck.protocol.config import OverloadSettings, Team, Tuning
 from starlingdeck.storage import records
 from starlingdeck.storage.state import put_change
-from tests.support.builders import Clock, make_world, spec
-from tests.support.reference_model import PlainClient, PlainState, on_the_wire
+from tests.support.builders import Clock, make_context, spec
+from tests.support.reference_model import FakeStateClient, FakeStateService, serialized_copy
 
 TICK_S = 0.25
-REPORT_S = 1.0
-GREET_S = 0.5
-TAKEOVER_S = 3.0  # after a crash
+REPORT_INTERVAL_S = 1.0
+GOSSIP_INTERVAL_S = 0.5
+TAKEOVER_DELAY_S = 3.0  # from a crash to the failover
 
 
-Events = dict[float, Callable[["Flood"], None]]
+Events = dict[float, Callable[["OverloadCluster"], None]]
 
 
 @dataclass
-class Run:
+class RunningTask:
     attempt: int
-    size: float
+    cpus: float
     ends_at: float
     state: str = "running"
-    why: str | None = None
+    exit_reason: str | None = None
 
 
 @dataclass
-class Worker:
+class SimulatedWorker:
     name: str
-    kind: str
+    machine_type: str
     cpus: float
-    flood: "Flood"
+    cluster: "OverloadCluster"
     session: int = 1
     seq: int = 0
     token: int = 0
-    tasks: dict[str, Run] = field(default_factory=dict)
+    tasks: dict[str, RunningTask] = field(default_factory=dict)
 
     def report(self) -> api.Report:
         self.seq += 1
-        tasks = [api.ReportTask(n, r.attempt, r.state, r.why) for n, r in self.tasks.items()]
+        tasks = [
+            api.ReportTask(n, r.attempt, r.state, r.exit_reason) for n, r in self.tasks.items()
+        ]
         return api.Report(
-            self.name, f"w:{self.name}", self.kind, "a", self.session, self.seq, self.token,
+            self.name, f"w:{self.name}", self.machine_type, "a", self.session, self.seq, self.token,
             False, None, tasks,
         )  # fmt: skip
 
@@ -72,111 +75,111 @@
         for name in self.tasks:
             one = self.tasks[name]
             if one in ended:
-                one.state, one.why = "exited", "done"
-                job = self.flood.specs[name.split("/")[0]]
-                self.flood.goodput[job.cls] += job.cpus * job.estimate_s
+                one.state, one.exit_reason = "exited", "done"
+                job = self.cluster.specs[name.split("/")[0]]
+                self.cluster.goodput[job.cls] += job.cpus * job.estimate_s
         return bool(ended)
 
-    def execute(self, orders: list[api.Command], now: float) -> None:
-        for order in orders:
-            old = self.tasks.get(order.task)
-            if order.op == api.START and (old is None or old.attempt != order.attempt):
-                job = self.flood.specs[order.task.split("/")[0]]
-                used = sum(r.size for r in self.tasks.values() if r.state == "running")
+    def execute(self, commands: list[api.Command], now: float) -> None:
+        for command in commands:
+            old = self.tasks.get(command.task)
+            if command.op == api.START and (old is None or old.attempt != command.attempt):
+                job = self.cluster.specs[command.task.split("/")[0]]
+                used = sum(r.cpus for r in self.tasks.values() if r.state == "running")
                 full = used + job.cpus > self.cpus + 1e-9
-                self.flood.began(order.task, self, full)
-                run = Run(order.attempt, job.cpus, now + job.estimate_s)
+                self.cluster.on_task_started(command.task, self, full)
+                run = RunningTask(command.attempt, job.cpus, now + job.estimate_s)
                 if full:
-                    run.state, run.why = "exited", "full"
-                self.tasks[order.task] = run
-            elif old is not None and old.attempt == order.attempt:
-                if order.op == api.STOP and old.state == "running":
-                    old.state, old.why = "exited", "halted"
-                    self.flood.stopped[self.flood.specs[order.task.split("/")[0]].cls] += 1
-                elif order.op == api.REAP and old.state == "exited":
-                    del self.tasks[order.task]
+                    run.state, run.exit_reason = "exited", "full"
+                self.tasks[command.task] = run
+            elif old is not None and old.attempt == command.attempt:
+                if command.op == api.STOP and old.state == "running":
+                    old.state, old.exit_reason = "exited", "halted"
+                    self.cluster.stopped[self.cluster.specs[command.task.split("/")[0]].cls] += 1
+                elif command.op == api.REAP and old.state == "exited":
+                    del self.tasks[command.task]
 
 
-class Flood:
-    """`arrivals(second, rng)` yields descriptions to submit; `nodes` controllers; `overload` off
-    with None. `lost` is the share of greetings that never come."""
+class OverloadCluster:
+    """Controllers and workers under load. `arrivals(second, rng)` returns the jobs to submit;
+    `overload` None disables minimum shares; `gossip_loss_share` of the gossip is lost."""
 
     def __init__(
         self,
         seed: int,
         arrivals: Callable[[int, random.Random], list[api.JobSpec]],
         overload: OverloadSettings | None,
-        nodes: int = 3,
+        controllers: int = 3,
         small: int = 12,
         big: int = 4,
-        lost: float = 0.0,
+        gossip_loss_share: float = 0.0,
         teams: list[Team] | None = None,
     ) -> None:
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.arrivals = arrivals
-        self.lost = lost
+        self.gossip_loss_share = gossip_loss_share
         self.teams = teams or [Team("red"), Team("blue")]
         self.tuning = Tuning(overload=overload)
-        self.zones = ("a",) * nodes
-        self.state = PlainState(self.rng)
+        self.zones = ("a",) * controllers
+        self.state = FakeStateService(self.rng)
         self.specs: dict[str, api.JobSpec] = {}
-        self.at: dict[str, float] = {}
-        self.started: dict[str, float] = {}  # job -> when its first task began
+        self.submitted_at: dict[str, float] = {}
+        self.started: dict[str, float] = {}  # job -> when its first task started
         self.stopped: dict[str, int] = dict.fromkeys(("low", "high", "svc"), 0)
         self.goodput: dict[str, float] = dict.fromkeys(("low", "high", "svc"), 0.0)  # cpu-seconds
-        self.cuts: set[tuple[int, int]] = set()
-        self.down: dict[int, float] = {}  # node -> when it crashed
-        self.mail: list[tuple[float, int, pb.Envelope]] = []
-        self.nodes = [self.fresh(i) for i in range(nodes)]
-        self.workers = [Worker(f"vm-{i}", "small", 4.0, self) for i in range(small)]
-        self.workers += [Worker(f"vm-{small + i}", "big", 16.0, self) for i in range(big)]
+        self.partitions: set[tuple[int, int]] = set()
+        self.down: dict[int, float] = {}  # controller -> when it crashed
+        self.messages: list[tuple[float, int, pb.Envelope]] = []
+        self.controllers = [self.make_controller(i) for i in range(controllers)]
+        self.workers = [SimulatedWorker(f"vm-{i}", "small", 4.0, self) for i in range(small)]
+        self.workers += [SimulatedWorker(f"vm-{small + i}", "big", 16.0, self) for i in range(big)]
         self.token = 10
 
-    def fresh(self, number: int) -> Controller:
-        context = make_world(self.clock, self.rng.getrandbits(32), self.zones, number)
+    def make_controller(self, number: int) -> Controller:
+        context = make_context(self.clock, self.rng.getrandbits(32), self.zones, number)
         deployment = msgspec.structs.replace(context.settings.settings, teams=self.teams)
         context.settings = msgspec.structs.replace(context.settings, settings=deployment)
         context.tuning = self.tuning
         context.team_names = type(context.team_names)()
         for team in self.teams:
             context.team_names.intern(team.name)
-        node = Controller(context)
-        node.state = PlainClient(self.state, 0.0)  # type: ignore[assignment]
-        node.membership.live_nodes = dict.fromkeys(range(len(self.zones)), 0.0)
-        node.peers.started_at = self.clock.at
+        controller = Controller(context)
+        controller.state = FakeStateClient(self.state, 0.0)  # type: ignore[assignment]
+        controller.membership.live_nodes = dict.fromkeys(range(len(self.zones)), 0.0)
+        controller.peers.started_at = self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
-            if not self.linked(number, to):
-                raise PeerUnavailableError("cut")
+            if not self.is_connected(number, to):
+                raise PeerUnavailableError("partitioned")
             envelope.sender = number
-            return await self.nodes[to].on_message(envelope) or pb.Envelope()
+            return await self.controllers[to].on_message(envelope) or pb.Envelope()
 
         async def post(to: int, envelope: pb.Envelope) -> None:
-            if self.linked(number, to):
-                self.mail.append((self.clock.at, to, on_the_wire(envelope, number)))
+            if self.is_connected(number, to):
+                self.messages.append((self.clock.at, to, serialized_copy(envelope, number)))
 
         async def do(
-            machines: MachineShard, machine: Machine | None, _: str, orders: api.Commands
+            machines: MachineShard, machine: Machine | None, _: str, commands: api.Commands
         ) -> None:
             if machine is None:
                 return
             worker = next(w for w in self.workers if w.name == machine.name)
-            worker.token = max(worker.token, orders.token)
-            worker.execute(orders.commands, self.clock.at)
+            worker.token = max(worker.token, commands.token)
+            worker.execute(commands.commands, self.clock.at)
             machine.command_in_flight = False
             machines.apply_report(worker.report(), False)
 
-        node.peers.call = call  # type: ignore[method-assign, assignment]
-        node.peers.enqueue = post  # type: ignore[method-assign, assignment]
-        node.worker_caller.send_commands = do  # type: ignore[method-assign, assignment]
-        return node
+        controller.peers.call = call  # type: ignore[method-assign, assignment]
+        controller.peers.enqueue = post  # type: ignore[method-assign, assignment]
+        controller.worker_caller.send_commands = do  # type: ignore[method-assign, assignment]
+        return controller
 
-    def linked(self, one: int, other: int) -> bool:
+    def is_connected(self, one: int, other: int) -> bool:
         dead = one in self.down or other in self.down
-        return not dead and (min(one, other), max(one, other)) not in self.cuts
+        return not dead and (min(one, other), max(one, other)) not in self.partitions
 
-    def began(self, task: str, worker: Worker, full: bool) -> None:
+    def on_task_started(self, task: str, worker: SimulatedWorker, full: bool) -> None:
         job = task.split("/", maxsplit=1)[0]
         if full:
             return
@@ -185,39 +188,43 @@
             assert other is worker or run is None or run.state == "exited", f"{task} ran twice"
         self.started.setdefault(job, self.clock.at)
 
-    # --- who holds what
+    # --- ownership
 
-    def hold(self, shard: int, number: int) -> None:
-        node = self.nodes[number]
+    def assign_shard(self, shard: int, number: int) -> None:
+        controller = self.controllers[number]
         self.token += 1
         owner = ShardOwner(number, self.token, self.token)
         key = records.shard_key(shard)
         self.state.keys[key] = (msgspec.json.encode(records.ShardValue(0, self.token)), self.token)
-        jobs = JobShard(node.context, shard, self.token, self.token)
-        node.writers[shard] = RecordWriter(node.context, node.state, jobs)
-        node.machines[shard] = MachineShard(node.context, shard, self.token, self.token, 0.0)
-        for one in self.nodes:
+        jobs = JobShard(controller.context, shard, self.token, self.token)
+        controller.writers[shard] = RecordWriter(controller.context, controller.state, jobs)
+        controller.machines[shard] = MachineShard(
+            controller.context, shard, self.token, self.token, 0.0
+        )
+        for one in self.controllers:
             one.membership.owners[shard] = owner
 
     def crash(self, number: int) -> None:
-        """Its memory is gone; the next controller takes its shards over after a while."""
+        """Clear a controller's memory; its shards fail over after `TAKEOVER_DELAY_S`."""
         self.down[number] = self.clock.at
-        self.nodes[number].writers.clear()
-        self.nodes[number].machines.clear()
-        for node in self.nodes:
-            node.membership.live_nodes.pop(number, None)
+        self.controllers[number].writers.clear()
+        self.controllers[number].machines.clear()
+        for controller in self.controllers:
+            controller.membership.live_nodes.pop(number, None)
 
     # --- the run
 
-    def play(
-        self, seconds: float, events: dict[float, Callable[["Flood"], None]] | None = None
+    def run(
+        self, seconds: float, events: dict[float, Callable[["OverloadCluster"], None]] | None = None
     ) -> None:
-        curio.run(self._play, seconds, dict(events or {}))
+        curio.run(self._run, seconds, dict(events or {}))
 
-    async def _play(self, seconds: float, events: dict[float, Callable[["Flood"], None]]) -> None:
-        for shard in range(len(self.nodes)):
-            self.hold(shard, shard)
-            await self.nodes[shard].writers[shard].load()
+    async def _run(
+        self, seconds: float, events: dict[float, Callable[["OverloadCluster"], None]]
+    ) -> None:
+        for shard in range(len(self.controllers)):
+            self.assign_shard(shard, shard)
+            await self.controllers[shard].writers[shard].load()
         begin = self.clock.at
         ticks = int(seconds / TICK_S)
         for tick in range(ticks):
@@ -230,84 +237,93 @@
             await self.take_over()
             self.work(tick)
             await self.deliver(tick)
-            for number, node in enumerate(self.nodes):
+            for number, controller in enumerate(self.controllers):
                 if number not in self.down:
-                    await self.serve(number, node)
+                    await self.run_controller(number, controller)
 
     async def take_over(self) -> None:
         for number, at in self.down.items():
-            heir = next(i for i in range(len(self.nodes)) if i not in self.down)
-            owners = self.nodes[heir].membership.owners
-            if owners[number].node == number and self.clock.at - at > TAKEOVER_S:
-                self.hold(number, heir)
-                await self.nodes[heir].writers[number].load()
+            successor = next(i for i in range(len(self.controllers)) if i not in self.down)
+            owners = self.controllers[successor].membership.owners
+            if owners[number].node == number and self.clock.at - at > TAKEOVER_DELAY_S:
+                self.assign_shard(number, successor)
+                await self.controllers[successor].writers[number].load()
 
     def submit(self, body: api.JobSpec) -> None:
-        shard = shard_of_job(body.id, len(self.nodes))
-        for node in self.nodes:
-            writer = node.writers.get(shard)
+        shard = shard_of_job(body.id, len(self.controllers))
+        for controller in self.controllers:
+            writer = controller.writers.get(shard)
             if writer is None:
                 continue
             now_ms = self.clock.wall_ms()
-            job = new_job(node.context, body, shard, now_ms)
+            job = new_job(controller.context, body, shard, now_ms)
             record = records.JobRecord(body, now_ms)
             self.state.apply({}, [put_change(records.job_key(shard, body.id), record)])
-            job.key_versions[0] = self.state.epoch
+            job.key_versions[0] = self.state.revision
             writer.shard.jobs[job.index] = job
-            self.specs[body.id], self.at[body.id] = body, self.clock.at
+            self.specs[body.id], self.submitted_at[body.id] = body, self.clock.at
 
     def work(self, tick: int) -> None:
         for n, worker in enumerate(self.workers):
             ended = worker.run(self.clock.at)
-            if not ended and (tick + n) % int(REPORT_S / TICK_S):
+            if not ended and (tick + n) % int(REPORT_INTERVAL_S / TICK_S):
                 continue
             shard = shard_of_machine(worker.name, "a", self.zones)
-            for node in self.nodes:
-                machines = node.machines.get(shard)
+            for controller in self.controllers:
+                machines = controller.machines.get(shard)
                 if machines is not None:
                     worker.token = max(worker.token, machines.token)
                     machine = machines.apply_report(worker.report(), True)
                     worker.execute(machines.pending_commands(machine, True), self.clock.at)
 
     async def deliver(self, tick: int) -> None:
-        if tick % int(GREET_S / TICK_S) == 0:
-            for number, node in enumerate(self.nodes):
-                for to in range(len(self.nodes)):
-                    if to != number and self.linked(number, to) and self.rng.random() >= self.lost:
-                        late = 5.0 if self.rng.random() < self.lost else 0.0
-                        gossip = pb.Envelope(sender=number, gossip=node.build_gossip())
-                        self.mail.append((self.clock.at + late, to, gossip))
-        due = [m for m in self.mail if m[0] <= self.clock.at]
-        self.mail = [m for m in self.mail if m[0] > self.clock.at]
+        if tick % int(GOSSIP_INTERVAL_S / TICK_S) == 0:
+            for number, controller in enumerate(self.controllers):
+                for to in range(len(self.controllers)):
+                    if (
+                        to != number
+                        and self.is_connected(number, to)
+                        and self.rng.random() >= self.gossip_loss_share
+                    ):
+                        late = 5.0 if self.rng.random() < self.gossip_loss_share else 0.0
+                        gossip = pb.Envelope(sender=number, gossip=controller.build_gossip())
+                        self.messages.append((self.clock.at + late, to, gossip))
+        due = [m for m in self.messages if m[0] <= self.clock.at]
+        self.messages = [m for m in self.messages if m[0] > self.clock.at]
         for _, to, envelope in due:
-            if to not in self.down and self.linked(envelope.sender, to):
-                again = await self.nodes[to].on_message(envelope)
+            if to not in self.down and self.is_connected(envelope.sender, to):
+                again = await self.controllers[to].on_message(envelope)
                 if again is not None and again.HasField("resync_request"):
-                    self.nodes[envelope.sender].on_resync_request(to, again.resync_request.shard)
-
-    async def serve(self, number: int, node: Controller) -> None:
-        node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, self.clock.at
-        for other in range(len(self.nodes)):
+                    self.controllers[envelope.sender].on_resync_request(
+                        to, again.resync_request.shard
+                    )
+
+    async def run_controller(self, number: int, controller: Controller) -> None:
+        controller.membership.lease.lease_id, controller.membership.lease.renewed_at = (
+            1,
+            self.clock.at,
+        )
+        for other in range(len(self.controllers)):
             if other == number:
                 continue
-            if self.linked(number, other):
-                node.peers.links.setdefault(other, Any)  # type: ignore[arg-type]
-                node.peers.last_heard_at[other] = self.clock.at
+            if self.is_connected(number, other):
+                controller.peers.links.setdefault(other, Any)  # type: ignore[arg-type]
+                controller.peers.last_heard_at[other] = self.clock.at
             else:
-                node.peers.links.pop(other, None)
-        await node.reconcile()
-        await node.planner.run_cycle()
+                controller.peers.links.pop(other, None)
+        await controller.reconcile()
+        await controller.planner.run_cycle()
         for _ in range(3):
             await curio.sleep(0)
-        for writer in node.writers.values():
+        for writer in controller.writers.values():
             while await writer.flush():
                 pass
 
-    # --- what came of it
+    # --- results
 
-    def served(self, cls: str, until: float = 1e9) -> tuple[int, int]:
-        """Jobs of a class of which a task has begun, and all of them."""
-        names = [n for n, s in self.specs.items() if s.cls == cls and self.at[n] < until]
+    def started_and_total(self, cls: str, until: float = 1e9) -> tuple[int, int]:
+        """Count the jobs of a class of which a task has started, and all of them."""
+        names = [n for n, s in self.specs.items() if s.cls == cls and self.submitted_at[n] < until]
         return sum(n in self.started for n in names), len(names)
 
 
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -1,8 +1,9 @@
-"""A plain world of whole controllers for meetings of troubles: simulated time, seeded.
+"""Simulated cluster for fault injection: whole controllers, simulated time, seeded.
 
-The controllers are real `Node`s with their membership; only sockets are replaced. The state service
-ends leases by the clock, refuses one controller or all, and carries out late what got no answer;
-workers report, move on and run their leases out by PROTOCOL. Every rule is checked at every tick.
+The controllers are real `Controller`s with their membership; only sockets are replaced. The state
+service expires leases by the clock, refuses one controller or all, and executes unanswered
+transactions late. Workers report, fail over to other controllers and let their leases expire as
+PROTOCOL prescribes. Every invariant is checked at every tick.
 """
 
 import random
@@ -23,39 +24,46 @@
 from starlingdeck.storage.state import OutcomeUnknownError, StateError, TransactionConflictError
 from starlingdeck.transport.client import ConnectionFailedError, NoResponseError, Reply
 from starlingdeck.transport.server import Request, Response
-from tests.support.builders import Clock, job_body, make_world
-from tests.support.reference_model import Broken, PlainTask, PlainWorker, on_the_wire
+from tests.support.builders import Clock, job_body, make_context
+from tests.support.reference_model import (
+    FakeTask,
+    FakeWorker,
+    InvariantViolationError,
+    serialized_copy,
+)
 from tests.test_membership import LeasedClient, LeasedState
 
 TICK_S = 0.1
-REPORT_S = 1.0
-ANSWER_S = 4.0  # what a worker waits for an answer
-MOVE_S = 1.0
+REPORT_INTERVAL_S = 1.0
+REPLY_TIMEOUT_S = 4.0  # what a worker waits for an answer
+FAILOVER_DELAY_S = 1.0
 POLL_S = 2.0
 CANCEL_S = 40.0  # of tests.support.builders, as is the lease of 10 s
-FORGOTTEN_S = 75.0
-LOST_S = 2.0  # how long a controller waits for the answer to a transaction
-WAITS_S = 90.0  # the longest that room may stand free beside a task that fits it
-ENDED = (api.DONE, api.CANCELLED)
+MAX_UNANSWERED_S = 75.0
+TRANSACTION_TIMEOUT_S = 2.0  # how long a controller waits for the answer to a transaction
+MAX_WAIT_BESIDE_CAPACITY_S = 90.0  # of a task while capacity that fits it is free
+TERMINAL_STATES = (api.DONE, api.CANCELLED)
 real_sleep = curio.sleep
 
 
-class Client(LeasedClient):
-    """One controller's calls. `budget`: of its changes, if it is to be kept within one;
-    `late`: the share of transactions carried out late, unanswered; `lost`: the share carried out at
-    once whose answer alone is lost; `slow_s`: how long answers are under way at the most; `blind`:
-    prefixes that can't be read, as when answers come too slowly."""
+class SimulatedStateClient(LeasedClient):
+    """One controller's client of the state service, with injected failures.
 
-    def __init__(self, state: LeasedState, deck: "Deck") -> None:
+    `budget` limits the rate of changes, if set. `late_share` of the transactions are executed late
+    and get no answer; of `lost_answer_share` only the answer is lost. Answers take up to
+    `max_latency_s`. Reads under `unreadable_prefixes` fail, as when answers come too slowly.
+    """
+
+    def __init__(self, state: LeasedState, cluster: "SimulatedCluster") -> None:
         super().__init__(state)
-        self.deck = deck
+        self.cluster = cluster
         self.budget: TokenBucket | None = None
-        self.late = self.lost = self.slow_s = 0.0
-        self.blind: set[str] = set()
+        self.late_share = self.lost_answer_share = self.max_latency_s = 0.0
+        self.unreadable_prefixes: set[str] = set()
 
-    async def _under_way(self) -> None:
-        if self.slow_s:
-            await curio.sleep(self.deck.rng.uniform(0.0, self.slow_s))
+    async def _delay_answer(self) -> None:
+        if self.max_latency_s:
+            await curio.sleep(self.cluster.rng.uniform(0.0, self.max_latency_s))
 
     def writable(self, urgent: bool) -> tuple[int, float]:
         return self.budget.available(urgent) if self.budget else (1000, 0.0)
@@ -65,11 +73,13 @@
     ) -> int:
         if self.budget:
             await self.budget.take(len(changes), urgent)
-        if self.deck.rng.random() < self.late and not (self.cut or self.state.down):
-            delay = self.deck.rng.uniform(0.5, 12.0)
-            self.deck.late.append((self.deck.clock.at + delay, dict(conditions), changes))
+        if self.cluster.rng.random() < self.late_share and not (self.cut or self.state.down):
+            delay = self.cluster.rng.uniform(0.5, 12.0)
+            self.cluster.delayed_transactions.append(
+                (self.cluster.clock.at + delay, dict(conditions), changes)
+            )
             raise OutcomeUnknownError("no answer")
-        # What is written is what was sent: its writer may change it while the answer is under way.
+        # Encoded at once: the writer may change its values while the answer is under way.
         sent = [
             api.Change(c.put, msgspec.Raw(msgspec.json.encode(c.value)), c.lease, c.delete)
             for c in changes
@@ -80,10 +90,10 @@
             revision = await super().transact(conditions, sent, urgent)
         except TransactionConflictError as error:
             fault = error
-        if self.deck.rng.random() < self.lost:
-            await curio.sleep(LOST_S)
+        if self.cluster.rng.random() < self.lost_answer_share:
+            await curio.sleep(TRANSACTION_TIMEOUT_S)
             raise OutcomeUnknownError("the answer is lost")
-        await self._under_way()
+        await self._delay_answer()
         if fault is not None:
             raise fault
         return revision
@@ -91,14 +101,14 @@
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
         self._call()
         found = self.state.keys.get(key)
-        await self._under_way()
+        await self._delay_answer()
         return api.Entry(key, msgspec.Raw(found[0]), found[1]) if found else None
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
-        if any(prefix.startswith(b) for b in self.blind):
+        if any(prefix.startswith(b) for b in self.unreadable_prefixes):
             raise StateError("too slow")
         found, epoch = await super().read(prefix)
-        await self._under_way()
+        await self._delay_answer()
         return [e for e in found if e.key.startswith(prefix)], epoch
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> api.Events:
@@ -108,277 +118,295 @@
 
 
 @dataclass
-class Worker(PlainWorker):
-    """Where it reports, and its report under way. `mute`: its reports reach nobody, commands
-    reach it; `hung`: it does nothing and answers nothing, and what it is sent waits."""
-
-    model: "Deck"  # type: ignore[assignment]
-    node: int = 0
-    due: float = 0.0
-    ends: dict[str, float] = field(default_factory=dict)
-    mute: bool = False
+class SimulatedWorker(FakeWorker):
+    """A worker that reports to one controller at a time.
+
+    `heartbeats_lost`: its reports reach nobody, while commands reach it. `hung`: it does nothing
+    and answers nothing; commands sent to it wait.
+    """
+
+    model: "SimulatedCluster"  # type: ignore[assignment]
+    controller: int = 0
+    next_report_at: float = 0.0
+    exit_times: dict[str, float] = field(default_factory=dict)
+    heartbeats_lost: bool = False
     hung: bool = False
 
     def work(self, now: float) -> None:
-        """Tasks get their images and run as long as their jobs say."""
+        """Advance the tasks: images are fetched, run times pass."""
         if self.hung:
             return
         for name, task in self.tasks.items():
             if task.state == "fetching":
                 task.state = "running"
-                self.model.begins(self, name)
-                self.ends[name] = now + self.model.run_s(name)
+                self.model.on_task_started(self, name)
+                self.exit_times[name] = now + self.model.run_time_s(name)
                 if name in self.completed:
-                    self.ends[name] = now
-            elif task.state == "running" and self.ends[name] <= now:
-                task.state, task.why = "exited", "done"
+                    self.exit_times[name] = now
+            elif task.state == "running" and self.exit_times[name] <= now:
+                task.state, task.exit_reason = "exited", "done"
                 self.completed.add(name)
-                self.model.ended(name)
+                self.model.on_task_completed(name)
 
 
-class Deck:
-    """Controllers, workers, users, and the troubles between them."""
+class SimulatedCluster:
+    """Controllers, workers, users, and the failures injected between them."""
 
     def __init__(
         self,
         seed: int,
-        nodes: int = 3,
+        controllers: int = 3,
         workers: int = 6,
         zones: tuple[str, ...] = ("a", "a", "a"),
         limit: float = 0.0,
     ) -> None:
-        """`zones`: of the controllers, each with as many workers; `limit`: of team blue, cores."""
+        """`zones`: of the controllers, each with as many workers. `limit`: of team blue, cores."""
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.state = LeasedState(self.clock)
-        self.late: list[tuple[float, dict[str, int], list[api.Change]]] = []
-        self.copies: list[tuple[float, bytes]] = []  # of reports, and when they come once more
-        self.kept: list[tuple[int, int, bytes]] = []  # copies for a shard's next holder, and hold
-        self.orders: list[tuple[float, str, api.Commands]] = []  # held up
-        self.copied = self.held = self.keeps = 0.0  # shares of reports and commands
+        self.delayed_transactions: list[tuple[float, dict[str, int], list[api.Change]]] = []
+        # When each copy of a report is delivered.
+        self.duplicate_reports: list[tuple[float, bytes]] = []
+        # Shard, its ownership epoch, and a report to be delivered when that epoch has ended.
+        self.replays_at_takeover: list[tuple[int, int, bytes]] = []
+        self.delayed_commands: list[tuple[float, str, api.Commands]] = []
+        self.duplicate_share = self.replay_share = 0.0  # of the reports
+        self.delayed_command_share = 0.0
         self.zones = zones
         self.limit = limit
-        self.crowded = False  # jobs are of several ranks
-        self.shut: set[int] = set()  # controllers that users can't reach
-        self.at_end = 0.0  # share of the jobs called off as they end
-        self.calls: list[tuple[str, int]] = []  # of users: a job called off, at a controller
-        self.odd_asked = False  # users ask for what can't be, all the time
-        self.lag_s = 0.0  # how long reports are under way at the most
-        self.looks = 0.0  # share of the answers after which users ask everywhere at once
-        self.faults: list[Exception] = []  # of what runs beside the story
-        self.busy: set[tuple[Any, ...]] = set()  # controllers' loops that have not come round
-        self.clients = [Client(self.state, self) for _ in range(nodes)]
-        self.down: dict[int, float] = {}  # controller -> when it is back
-        self.apart: set[frozenset[int]] = set()  # controllers that can't reach each other
-        self.off: set[tuple[int, str]] = set()  # controller and worker that can't
-        self.mail: dict[tuple[int, int], list[pb.Envelope]] = {
-            (i, j): [] for i in range(nodes) for j in range(nodes) if i != j
+        self.mixed_ranks = False  # jobs are of several ranks
+        self.closed_to_users: set[int] = set()  # controllers that users can't reach
+        self.cancel_at_end_share = 0.0  # of the jobs, cancelled at the moment of their end
+        self.pending_cancellations: list[tuple[str, int]] = []  # job, and the controller asked
+        self.send_invalid = False  # users keep sending invalid requests
+        self.report_latency_s = 0.0  # the maximum
+        self.burst_query_share = 0.0  # of the answers that make users query all controllers
+        self.background_errors: list[Exception] = []  # of spawned tasks
+        self.running_loops: set[tuple[Any, ...]] = set()  # controllers' loops that wait in a call
+        self.clients = [SimulatedStateClient(self.state, self) for _ in range(controllers)]
+        self.down: dict[int, float] = {}  # controller -> when it restarts
+        self.partitions: set[frozenset[int]] = set()  # pairs of controllers
+        self.blocked_worker_links: set[tuple[int, str]] = set()  # controller, worker
+        self.messages: dict[tuple[int, int], list[pb.Envelope]] = {
+            (i, j): [] for i in range(controllers) for j in range(controllers) if i != j
         }
-        self.mailing = 0
-        self.nodes = [self.start(i) for i in range(nodes)]
+        self.gossip_turns = 0
+        self.controllers = [self.start_controller(i) for i in range(controllers)]
         names = [f"vm-{i}" for i in range(10 * workers)]
-        chosen = [  # as many of each shard
-            [n for n in names if shard_of_machine(n, zone, zones) == shard][: workers // nodes]
+        per_shard = workers // controllers
+        chosen = [  # the same number for each shard
+            [n for n in names if shard_of_machine(n, zone, zones) == shard][:per_shard]
             for shard, zone in enumerate(zones)
         ]
         self.workers = {
-            name: Worker(name, zones[i], self, answered=self.clock.at, node=i)
+            name: SimulatedWorker(
+                name, zones[i], self, lease_renewed_at=self.clock.at, controller=i
+            )
             for i, part in enumerate(chosen)
             for name in part
         }
-        self.lasts: dict[str, float] = {}  # job or task -> how long it runs
-        self.finished: set[str] = set()
-        self.begun: dict[str, int] = {}  # task -> how often
-        self.known: set[str] = set()
-        self.jobs: dict[str, dict[str, Any]] = {}  # as their users describe them
-        self.told: dict[str, tuple[str, float]] = {}  # job -> its final state, and since when
-        self.done: dict[str, int] = {}  # job -> the most of its tasks that were called done
-        self.asked: set[str] = set()
-        self.odd: set[str] = set()  # jobs that nobody may accept
-        self.heard: dict[str, float] = {}  # job -> when a question about it was last answered
-        self.calm_at = 1e18  # since when there is no trouble any more
-        self.late_starts: dict[str, float] = {}  # task -> how long after it was called cancelled
-        self.waits: dict[str, float] = {}  # task -> since when it waits beside room for it
+        self.run_times: dict[str, float] = {}  # seconds, by job or task
+        self.completed_tasks: set[str] = set()
+        self.start_counts: dict[str, int] = {}  # by task
+        self.acknowledged: set[str] = set()
+        self.jobs: dict[str, dict[str, Any]] = {}  # as submitted
+        # Job -> the terminal state reported to its user, and when.
+        self.reported_terminal: dict[str, tuple[str, float]] = {}
+        self.reported_done: dict[str, int] = {}  # job -> highest count of done tasks reported
+        self.cancellation_requested: set[str] = set()
+        self.invalid_jobs: set[str] = set()  # that no controller may accept
+        self.answered_at: dict[str, float] = {}  # job -> time of the last answer about it
+        self.healed_at = 1e18  # when the last failure ended
+        self.late_starts: dict[str, float] = {}  # task -> seconds since its cancellation
+        self.waiting_since: dict[str, float] = {}  # task -> since when capacity is free
 
     # --- controllers
 
-    def start(self, number: int) -> Controller:
-        context = make_world(self.clock, self.rng.getrandbits(32), self.zones, number)
+    def start_controller(self, number: int) -> Controller:
+        context = make_context(self.clock, self.rng.getrandbits(32), self.zones, number)
         if self.limit:
             teams = context.settings.settings.teams
             teams[0] = msgspec.structs.replace(teams[0], cpus_max=self.limit)
-        node = Controller(context)
+        controller = Controller(context)
         client: Any = self.clients[number]
-        membership = node.membership
+        membership = controller.membership
         for part in (
-            node,
-            node.job_api.services,
+            controller,
+            controller.job_api.services,
             membership,
             membership.lease,
             membership.ownership,
-            node.quota_transfer,
-            node.state_sync.relay,
+            controller.quota_transfer,
+            controller.state_sync.relay,
         ):
             part.state = client
 
         def up(to: int) -> bool:
-            return self.linked(number, to)
+            return self.is_connected(number, to)
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
-            if not self.linked(number, to) or self.nodes[number] is not node:
-                raise PeerUnavailableError("apart")
+            if not self.is_connected(number, to) or self.controllers[number] is not controller:
+                raise PeerUnavailableError("partitioned")
             envelope.sender = number
-            return await self.nodes[to].on_message(envelope) or pb.Envelope()
+            return await self.controllers[to].on_message(envelope) or pb.Envelope()
 
         async def post(to: int, envelope: pb.Envelope) -> None:
-            if self.linked(number, to):
-                self.mail[number, to].append(on_the_wire(envelope, number))
+            if self.is_connected(number, to):
+                self.messages[number, to].append(serialized_copy(envelope, number))
 
         async def http(
             address: str, method: str, path: str, body: bytes | None, timeout_s: float
         ) -> Reply:
             worker = self.workers[address.split(":")[1]]
-            if (number, worker.name) in self.off or self.nodes[number] is not node:
-                raise ConnectionFailedError("cut")
-            if worker.deaf:
-                raise NoResponseError("deaf")
-            orders = msgspec.json.decode(body or b"", type=api.Commands)
-            luck = self.rng.random()
-            if luck < self.held / 2 or worker.hung:
-                self.orders.append(
-                    (self.clock.at + self.rng.uniform(1.0, 15.0), worker.name, orders)
+            if (number, worker.name) in self.blocked_worker_links or self.controllers[
+                number
+            ] is not controller:
+                raise ConnectionFailedError("link is blocked")
+            if worker.unreachable:
+                raise NoResponseError("worker is unreachable")
+            commands = msgspec.json.decode(body or b"", type=api.Commands)
+            draw = self.rng.random()
+            if draw < self.delayed_command_share / 2 or worker.hung:
+                self.delayed_commands.append(
+                    (self.clock.at + self.rng.uniform(1.0, 15.0), worker.name, commands)
                 )
-                raise NoResponseError("held up")
-            status, report = worker.do(orders)
-            if luck < self.held:
-                raise NoResponseError("its answer is held up")
+                raise NoResponseError("command is delayed")
+            status, report = worker.handle_commands(commands)
+            if draw < self.delayed_command_share:
+                raise NoResponseError("answer is delayed")
             return Reply(status, msgspec.json.encode(report), None)
 
-        node.peers.call = call  # type: ignore[method-assign, assignment]
-        node.peers.enqueue = post  # type: ignore[method-assign, assignment]
-        node.peers.is_reachable = up  # type: ignore[method-assign, assignment]
-        node.http.call = http  # type: ignore[method-assign]
-        node.peers.started_at = self.clock.at
-        return node
+        controller.peers.call = call  # type: ignore[method-assign, assignment]
+        controller.peers.enqueue = post  # type: ignore[method-assign, assignment]
+        controller.peers.is_reachable = up  # type: ignore[method-assign, assignment]
+        controller.http.call = http  # type: ignore[method-assign]
+        controller.peers.started_at = self.clock.at
+        return controller
 
-    def linked(self, one: int, other: int) -> bool:
+    def is_connected(self, one: int, other: int) -> bool:
         up = one not in self.down and other not in self.down
-        return up and (one == other or frozenset((one, other)) not in self.apart)
+        return up and (one == other or frozenset((one, other)) not in self.partitions)
 
     def crash(self, number: int, for_s: float) -> None:
         self.down[number] = self.clock.at + for_s
-        old = self.nodes[number]
-        old.membership.lease.lease_id = 0  # what it still does in tasks of its own is nobody's word
+        old = self.controllers[number]
+        old.membership.lease.lease_id = 0  # its remaining tasks act for no owner
         old.writers.clear()
         old.machines.clear()
 
-    def outage(self, down: bool) -> None:
-        """After one every lease has its full time again."""
+    def set_outage(self, down: bool) -> None:
+        """Begin or end an outage of the state service; after one every lease has its full time."""
         self.state.expire()
         if self.state.down and not down:
             for lease in self.state.leases:
                 self.state.leases[lease] = self.clock.at + self.state.ttl[lease]
         self.state.down = down
 
-    def calm(self) -> None:
-        """All troubles are over."""
-        self.outage(False)
+    def heal(self) -> None:
+        """End all failures."""
+        self.set_outage(False)
         for client in self.clients:
-            client.cut, client.late, client.lost, client.slow_s = False, 0.0, 0.0, 0.0
-            client.blind.clear()
+            client.cut = False
+            client.late_share = client.lost_answer_share = client.max_latency_s = 0.0
+            client.unreadable_prefixes.clear()
         for worker in self.workers.values():
-            worker.deaf = worker.mute = worker.hung = False
-        self.apart.clear()
-        self.off.clear()
-        self.shut.clear()
-        self.copied = self.held = self.keeps = self.looks = self.at_end = 0.0
-        self.odd_asked, self.lag_s = False, 0.0
-        self.calm_at = max([self.clock.at, *self.down.values()])
-
-    async def beside(self, do: Callable[..., Awaitable[Any]], *args: Any) -> None:
-        """Goes on beside the story. What it finds broken ends the play: a daemon's own fault
-        ends that daemon only, and no check that users make could fail."""
+            worker.unreachable = worker.heartbeats_lost = worker.hung = False
+        self.partitions.clear()
+        self.blocked_worker_links.clear()
+        self.closed_to_users.clear()
+        self.duplicate_share = self.delayed_command_share = self.replay_share = 0.0
+        self.burst_query_share = self.cancel_at_end_share = self.report_latency_s = 0.0
+        self.send_invalid = False
+        self.healed_at = max([self.clock.at, *self.down.values()])
+
+    async def spawn(self, do: Callable[..., Awaitable[Any]], *args: Any) -> None:
+        """Run a coroutine function in the background. Its errors fail the simulation.
+
+        Curio ends only the daemon task on an error: without this no check by users could fail.
+        """
 
         async def run() -> None:
             try:
                 await do(*args)
-            except Exception as error:
-                self.faults.append(error)
+            except Exception as error:  # raised by check_invariants
+                self.background_errors.append(error)
 
         await curio.spawn(run, daemon=True)
 
-    async def loop(self, key: tuple[Any, ...], *each: Callable[[], Awaitable[Any]]) -> None:
-        """One of a controller's loops; while it waits for an answer the others go on."""
-        if key in self.busy:
+    async def run_loop(self, key: tuple[Any, ...], *each: Callable[[], Awaitable[Any]]) -> None:
+        """Start a turn of a controller's loop, unless its last turn still waits for an answer."""
+        if key in self.running_loops:
             return
-        self.busy.add(key)
+        self.running_loops.add(key)
 
-        async def round() -> None:
+        async def turn() -> None:
             try:
                 for one in each:
                     await one()
             finally:
-                self.busy.discard(key)
+                self.running_loops.discard(key)
 
-        await self.beside(round)
+        await self.spawn(turn)
 
-    async def serve(self, number: int, node: Controller) -> None:
-        links = node.peers.links
-        for other in range(len(self.nodes)):
-            if other != number and self.linked(number, other):
+    async def run_controller(self, number: int, controller: Controller) -> None:
+        links = controller.peers.links
+        for other in range(len(self.controllers)):
+            if other != number and self.is_connected(number, other):
                 links.setdefault(other, object())  # type: ignore[arg-type]
-                node.peers.last_heard_at[other] = self.clock.at
-                self.mailing += 1
-                if self.mailing % 5 == 0:
-                    await node.peers.enqueue(other, pb.Envelope(gossip=node.build_gossip()))
+                controller.peers.last_heard_at[other] = self.clock.at
+                self.gossip_turns += 1
+                if self.gossip_turns % 5 == 0:
+                    await controller.peers.enqueue(
+                        other, pb.Envelope(gossip=controller.build_gossip())
+                    )
             else:
                 links.pop(other, None)
         for loop in (
-            node.membership.renew,
-            node.membership.watch,
-            node.membership.reconcile_ownership,
+            controller.membership.renew,
+            controller.membership.watch,
+            controller.membership.reconcile_ownership,
         ):
-            await self.loop((id(node), loop.__name__), loop)
-        await self.loop((id(node), "step"), node.reconcile)
-        await self.loop((id(node), "plan"), node.planner.run_cycle)
-        await self.loop((id(node), "write"), lambda: self.write(node))
+            await self.run_loop((id(controller), loop.__name__), loop)
+        await self.run_loop((id(controller), "step"), controller.reconcile)
+        await self.run_loop((id(controller), "plan"), controller.planner.run_cycle)
+        await self.run_loop((id(controller), "write"), lambda: self.write(controller))
 
-    async def write(self, node: Controller) -> None:
-        for writer in list(node.writers.values()):
+    async def write(self, controller: Controller) -> None:
+        for writer in list(controller.writers.values()):
             try:
-                while node.membership.lease_is_valid() and await writer.flush():
+                while controller.membership.lease_is_valid() and await writer.flush():
                     pass
             except (StateError, LookupError):
                 pass
             if writer.ownership_lost:
-                node.membership.synced = False
+                controller.membership.synced = False
 
     async def deliver(self, link: tuple[int, int]) -> None:
-        """What is under way from one controller to another, in its order."""
+        """Deliver the messages from one controller to another in their order."""
         sender, to = link
-        while self.mail[link]:
-            envelope = self.mail[link].pop(0)
-            if self.linked(sender, to):
-                again = await self.nodes[to].on_message(envelope)
+        while self.messages[link]:
+            envelope = self.messages[link].pop(0)
+            if self.is_connected(sender, to):
+                again = await self.controllers[to].on_message(envelope)
                 if again is not None and again.HasField("resync_request"):
-                    self.nodes[sender].on_resync_request(to, again.resync_request.shard)
+                    self.controllers[sender].on_resync_request(to, again.resync_request.shard)
 
     # --- workers
 
-    def launched(self, task: str) -> None:
-        if task.split("/", maxsplit=1)[0] not in self.known:
-            raise Broken(f"invented: {task}")
+    def on_task_launched(self, task: str) -> None:
+        if task.split("/", maxsplit=1)[0] not in self.acknowledged:
+            raise InvariantViolationError(f"invented: {task}")
 
-    def ended(self, task: str) -> None:
-        """A task has completed; some users call their job off at the moment of its end."""
-        self.finished.add(task)
+    def on_task_completed(self, task: str) -> None:
+        """Note a completed task; some users cancel their job at the moment of its end."""
+        self.completed_tasks.add(task)
         job = task.split("/", maxsplit=1)[0]
-        whole = all(f"{job}/{i}" in self.finished for i in range(self.jobs[job]["chores"]))
-        if whole and job in self.known and self.rng.random() < self.at_end:
-            self.calls.append((job, self.rng.randrange(len(self.nodes))))
+        whole = all(f"{job}/{i}" in self.completed_tasks for i in range(self.jobs[job]["chores"]))
+        if whole and job in self.acknowledged and self.rng.random() < self.cancel_at_end_share:
+            self.pending_cancellations.append((job, self.rng.randrange(len(self.controllers))))
 
-    def boot(self, shard: int) -> Worker:
-        """A new machine of a shard, up at once."""
+    def boot_machine(self, shard: int) -> SimulatedWorker:
+        """Add a machine of a shard, running at once."""
         zone, number = self.zones[shard], 100 + len(self.workers)
         while (
             shard_of_machine(f"vm-{number}", zone, self.zones) != shard
@@ -386,38 +414,46 @@
         ):
             number += 1
         name = f"vm-{number}"
-        self.workers[name] = Worker(
-            name, zone, self, answered=self.clock.at, node=self.rng.randrange(len(self.nodes))
+        self.workers[name] = SimulatedWorker(
+            name,
+            zone,
+            self,
+            lease_renewed_at=self.clock.at,
+            controller=self.rng.randrange(len(self.controllers)),
         )
         return self.workers[name]
 
-    def run_s(self, task: str) -> float:
-        return self.lasts.get(task) or self.lasts[task.split("/", maxsplit=1)[0]]
+    def run_time_s(self, task: str) -> float:
+        return self.run_times.get(task) or self.run_times[task.split("/", maxsplit=1)[0]]
 
-    def begins(self, worker: PlainWorker, name: str) -> None:
-        self.begun[name] = self.begun.get(name, 0) + 1
+    def on_task_started(self, worker: FakeWorker, name: str) -> None:
+        self.start_counts[name] = self.start_counts.get(name, 0) + 1
         for other in self.workers.values():
             task = other.tasks.get(name)
             if other is not worker and task is not None and task.state == "running":
-                raise Broken(f"ran_twice: {name} on {worker.name} and {other.name}")
+                raise InvariantViolationError(
+                    f"ran_twice: {name} on {worker.name} and {other.name}"
+                )
         job = name.split("/", maxsplit=1)[0]
-        state, at = self.told.get(job, ("", 0.0))
+        state, at = self.reported_terminal.get(job, ("", 0.0))
         if state == api.CANCELLED:
             self.late_starts[name] = self.clock.at - at
             if self.clock.at > at + CANCEL_S:
-                raise Broken(f"ran_cancelled: {name} began {self.clock.at - at:.1f} s after")
-        told = self.jobs[job]
-        zones = [w.zone for w, n, t in self.tasks(job) if n != name and t.state == "running"]
-        limit = (told["chores"] + 1) // 2
+                raise InvariantViolationError(
+                    f"ran_cancelled: {name} began {self.clock.at - at:.1f} s after"
+                )
+        answer = self.jobs[job]
+        zones = [w.zone for w, n, t in self.live_tasks(job) if n != name and t.state == "running"]
+        limit = (answer["chores"] + 1) // 2
         if (
-            told["roost"] not in (None, worker.zone)
-            or (told["same_place"] and {*zones} - {worker.zone})
-            or (told["spread"] and zones.count(worker.zone) >= limit)
+            answer["roost"] not in (None, worker.zone)
+            or (answer["same_place"] and {*zones} - {worker.zone})
+            or (answer["spread"] and zones.count(worker.zone) >= limit)
         ):
-            raise Broken(f"wrong_place: {name} in {worker.zone}, beside {zones}")
+            raise InvariantViolationError(f"wrong_place: {name} in {worker.zone}, beside {zones}")
 
-    def tasks(self, job: str = "") -> list[tuple["Worker", str, PlainTask]]:
-        """All tasks that machines have and that haven't ended; of one job."""
+    def live_tasks(self, job: str = "") -> list[tuple["SimulatedWorker", str, FakeTask]]:
+        """Return all tasks on machines that have not exited: of one job, if given."""
         return [
             (worker, name, task)
             for worker in self.workers.values()
@@ -425,166 +461,184 @@
             if task.state != "exited" and (not job or name.split("/")[0] == job)
         ]
 
-    async def report(self, worker: Worker) -> None:
-        """One report, and what its answer makes the worker do."""
-        sent, session, number = self.clock.at, worker.session, worker.node
-        worker.due = sent + 1e9
+    async def report(self, worker: SimulatedWorker) -> None:
+        """Send one report, and make the worker act on the reply."""
+        sent, session, number = self.clock.at, worker.session, worker.controller
+        worker.next_report_at = sent + 1e9
         body = msgspec.json.encode(worker.report())
-        if self.rng.random() < self.copied:
-            self.copies.append((sent + self.rng.uniform(2.0, 25.0), body))
-        if self.rng.random() < self.keeps:
-            self.kept.append((*self.hold_of(worker), body))
-        cut = worker.mute or number in self.down or (number, worker.name) in self.off
+        if self.rng.random() < self.duplicate_share:
+            self.duplicate_reports.append((sent + self.rng.uniform(2.0, 25.0), body))
+        if self.rng.random() < self.replay_share:
+            self.replays_at_takeover.append((*self.ownership_of(worker), body))
+        cut = (
+            worker.heartbeats_lost
+            or number in self.down
+            or (number, worker.name) in self.blocked_worker_links
+        )
         reply: Response | None = None
         if not cut:
-            node = self.nodes[number]
-            if self.lag_s:
-                await curio.sleep(self.lag_s * self.rng.uniform(0.8, 1.0))
-            reply = await node.heartbeat_api.handle(body)
-            if number in self.down or self.nodes[number] is not node:
+            controller = self.controllers[number]
+            if self.report_latency_s:
+                await curio.sleep(self.report_latency_s * self.rng.uniform(0.8, 1.0))
+            reply = await controller.heartbeat_api.handle(body)
+            if number in self.down or self.controllers[number] is not controller:
                 reply = None
         waited = self.clock.at - sent
-        if reply is None or worker.deaf or worker.hung or waited > ANSWER_S:
-            refused = number in self.down  # its machine answers, no process listens
-            worker.due = sent + MOVE_S + (0.0 if refused else ANSWER_S)
-            worker.node = (number + 1) % len(self.nodes)
+        if reply is None or worker.unreachable or worker.hung or waited > REPLY_TIMEOUT_S:
+            refused = number in self.down  # by its machine: no process listens
+            worker.next_report_at = sent + FAILOVER_DELAY_S + (0.0 if refused else REPLY_TIMEOUT_S)
+            worker.controller = (number + 1) % len(self.controllers)
         elif reply.status == 200:
             answer = msgspec.json.decode(reply.body, type=api.ReportReply)
-            worker.answer(answer, session, sent)
-            worker.due = sent + REPORT_S * self.rng.uniform(0.75, 1.25)
+            worker.handle_reply(answer, session, sent)
+            worker.next_report_at = sent + REPORT_INTERVAL_S * self.rng.uniform(0.75, 1.25)
         else:
-            told = msgspec.json.decode(reply.body, type=dict[str, Any])
-            name = told.get("answer_to") if reply.status == 421 else None
+            redirect = msgspec.json.decode(reply.body, type=dict[str, Any])
+            name = redirect.get("answer_to") if reply.status == 421 else None
             if name and name != f"n-{number}":
-                worker.node, worker.due = int(name[2:]), self.clock.at + 0.2
+                worker.controller, worker.next_report_at = int(name[2:]), self.clock.at + 0.2
             else:
-                worker.node = (number + 1) % len(self.nodes)
-                worker.due = self.clock.at + MOVE_S
+                worker.controller = (number + 1) % len(self.controllers)
+                worker.next_report_at = self.clock.at + FAILOVER_DELAY_S
 
     # --- users
 
-    async def ask(self, number: int, method: str, path: str, body: bytes = b"") -> int:
-        """One request; what is told is held against what was told before it began."""
+    async def request(self, number: int, method: str, path: str, body: bytes = b"") -> int:
+        """Send one request, and compare the answer with those given before the request began."""
         sent = self.clock.at
         name = path.split("/")[3] if path != api.JOBS else msgspec.json.decode(body)["uid"]
-        known, final = name in self.known, self.told.get(name)
-        done = self.done.get(name, 0)
-        if number in self.down or number in self.shut:
+        known, final = name in self.acknowledged, self.reported_terminal.get(name)
+        done = self.reported_done.get(name, 0)
+        if number in self.down or number in self.closed_to_users:
             return 0
-        reply = await self.nodes[number].serve(Request(method, path, body))
-        if self.clock.at - sent > POLL_S or number in self.down or number in self.shut:
+        reply = await self.controllers[number].serve(Request(method, path, body))
+        if self.clock.at - sent > POLL_S or number in self.down or number in self.closed_to_users:
             return 0
         if known and reply.status in (404, 400, 422):
-            raise Broken(f"forgotten: {name} answered {reply.status}")
+            raise InvariantViolationError(f"forgotten: {name} answered {reply.status}")
         if reply.status not in (200, 201):
             return reply.status
-        if name in self.odd or name not in self.jobs:
-            raise Broken(f"invented: {name} answered {reply.status}")
-        told = msgspec.json.decode(reply.body, type=api.JobStatus)
-        if final and told.state != final[0]:
-            raise Broken(f"went_back: {name} was {final[0]}, is {told.state}")
-        if told.state == api.CANCELLED and name not in self.asked:
-            raise Broken(f"went_back: {name} was never cancelled")
-        if told.done is not None and told.done < done:
-            raise Broken(f"went_back: {name} had {done} tasks done, has {told.done}")
-        ended = sum(f"{name}/{i}" in self.finished for i in range(self.jobs[name]["chores"]))
-        if told.state == api.DONE and ended < self.jobs[name]["chores"]:
-            raise Broken(f"not_done: {name}")
-        if (told.done or 0) > ended:
-            raise Broken(f"not_done: {name} has {ended} tasks done, is told {told.done}")
-        news = name not in self.known or (told.state in ENDED and name not in self.told)
-        self.known.add(name)
-        self.heard[name] = self.clock.at
-        self.done[name] = max(told.done or 0, self.done.get(name, 0))
-        if told.state in ENDED:
-            self.told.setdefault(name, (told.state, sent))
-        if news and self.rng.random() < self.looks:
-            await self.beside(self.look_closely, name)
+        if name in self.invalid_jobs or name not in self.jobs:
+            raise InvariantViolationError(f"invented: {name} answered {reply.status}")
+        answer = msgspec.json.decode(reply.body, type=api.JobStatus)
+        if final and answer.state != final[0]:
+            raise InvariantViolationError(f"went_back: {name} was {final[0]}, is {answer.state}")
+        if answer.state == api.CANCELLED and name not in self.cancellation_requested:
+            raise InvariantViolationError(f"went_back: {name} was never cancelled")
+        if answer.done is not None and answer.done < done:
+            raise InvariantViolationError(
+                f"went_back: {name} had {done} tasks done, has {answer.done}"
+            )
+        ended = sum(f"{name}/{i}" in self.completed_tasks for i in range(self.jobs[name]["chores"]))
+        if answer.state == api.DONE and ended < self.jobs[name]["chores"]:
+            raise InvariantViolationError(f"not_done: {name}")
+        if (answer.done or 0) > ended:
+            raise InvariantViolationError(
+                f"not_done: {name} has {ended} tasks done, reported {answer.done}"
+            )
+        news = name not in self.acknowledged or (
+            answer.state in TERMINAL_STATES and name not in self.reported_terminal
+        )
+        self.acknowledged.add(name)
+        self.answered_at[name] = self.clock.at
+        self.reported_done[name] = max(answer.done or 0, self.reported_done.get(name, 0))
+        if answer.state in TERMINAL_STATES:
+            self.reported_terminal.setdefault(name, (answer.state, sent))
+        if news and self.rng.random() < self.burst_query_share:
+            await self.spawn(self.query_all_controllers, name)
         return reply.status
 
-    async def look_closely(self, name: str) -> None:
-        """All controllers are asked within milliseconds, submissions repeated; some cancel."""
+    async def query_all_controllers(self, name: str) -> None:
+        """Query all controllers within milliseconds, repeat submissions; some users cancel."""
         body, path = msgspec.json.encode(self.jobs[name]), f"{api.JOBS}/{name}"
-        if name not in self.told and self.rng.random() < 0.2:
-            await self.beside(self.cancel, name, (self.rng.randrange(len(self.nodes)),))
+        if name not in self.reported_terminal and self.rng.random() < 0.2:
+            await self.spawn(self.cancel, name, (self.rng.randrange(len(self.controllers)),))
         for _ in range(3):
-            for number in self.rng.sample(range(len(self.nodes)), len(self.nodes)):
-                await self.beside(self.ask, number, "GET", path)
-                await self.beside(self.ask, number, "POST", api.JOBS, body)
+            for number in self.rng.sample(range(len(self.controllers)), len(self.controllers)):
+                await self.spawn(self.request, number, "GET", path)
+                await self.spawn(self.request, number, "POST", api.JOBS, body)
             await real_sleep(0)
 
-    async def submit(self, name: str, tasks: int, lasts_s: float, **other: Any) -> None:
-        self.lasts[name] = lasts_s
+    async def submit(self, name: str, tasks: int, run_s: float, **other: Any) -> None:
+        self.run_times[name] = run_s
         self.jobs[name] = job_body(name, chores=tasks, image_gb=0.1, **other)
         body = msgspec.json.encode(self.jobs[name])
-        while name not in self.known:
-            await self.ask(self.rng.randrange(len(self.nodes)), "POST", api.JOBS, body)
+        while name not in self.acknowledged:
+            await self.request(self.rng.randrange(len(self.controllers)), "POST", api.JOBS, body)
             await curio.sleep(0.5)
 
-    async def ask_oddly(self, name: str) -> None:
-        """Jobs that lack a field or fit nowhere, at every controller: refused, and never known."""
-        for number in range(len(self.nodes)):
+    async def send_invalid_requests(self, name: str) -> None:
+        """Submit jobs that lack a field or fit nowhere: all controllers refuse and forget them."""
+        for number in range(len(self.controllers)):
             short, vast = job_body(f"j-9{number}0000"), job_body(f"j-9{number}0001", cores=500.0)
             del short["kit"]
-            self.odd.update((short["uid"], vast["uid"]))
+            self.invalid_jobs.update((short["uid"], vast["uid"]))
             for body, status in ((short, 400), (vast, 422)):
                 path = f"{api.JOBS}/{body['uid']}"
-                found = await self.ask(number, "POST", api.JOBS, msgspec.json.encode(body))
+                found = await self.request(number, "POST", api.JOBS, msgspec.json.encode(body))
                 if found not in (status, 0, 503):
-                    raise Broken(f"{body['uid']} answered {found}, not {status}")
-                if await self.ask(number, "GET", path) not in (404, 0, 503):
-                    raise Broken(f"invented: {body['uid']}")
-            await self.ask(number, "POST", api.JOBS, msgspec.json.encode(self.jobs[name]))
-            if self.told.get(name, ("",))[0] == api.DONE:
-                await self.ask(number, "POST", f"{api.JOBS}/{name}/{api.CANCEL}")
+                    raise InvariantViolationError(f"{body['uid']} answered {found}, not {status}")
+                if await self.request(number, "GET", path) not in (404, 0, 503):
+                    raise InvariantViolationError(f"invented: {body['uid']}")
+            await self.request(number, "POST", api.JOBS, msgspec.json.encode(self.jobs[name]))
+            if self.reported_terminal.get(name, ("",))[0] == api.DONE:
+                await self.request(number, "POST", f"{api.JOBS}/{name}/{api.CANCEL}")
 
     async def cancel(self, name: str, by: tuple[int, ...]) -> None:
-        """Asked of these controllers in turn until one of them says so."""
-        self.asked.add(name)
+        """Cancel a job at these controllers in turn until its terminal state is reported."""
+        self.cancellation_requested.add(name)
         path = f"{api.JOBS}/{name}/{api.CANCEL}"
-        while name not in self.told:
+        while name not in self.reported_terminal:
             for number in by:
-                if await self.ask(number, "POST", path) == 200:
+                if await self.request(number, "POST", path) == 200:
                     return
             await curio.sleep(0.5)
 
     # --- time
 
-    def check(self) -> None:
-        if self.faults:
-            raise self.faults[0]
+    def check_invariants(self) -> None:
+        if self.background_errors:
+            raise self.background_errors[0]
         now, used = self.clock.at, 0.0
-        for worker, name, task in self.tasks():
+        for worker, name, task in self.live_tasks():
             job = name.split("/")[0]
-            state, at = self.told.get(job, ("", 0.0))
+            state, at = self.reported_terminal.get(job, ("", 0.0))
             if state == api.CANCELLED and now > at + CANCEL_S:
-                raise Broken(f"ran_cancelled: {name} on {worker.name}, {now - at:.1f} s after")
+                raise InvariantViolationError(
+                    f"ran_cancelled: {name} on {worker.name}, {now - at:.1f} s after"
+                )
             if task.state == "running" and self.jobs[job]["crew"] == "blue":
                 used += self.jobs[job]["cores"]
         self.used = used
         if self.limit and used > self.limit + 1e-6:
-            raise Broken(f"quota: {used} of {self.limit} cores")
-        if now > self.calm_at:
-            self.check_waits(now)
+            raise InvariantViolationError(f"quota: {used} of {self.limit} cores")
+        if now > self.healed_at:
+            self.check_starvation(now)
 
-    def check_waits(self, now: float) -> None:
-        """No task waits beside room for it; room counts only while it stays."""
-        room: dict[str, int] = {}
+    def check_starvation(self, now: float) -> None:
+        """Check that no task waits while capacity for it stays free."""
+        capacity: dict[str, int] = {}
         for w in self.workers.values():
-            room[w.zone] = (
-                room.get(w.zone, 0) + w.slots - sum(1 for o, _, _ in self.tasks() if o is w)
+            capacity[w.zone] = (
+                capacity.get(w.zone, 0)
+                + w.slots
+                - sum(1 for o, _, _ in self.live_tasks() if o is w)
+            )
+        for name, answer in self.jobs.items():
+            live = {n for _, n, _ in self.live_tasks(name)}
+            over = (
+                name not in self.acknowledged
+                or name in self.reported_terminal
+                or name in self.cancellation_requested
             )
-        for name, told in self.jobs.items():
-            live = {n for _, n, _ in self.tasks(name)}
-            over = name not in self.known or name in self.told or name in self.asked
-            full = told["crew"] == "blue" and 0 < self.limit < self.used + told["cores"]
-            zones = [told["roost"]] if told["roost"] else list(room)
-            fits = not over and not full and all(room[z] > 0 for z in zones)
-            for task in (f"{name}/{i}" for i in range(told["chores"])):
-                if not fits or task in live or task in self.finished:
-                    self.waits.pop(task, None)
-                elif now - self.waits.setdefault(task, now) > WAITS_S:
-                    raise Broken(f"waits: {task} beside room on {room}")
+            full = answer["crew"] == "blue" and 0 < self.limit < self.used + answer["cores"]
+            zones = [answer["roost"]] if answer["roost"] else list(capacity)
+            fits = not over and not full and all(capacity[z] > 0 for z in zones)
+            for task in (f"{name}/{i}" for i in range(answer["chores"])):
+                if not fits or task in live or task in self.completed_tasks:
+                    self.waiting_since.pop(task, None)
+                elif now - self.waiting_since.setdefault(task, now) > MAX_WAIT_BESIDE_CAPACITY_S:
+                    raise InvariantViolationError(f"waits: {task} beside capacity on {capacity}")
 
     async def run(self, seconds: float) -> None:
         end = self.clock.at + seconds
@@ -592,86 +646,94 @@
             self.clock.at += TICK_S
             now = self.clock.at
             self.state.expire()
-            for one in [item for item in self.late if item[0] <= now and not self.state.down]:
-                self.late.remove(one)
+            for one in [
+                item for item in self.delayed_transactions if item[0] <= now and not self.state.down
+            ]:
+                self.delayed_transactions.remove(one)
                 if all(c.lease is None or c.lease in self.state.leases for c in one[2]):
                     self.state.change(one[2], one[1])
-            for held in [item for item in self.orders if item[0] <= now]:
-                self.orders.remove(held)
-                self.workers[held[1]].do(held[2])
-            for copy in [item for item in self.copies if item[0] <= now]:
-                self.copies.remove(copy)
-                await self.send_copy(copy[1])
-            for kept in [k for k in self.kept if self.holds.get(k[0], k[1]) != k[1]]:
-                self.kept.remove(kept)
-                await self.send_copy(kept[2])
+            for held in [item for item in self.delayed_commands if item[0] <= now]:
+                self.delayed_commands.remove(held)
+                self.workers[held[1]].handle_commands(held[2])
+            for copy in [item for item in self.duplicate_reports if item[0] <= now]:
+                self.duplicate_reports.remove(copy)
+                await self.deliver_duplicate(copy[1])
+            for kept in [
+                k for k in self.replays_at_takeover if self.ownership_epochs.get(k[0], k[1]) != k[1]
+            ]:
+                self.replays_at_takeover.remove(kept)
+                await self.deliver_duplicate(kept[2])
             for number, at in list(self.down.items()):
                 if at <= now:
                     del self.down[number]
-                    self.nodes[number] = self.start(number)
-            for link in self.mail:
-                await self.loop(("mail", link), lambda link=link: self.deliver(link))  # type: ignore[misc]
-            for number, node in enumerate(self.nodes):
+                    self.controllers[number] = self.start_controller(number)
+            for link in self.messages:
+                await self.run_loop(("mail", link), lambda link=link: self.deliver(link))  # type: ignore[misc]
+            for number, controller in enumerate(self.controllers):
                 if number not in self.down:
-                    await self.serve(number, node)
+                    await self.run_controller(number, controller)
             for worker in self.workers.values():
-                worker.expire(now)  # by PROTOCOL a machine that hangs may go on within its lease
+                worker.expire(now)  # PROTOCOL: a machine that hangs may continue within its lease
                 if worker.hung:
                     continue
                 worker.work(now)
-                if worker.due <= now:
-                    await self.beside(self.report, worker)
-            for job, number in self.calls:
-                await self.beside(self.cancel, job, (number, *range(len(self.nodes))))
-            self.calls.clear()
+                if worker.next_report_at <= now:
+                    await self.spawn(self.report, worker)
+            for job, number in self.pending_cancellations:
+                await self.spawn(self.cancel, job, (number, *range(len(self.controllers))))
+            self.pending_cancellations.clear()
             for _ in range(4):
                 await real_sleep(0)
-            self.check()
+            self.check_invariants()
 
     @property
-    def holds(self) -> dict[int, int]:
-        """The hold of each shard of machines, by the state service."""
+    def ownership_epochs(self) -> dict[int, int]:
+        """The ownership epoch of each machine shard, by the state service."""
         found = {}
-        for shard in range(len(self.nodes)):
+        for shard in range(len(self.controllers)):
             entry = self.state.keys.get(records.shard_key(shard))
             if entry is not None:
                 found[shard] = msgspec.json.decode(entry[0], type=records.ShardValue).epoch
         return found
 
-    def hold_of(self, worker: Worker) -> tuple[int, int]:
+    def ownership_of(self, worker: SimulatedWorker) -> tuple[int, int]:
         shard = shard_of_machine(worker.name, worker.zone, self.zones)
-        return shard, self.holds.get(shard, 0)
+        return shard, self.ownership_epochs.get(shard, 0)
 
-    async def send_copy(self, body: bytes) -> None:
-        """An old report reaches every controller."""
-        for number, node in enumerate(self.nodes):
+    async def deliver_duplicate(self, body: bytes) -> None:
+        """Deliver an old report to every controller."""
+        for number, controller in enumerate(self.controllers):
             if number not in self.down:
-                await self.beside(node.heartbeat_api.handle, body)
+                await self.spawn(controller.heartbeat_api.handle, body)
 
     async def poll(self, names: list[str]) -> None:
-        """Users ask about their jobs, of any controller."""
-        if self.odd_asked:
-            await self.beside(self.ask_oddly, self.rng.choice(names))
+        """Query each job at a random controller."""
+        if self.send_invalid:
+            await self.spawn(self.send_invalid_requests, self.rng.choice(names))
         for name in names:
-            number = self.rng.randrange(len(self.nodes))
-            await self.beside(self.ask, number, "GET", f"{api.JOBS}/{name}")
+            number = self.rng.randrange(len(self.controllers))
+            await self.spawn(self.request, number, "GET", f"{api.JOBS}/{name}")
+
+    def live_tasks_of(self, job: str) -> list[tuple[str, FakeTask]]:
+        return [(worker.name, task) for worker, _, task in self.live_tasks(job)]
 
-    def live(self, job: str) -> list[tuple[str, PlainTask]]:
-        return [(worker.name, task) for worker, _, task in self.tasks(job)]
 
+def run_simulation(
+    monkeypatch: Any, cluster: SimulatedCluster, drive: Coroutine[Any, Any, Any]
+) -> Any:
+    """Run a test's coroutine; while one controller sleeps the others continue.
 
-def play(monkeypatch: Any, deck: Deck, drive: Coroutine[Any, Any, Any]) -> Any:
-    """Runs a test's story; while a controller sleeps, the others go on. Who moves the clock may
-    not wait for it: that is said, where it would last for ever."""
+    The coroutine that advances the clock may not sleep: that would never end, and is reported.
+    """
 
     async def sleep(seconds: float) -> None:
-        until = deck.clock.at + seconds
+        until = cluster.clock.at + seconds
         await real_sleep(0)
-        still, seen = 0, deck.clock.at
-        while deck.clock.at < until - 1e-9:
-            still, seen = (still + 1, seen) if seen == deck.clock.at else (0, deck.clock.at)
+        still, seen = 0, cluster.clock.at
+        while cluster.clock.at < until - 1e-9:
+            still, seen = (still + 1, seen) if seen == cluster.clock.at else (0, cluster.clock.at)
             if still > 10_000:
-                raise Broken(f"the clock stands still at {seen:.1f} s")
+                raise InvariantViolationError(f"the clock does not advance at {seen:.1f} s")
             await real_sleep(0)
 
     monkeypatch.setattr(curio, "sleep", sleep)
--- a/tests/test_autoscaling_policy.py
+++ b/tests/test_autoscaling_policy.py
@@ -6,7 +6,7 @@
 from starlingdeck.context import ControllerContext
 from starlingdeck.machines.scoring import Candidate
 from starlingdeck.protocol import api
-from tests.support.builders import Clock, make_world
+from tests.support.builders import Clock, make_context
 
 
 def listed(context: ControllerContext, name: str, state: str, rented: float) -> ListedMachine:
@@ -19,7 +19,7 @@
     """After all controllers crashed, the first list came before the first report: every machine
     looked like a failed boot, and all of them were released."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     state = FleetState()
     for i in range(5):
         state.listed[f"vm-{i}"] = listed(context, f"vm-{i}", "running", clock.at - 500)
@@ -34,7 +34,7 @@
     """A restarted peer's first snapshot named no machine yet, so those of its zone seemed never
     to have come up and were released with their replicas."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     state = FleetState()
     state.listed["vm-1"] = listed(context, "vm-1", "running", clock.at - 500)
     state.listed["vm-2"] = listed(context, "vm-2", api.BOOTING, clock.at - 500)
@@ -46,7 +46,7 @@
 
 def test_boot_that_never_comes_up_is_released() -> None:
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     state = FleetState()
     state.listed["vm-1"] = listed(context, "vm-1", api.BOOTING, clock.at)
     boot = context.machine_types[context.type_names.intern("small")].boot_s
@@ -57,7 +57,7 @@
 
 def test_demand_is_rented_for_once() -> None:
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     state = FleetState()
     demands = [Demand((4.0, 0.0, 4.0), 3, ("small",), "", False, 1, False)]
     requests = rentals.plan_rentals(context, state, demands, FleetSnapshot(), clock.at)
@@ -73,7 +73,7 @@
 
 def test_another_kind_is_chosen_where_there_is_no_capacity() -> None:
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     state = FleetState()
     need = Demand((4.0, 0.0, 4.0), 1, (), "", False, 1, False)
     first = rentals.cheapest_kind(context, state, need, clock.at)
@@ -86,7 +86,7 @@
 
 def test_headroom_is_rented_before_anything_waits() -> None:
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     total = (4.0, 0.0, 16.0)
     full = [Candidate(i, 0, 0, False, 0, total, [0.0, 0.0, 8.0]) for i in range(10)]
     idle = [Candidate(i, 0, 0, False, 0, total, [4.0, 0.0, 16.0]) for i in range(10)]
@@ -99,7 +99,7 @@
 def test_wave_of_demand_is_requested_at_once() -> None:
     """With eight machines a request and few requests a second, half of a large fleet came up 10 s
     late."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     state = FleetState()
     demands = [Demand((4.0, 0.0, 4.0), 60, ("small",), "a", False, 0, False)]
     requests = rentals.plan_rentals(context, state, demands, FleetSnapshot(), 0.0)
@@ -112,7 +112,7 @@
 def test_spot_machines_reclaimed_in_a_calm_minute_are_replaced() -> None:
     """Headroom was counted on on-demand machines alone: reclaimed spot machines were replaced only
     in the next busy minute, a boot too late."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     total = (4.0, 0.0, 16.0)
 
     def machine(index: int, spot: bool, free: float) -> Candidate:
@@ -137,7 +137,7 @@
 def test_boot_timeout_follows_the_recent_boot_times() -> None:
     """Replaced after 1.8 times the nominal time, a wave of late boots was rented twice."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     boot = context.machine_types[context.type_names.intern("small")].boot_s
     for ratio, waits in ((0.05, 1.2), (1.0, 1.3), (2.5, 3.25), (9.0, 4.0), (None, 1.8)):
         state = FleetState()
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -39,8 +39,8 @@
     TransactionConflictError,
     put_change,
 )
-from tests.support.builders import LOGGED, Clock, make_world, spec
-from tests.support.reference_model import PlainState
+from tests.support.builders import LOGGED, Clock, make_context, spec
+from tests.support.reference_model import FakeStateService
 
 Patch = pytest.MonkeyPatch
 JOB, OTHER = "j-000001", "j-000002"
@@ -59,7 +59,7 @@
 class StrictStateClient:
     """Refuses what the protocol refuses; `outcomes` are those of the next transactions."""
 
-    state: PlainState
+    state: FakeStateService
     outcomes: list[str] = field(default_factory=list)
     late: list[tuple[dict[str, int], list[api.Change]]] = field(default_factory=list)
     refuse: Callable[[list[api.Change]], bool] = lambda changes: False
@@ -89,7 +89,7 @@
         if failed:
             raise TransactionConflictError(failed)
         self.changes += len(changes)
-        return self.state.epoch
+        return self.state.revision
 
     def check_limits(self, conditions: dict[str, int], changes: list[api.Change]) -> None:
         assert len(changes) <= TXN_OPS
@@ -115,7 +115,7 @@
             for k, (v, stamp) in sorted(self.state.keys.items())
             if k.startswith(prefix)
         ]
-        return found, self.state.epoch
+        return found, self.state.revision
 
 
 class ShardOwner:
@@ -123,14 +123,14 @@
 
     def __init__(self, client: StrictStateClient, clock: Clock, tuning: Tuning = LOGGED) -> None:
         self.client, self.clock = client, clock
-        self.context = make_world(clock)
+        self.context = make_context(clock)
         self.context.tuning = tuning
         self.context.machine_names.intern("vm-0")
         self.context.zone_names.intern("a")
         key = records.shard_key(SHARD)
         version = client.state.keys.get(key, (b"", 0))[1]
         assert not client.state.apply({key: version}, [put_change(key, records.ShardValue(0, 1))])
-        self.token = client.state.epoch
+        self.token = client.state.revision
         self.shard = JobShard(self.context, SHARD, self.token, 1)
         self.writer = RecordWriter(self.context, client, self.shard)  # type: ignore[arg-type]  # a test double
         curio.run(self.writer.load)
@@ -140,7 +140,7 @@
         job = new_job(self.context, body, SHARD, 0)
         main = records.job_key(SHARD, name)
         assert not self.client.state.apply({main: 0}, [put_change(main, JobRecord(body, 0))])
-        job.key_versions[0] = self.client.state.epoch
+        job.key_versions[0] = self.client.state.revision
         self.shard.jobs[job.index] = job
         return job
 
@@ -185,7 +185,7 @@
 
 
 def new_site() -> tuple[StrictStateClient, Clock]:
-    return StrictStateClient(PlainState(random.Random(1))), Clock()
+    return StrictStateClient(FakeStateService(random.Random(1))), Clock()
 
 
 def take_over(before: ShardOwner, tuning: Tuning = LOGGED) -> ShardOwner:
@@ -390,8 +390,8 @@
 
 def read_elsewhere(owner: ShardOwner) -> ShardOwner:
     """What another process would read now; the shard stays where it is."""
-    copy = PlainState(owner.client.state.rng)
-    copy.keys, copy.epoch = dict(owner.client.state.keys), owner.client.state.epoch
+    copy = FakeStateService(owner.client.state.rng)
+    copy.keys, copy.revision = dict(owner.client.state.keys), owner.client.state.revision
     return ShardOwner(StrictStateClient(copy), owner.clock)
 
 
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -1,4 +1,4 @@
-"""Two troubles at once: the table of meetings is in docs/design/meetings.md."""
+"""Concurrent failures: the table of combinations is in docs/design/meetings.md."""
 
 from typing import Any
 
@@ -18,180 +18,198 @@
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.storage.state import OutcomeUnknownError, put_change
 from tests.support.builders import spec
-from tests.support.simulated_cluster import CANCEL_S, FORGOTTEN_S, Deck, play
+from tests.support.simulated_cluster import (
+    CANCEL_S,
+    MAX_UNANSWERED_S,
+    SimulatedCluster,
+    run_simulation,
+)
 
 
-def of_shard(shard: int, number: int = 0) -> str:
-    """A job's name that belongs to a shard of three."""
+def job_of_shard(shard: int, number: int = 0) -> str:
+    """Return the id of a job that belongs to the given one of three shards."""
     names = (f"j-{i:06d}" for i in range(1000))
     return [n for n in names if shard_of_job(n, 3) == shard][number]
 
 
-async def spread_job(deck: Deck, shard: int, lasts_s: float) -> str:
-    """A job of a shard that runs on machines of all three."""
-    await deck.run(4.0)
-    name = of_shard(shard)
-    await deck.beside(deck.submit, name, 12, lasts_s)
-    await deck.run(8.0)
-    assert {shard_of_machine(w, "a", deck.zones) for w, _ in deck.live(name)} == {0, 1, 2}
+async def run_spread_job(cluster: SimulatedCluster, shard: int, run_s: float) -> str:
+    """Run a job of the shard on machines of all three shards."""
+    await cluster.run(4.0)
+    name = job_of_shard(shard)
+    await cluster.spawn(cluster.submit, name, 12, run_s)
+    await cluster.run(8.0)
+    assert {shard_of_machine(w, "a", cluster.zones) for w, _ in cluster.live_tasks_of(name)} == {
+        0,
+        1,
+        2,
+    }
     return name
 
 
 @pytest.mark.parametrize("gap_s", [0.2, 3.0, 8.0, 14.0])
-@pytest.mark.parametrize("twist", ["alone", "reading", "crashed", "back"])
-def test_a_refused_holder_then_an_outage_longer_than_a_cancellation(
-    monkeypatch: pytest.MonkeyPatch, gap_s: float, twist: str
+@pytest.mark.parametrize("variant", ["alone", "reading", "crashed", "back"])
+def test_an_owner_refused_alone_then_an_outage_longer_than_a_cancellation(
+    monkeypatch: pytest.MonkeyPatch, gap_s: float, variant: str
 ) -> None:
-    """The state service refuses a job's holder alone, another controller confirms a cancellation,
-    then it is out for all. The owners of machines renewed for a fixed time after their own last
-    renewal, which may be long after the confirmation, while whoever took the shard over still
-    read it, or had crashed: the list with the cancellation never came."""
-    deck = Deck(int(gap_s * 10))
+    """The state service refuses a job shard's owner alone, another controller confirms a
+    cancellation, then it is down for all. Machine shards' owners renewed workers' leases for a
+    fixed time after their own last renewal, which may be long after the confirmation, while the
+    new owner still loaded the shard, or had crashed: the cancellation never reached machines."""
+    cluster = SimulatedCluster(int(gap_s * 10))
 
     async def drive() -> None:
-        name = await spread_job(deck, 0, 500.0)
-        deck.clients[0].cut = True
-        for client in deck.clients:
-            if twist in ("reading", "crashed"):
-                client.blind.add("j/0/")
-        await deck.beside(deck.cancel, name, (1, 2))
-        while name not in deck.told:
-            await deck.run(0.1)
-        await deck.run(gap_s)
-        deck.outage(True)
-        if twist == "crashed":
-            deck.crash(1, 6.0)
-        await deck.run(12.0)
-        deck.clients[0].cut = twist != "back"
-        await deck.run(CANCEL_S + 8.0)
-        assert not deck.live(name)
-        deck.outage(False)
-        for client in deck.clients:
+        name = await run_spread_job(cluster, 0, 500.0)
+        cluster.clients[0].cut = True
+        for client in cluster.clients:
+            if variant in ("reading", "crashed"):
+                client.unreadable_prefixes.add("j/0/")
+        await cluster.spawn(cluster.cancel, name, (1, 2))
+        while name not in cluster.reported_terminal:
+            await cluster.run(0.1)
+        await cluster.run(gap_s)
+        cluster.set_outage(True)
+        if variant == "crashed":
+            cluster.crash(1, 6.0)
+        await cluster.run(12.0)
+        cluster.clients[0].cut = variant != "back"
+        await cluster.run(CANCEL_S + 8.0)
+        assert not cluster.live_tasks_of(name)
+        cluster.set_outage(False)
+        for client in cluster.clients:
             client.cut = False
-            client.blind.clear()
-        await deck.run(20.0)
-        assert not deck.live(name)
+            client.unreadable_prefixes.clear()
+        await cluster.run(20.0)
+        assert not cluster.live_tasks_of(name)
 
-    play(monkeypatch, deck, drive())
+    run_simulation(monkeypatch, cluster, drive())
 
 
-def start_trouble(deck: Deck, kind: str, number: int) -> None:
-    """Each kind of the operators' page, on one controller or on some machines; twice: over."""
-    client, others = deck.clients[number], [i for i in range(3) if i != number]
-    some = [w for i, w in enumerate(deck.workers.values()) if i % 3 == number]
+def inject_failure(cluster: SimulatedCluster, kind: str, number: int) -> None:
+    """Begin a failure of this kind on one controller or its share of machines, or end it."""
+    client, others = cluster.clients[number], [i for i in range(3) if i != number]
+    some = [w for i, w in enumerate(cluster.workers.values()) if i % 3 == number]
     if kind == "refuse":
         client.cut = not client.cut
     elif kind == "outage":
-        deck.outage(not deck.state.down)
+        cluster.set_outage(not cluster.state.down)
     elif kind == "apart":
-        deck.apart ^= {frozenset((number, i)) for i in others}
+        cluster.partitions ^= {frozenset((number, i)) for i in others}
     elif kind == "cut":
         client.cut = not client.cut
-        deck.apart ^= {frozenset((number, i)) for i in others}
-    elif kind == "crash" and number not in deck.down:
-        deck.crash(number, deck.rng.choice([0.2, 6.0]))
+        cluster.partitions ^= {frozenset((number, i)) for i in others}
+    elif kind == "crash" and number not in cluster.down:
+        cluster.crash(number, cluster.rng.choice([0.2, 6.0]))
     elif kind == "all crash":
         for i in range(3):
-            if i not in deck.down:
-                deck.crash(i, 0.2 if i == number else 6.0)
+            if i not in cluster.down:
+                cluster.crash(i, 0.2 if i == number else 6.0)
     elif kind == "deaf":
         for worker in some:
-            worker.deaf = not worker.deaf
+            worker.unreachable = not worker.unreachable
     elif kind == "off":
-        deck.off ^= {(number, w.name) for w in deck.workers.values()}
+        cluster.blocked_worker_links ^= {(number, w.name) for w in cluster.workers.values()}
     elif kind == "late writes":
-        for each in deck.clients:
-            each.late = 0.0 if each.late else 0.2
+        for each in cluster.clients:
+            each.late_share = 0.0 if each.late_share else 0.2
     elif kind == "late reports":
-        deck.copied = 0.0 if deck.copied else 0.3
+        cluster.duplicate_share = 0.0 if cluster.duplicate_share else 0.3
     elif kind == "held":
-        deck.held = 0.0 if deck.held else 0.3
+        cluster.delayed_command_share = 0.0 if cluster.delayed_command_share else 0.3
     elif kind == "lost":
-        for each in deck.clients:
-            each.lost = 0.0 if each.lost else 0.3
+        for each in cluster.clients:
+            each.lost_answer_share = 0.0 if each.lost_answer_share else 0.3
     elif kind == "slow":
-        for each in deck.clients:
-            each.slow_s = 0.0 if each.slow_s else 0.8
+        for each in cluster.clients:
+            each.max_latency_s = 0.0 if each.max_latency_s else 0.8
     elif kind == "reading":
-        for each in deck.clients:
-            each.blind ^= {f"j/{number}/"}
+        for each in cluster.clients:
+            each.unreadable_prefixes ^= {f"j/{number}/"}
     elif kind == "next reports":
-        deck.keeps = 0.0 if deck.keeps else 0.3
+        cluster.replay_share = 0.0 if cluster.replay_share else 0.3
     elif kind == "mute":
         for worker in some:
-            worker.mute = not worker.mute
+            worker.heartbeats_lost = not worker.heartbeats_lost
     elif kind == "hang":
         for worker in some:
             worker.hung = not worker.hung
     elif kind == "zone":
-        cut_zone(deck, deck.zones[number])
+        cut_zone(cluster, cluster.zones[number])
     elif kind == "reborn":
         for worker in some:
-            worker.reborn(deck.clock.at)
+            worker.restart(cluster.clock.at)
     elif kind == "boot":
-        deck.boot(number)
+        cluster.boot_machine(number)
     elif kind == "all away":
         for i in range(3):
-            if i not in deck.down:
-                deck.crash(i, 14.0 + i)
+            if i not in cluster.down:
+                cluster.crash(i, 14.0 + i)
     elif kind == "looks":
-        deck.looks = 0.0 if deck.looks else 0.5
+        cluster.burst_query_share = 0.0 if cluster.burst_query_share else 0.5
     elif kind == "lag":
-        deck.lag_s = 0.0 if deck.lag_s else 1.0
+        cluster.report_latency_s = 0.0 if cluster.report_latency_s else 1.0
     elif kind == "odd":
-        deck.odd_asked = not deck.odd_asked
+        cluster.send_invalid = not cluster.send_invalid
     elif kind == "cancel at end":
-        deck.at_end = 0.0 if deck.at_end else 0.5
+        cluster.cancel_at_end_share = 0.0 if cluster.cancel_at_end_share else 0.5
     elif kind in ("cancel", "cancel and hang"):
         job = next(
-            (n.split("/")[0] for _, n, _ in deck.tasks() if n.split("/")[0] not in deck.asked), ""
+            (
+                n.split("/")[0]
+                for _, n, _ in cluster.live_tasks()
+                if n.split("/")[0] not in cluster.cancellation_requested
+            ),
+            "",
         )
         if job and kind == "cancel and hang":
-            for worker, _, _ in deck.tasks(job):
+            for worker, _, _ in cluster.live_tasks(job):
                 worker.hung = True
         if job:
-            deck.calls.append((job, number))
+            cluster.pending_cancellations.append((job, number))
     elif kind == "go on":
-        for worker in deck.workers.values():
+        for worker in cluster.workers.values():
             worker.hung = False
 
 
-def cut_zone(deck: Deck, zone: str) -> None:
-    """All that is in a zone reaches each other and nothing else; twice: over."""
-    inside = [i for i, z in enumerate(deck.zones) if z == zone]
-    for i in range(len(deck.zones)):
-        deck.apart ^= {frozenset((i, j)) for j in inside if i not in inside}
-        deck.off ^= {
-            (i, w.name) for w in deck.workers.values() if (w.zone == zone) != (i in inside)
+def cut_zone(cluster: SimulatedCluster, zone: str) -> None:
+    """Partition a zone from all else, or heal the partition."""
+    inside = [i for i, z in enumerate(cluster.zones) if z == zone]
+    for i in range(len(cluster.zones)):
+        cluster.partitions ^= {frozenset((i, j)) for j in inside if i not in inside}
+        cluster.blocked_worker_links ^= {
+            (i, w.name) for w in cluster.workers.values() if (w.zone == zone) != (i in inside)
         }
     for i in inside:
-        deck.clients[i].cut = not deck.clients[i].cut
-    deck.shut ^= set(inside)
+        cluster.clients[i].cut = not cluster.clients[i].cut
+    cluster.closed_to_users ^= set(inside)
 
 
-async def told_all(deck: Deck, names: list[str], within_s: float = 150.0) -> None:
-    """All troubles are over: users ask on until each job has come to its end, and are answered."""
-    deck.calm()
-    over = deck.clock.at
-    while any(n not in deck.told for n in names):
-        assert deck.clock.at - over < within_s, [n for n in names if n not in deck.told]
-        await deck.poll(names)
-        await deck.run(2.0)
-        for name in deck.known:
-            quiet = deck.clock.at - max(over, deck.heard[name])
-            assert quiet < FORGOTTEN_S, f"forgotten: {name}"
+async def wait_for_terminal_states(
+    cluster: SimulatedCluster, names: list[str], within_s: float = 150.0
+) -> None:
+    """End all failures; query until each job is in a terminal state. All queries are answered."""
+    cluster.heal()
+    over = cluster.clock.at
+    while any(n not in cluster.reported_terminal for n in names):
+        assert cluster.clock.at - over < within_s, [
+            n for n in names if n not in cluster.reported_terminal
+        ]
+        await cluster.poll(names)
+        await cluster.run(2.0)
+        for name in cluster.acknowledged:
+            quiet = cluster.clock.at - max(over, cluster.answered_at[name])
+            assert quiet < MAX_UNANSWERED_S, f"forgotten: {name}"
 
 
-# When, in seconds, which trouble begins or ends, and where.
+# When (seconds), which failure begins or ends, and where.
 Script = list[tuple[float, str, int]]
-MEETINGS: dict[str, Script] = {
-    "a holder cut from state service and peers": [(0.0, "cut", 0), (25.0, "cut", 0)],
+FAILURE_SCENARIOS: dict[str, Script] = {
+    "an owner cut off from state service and peers": [(0.0, "cut", 0), (25.0, "cut", 0)],
     "the same, back before its lease ends": [(0.0, "cut", 0), (1.5, "cut", 0), (3.0, "cut", 0)],
-    "a holder ends while machines can't be reached": [
+    "an owner crashes while machines can't be reached": [
         (0.0, "off", 0), (0.0, "off", 1), (0.0, "off", 2), (0.5, "crash", 0),
         (7.0, "off", 0), (7.0, "off", 1), (7.0, "off", 2),
     ],
-    "a holder ends while machines hear nothing": [
+    "an owner crashes while machines are unreachable": [
         (0.0, "deaf", 0), (0.0, "deaf", 1), (0.5, "crash", 0), (14.0, "deaf", 0), (14.0, "deaf", 1),
     ],
     "answers come late, then one is refused, then all": [
@@ -206,7 +224,7 @@
         (0.0, "late writes", 0), (2.0, "cut", 0), (8.0, "cut", 0), (10.0, "cut", 1),
         (16.0, "cut", 1), (20.0, "late writes", 0),
     ],
-    "old reports after a change of holder and session": [
+    "old reports after a change of owner and session": [
         (0.0, "late reports", 0), (1.0, "crash", 0), (4.0, "off", 1), (18.0, "off", 1),
         (24.0, "crash", 1), (30.0, "late reports", 0),
     ],
@@ -218,13 +236,13 @@
         (0.0, "refuse", 0), (2.8, "refuse", 0), (5.0, "refuse", 1), (7.8, "refuse", 1),
         (8.0, "refuse", 0), (10.8, "refuse", 0),
     ],
-    "close questions": [(0.0, "looks", 0), (3.0, "cancel", 1), (30.0, "looks", 0)],
-    "close questions while holders change": [
+    "close queries": [(0.0, "looks", 0), (3.0, "cancel", 1), (30.0, "looks", 0)],
+    "close queries while owners change": [
         (0.0, "looks", 0), (1.0, "refuse", 0), (2.0, "cancel", 0), (5.0, "refuse", 0),
         (6.0, "crash", 1), (7.0, "cancel", 1), (9.0, "cut", 2), (12.0, "cut", 2),
         (25.0, "looks", 0),
     ],
-    "close questions, slowly answered": [
+    "close queries, slowly answered": [
         (0.0, "looks", 0), (0.0, "slow", 0), (2.0, "apart", 0), (3.0, "cancel", 2),
         (5.0, "cancel", 0), (12.0, "apart", 0), (24.0, "slow", 0), (25.0, "looks", 0),
     ],
@@ -238,12 +256,12 @@
         (5.0, "crash", 1), (6.0, "cancel", 2), (14.0, "crash", 0), (26.0, "lost", 0),
         (26.0, "looks", 0),
     ],
-    "at their limit, cancelled where machines are cut off, the holder ends": [
+    "at their limit, cancelled where machines are cut off, the owner crashes": [
         (0.0, "off", 0), (0.0, "off", 1), (0.0, "off", 2), (0.2, "cancel", 1),
         (0.4, "cancel", 2), (1.0, "crash", 0), (3.0, "cancel", 1), (16.0, "off", 0),
         (16.0, "off", 1), (16.0, "off", 2),
     ],
-    "at their limit, cancelled where machines hang, the holder ends": [
+    "at their limit, cancelled where machines hang, the owner crashes": [
         (0.0, "cancel and hang", 1), (0.2, "cancel and hang", 2), (1.0, "crash", 0),
         (7.0, "go on", 0), (12.0, "cancel and hang", 0), (13.0, "crash", 1), (30.0, "go on", 0),
     ],
@@ -255,7 +273,7 @@
         (0.0, "lost", 0), (1.0, "cancel", 1), (2.0, "crash", 2), (8.0, "cancel", 0),
         (9.0, "refuse", 0), (14.0, "refuse", 0), (24.0, "lost", 0),
     ],
-    "cancelled while work changes hands": [
+    "cancelled during a failover": [
         (0.0, "reading", 0), (0.0, "refuse", 0), (1.0, "cancel", 1), (2.6, "cancel", 2),
         (3.2, "cancel", 0), (4.5, "reading", 0), (4.6, "cancel", 1), (5.0, "refuse", 0),
         (5.2, "cancel", 0), (5.8, "cancel", 1), (6.6, "cancel", 2),
@@ -264,11 +282,11 @@
         (0.0, "refuse", 0), (0.0, "cancel", 0), (0.0, "cancel", 1), (0.1, "cancel", 2),
         (1.0, "outage", 0), (14.0, "refuse", 0), (47.0, "outage", 0),
     ],
-    "up at once while writes come late, the owner ends": [
+    "machines added while writes come late, the owner crashes": [
         (0.0, "late writes", 0), (0.0, "boot", 0), (0.1, "boot", 1), (0.6, "crash", 0),
         (1.0, "boot", 0), (8.0, "boot", 2), (8.5, "crash", 2), (16.0, "late writes", 0),
     ],
-    "up at once while writes are slow, the owner ends": [
+    "machines added while writes are slow, the owner crashes": [
         (0.0, "slow", 0), (0.0, "boot", 0), (0.4, "boot", 1), (0.8, "crash", 0),
         (9.0, "boot", 0), (9.6, "refuse", 0), (14.0, "refuse", 0), (16.0, "slow", 0),
     ],
@@ -282,11 +300,11 @@
         (78.0, "crash", 2), (86.0, "crash", 0), (94.0, "crash", 1),
     ],
     "all are away for longer than a lease": [(0.0, "cancel", 1), (0.5, "all away", 0)],
-    "the end of a last task meets users": [
+    "a last task ends while users query": [
         (0.0, "cancel at end", 0), (0.0, "looks", 0), (40.0, "cancel at end", 0),
         (40.0, "looks", 0),
     ],
-    "the end of a last task meets users, slowly answered": [
+    "a last task ends while users query, slowly answered": [
         (0.0, "cancel at end", 0), (0.0, "looks", 0), (0.0, "slow", 0), (0.0, "apart", 1),
         (30.0, "cancel at end", 0), (30.0, "looks", 0), (30.0, "slow", 0), (30.0, "apart", 1),
     ],
@@ -314,342 +332,357 @@
         (0.0, "held", 0), (0.0, "cancel and hang", 0), (0.2, "cancel and hang", 1),
         (8.0, "go on", 0), (10.0, "cancel and hang", 2), (24.0, "go on", 0), (24.0, "held", 0),
     ],
-    "odd requests while holders change": [
+    "invalid requests while owners change": [
         (0.0, "odd", 0), (1.0, "refuse", 0), (5.0, "refuse", 0), (6.0, "crash", 1),
         (9.0, "slow", 0), (16.0, "slow", 0), (17.0, "odd", 0),
     ],
-    "more work than room, over slow links": [
+    "more work than capacity, over slow links": [
         (0.0, "slow", 0), (0.0, "held", 0), (4.0, "cancel", 1), (30.0, "slow", 0),
         (30.0, "held", 0),
     ],
 }  # fmt: skip
-# What is other than in the rest: of the world, and of each job by its number.
-WORLDS: dict[str, dict[str, Any]] = {
-    meeting: {"limit": 8.0} for meeting in MEETINGS if meeting.startswith("at their limit")
-} | {meeting: {"zones": ("a", "b", "a")} for meeting in MEETINGS if "a zone" in meeting}
+# Parameters of the cluster that differ from the defaults, by scenario.
+SCENARIO_CLUSTERS: dict[str, dict[str, Any]] = {
+    scenario: {"limit": 8.0}
+    for scenario in FAILURE_SCENARIOS
+    if scenario.startswith("at their limit")
+} | {name: {"zones": ("a", "b", "a")} for name in FAILURE_SCENARIOS if "a zone" in name}
 
 
-def other_fields(deck: Deck, number: int) -> dict[str, Any]:
-    """By turns jobs are bound to a zone, spread, or together; all are of a limited team."""
-    if deck.limit:
+def job_fields(cluster: SimulatedCluster, number: int) -> dict[str, Any]:
+    """Return the fields of the job with this number: placement constraints, team and rank."""
+    if cluster.limit:
         return {"crew": "blue"}
-    if len(set(deck.zones)) > 1:
+    if len(set(cluster.zones)) > 1:
         return ({"roost": "b"}, {"spread": True}, {"same_place": True}, {})[number % 4]
-    return {"rank": ("normal", "urgent", "idle")[number % 3]} if deck.crowded else {}
+    return {"rank": ("normal", "urgent", "idle")[number % 3]} if cluster.mixed_ranks else {}
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("meeting", MEETINGS)
-def test_meeting(monkeypatch: pytest.MonkeyPatch, meeting: str, seed: int) -> None:
-    deck = Deck(seed, **WORLDS.get(meeting, {}))
-    deck.crowded = meeting.startswith("more work than room")
-    play(monkeypatch, deck, live_meeting(deck, MEETINGS[meeting]))
-
-
-async def live_meeting(deck: Deck, script: Script) -> None:
-    """Jobs of two and three tasks whose ends lie far apart, a third of them cancelled meanwhile
-    through the other controllers; every controller is asked about all of them all the time."""
-    names = [of_shard(shard, n) for n in range(6 if deck.crowded else 3) for shard in range(3)]
-    await deck.run(4.0)
+@pytest.mark.parametrize("scenario", FAILURE_SCENARIOS)
+def test_failure_scenario(monkeypatch: pytest.MonkeyPatch, scenario: str, seed: int) -> None:
+    cluster = SimulatedCluster(seed, **SCENARIO_CLUSTERS.get(scenario, {}))
+    cluster.mixed_ranks = scenario.startswith("more work than capacity")
+    run_simulation(monkeypatch, cluster, run_scenario(cluster, FAILURE_SCENARIOS[scenario]))
+
+
+async def run_scenario(cluster: SimulatedCluster, script: Script) -> None:
+    """Run jobs of two and three tasks whose ends lie far apart; a third is cancelled through
+    other controllers meanwhile, and every controller is queried about all jobs all the time."""
+    names = [
+        job_of_shard(shard, n) for n in range(6 if cluster.mixed_ranks else 3) for shard in range(3)
+    ]
+    await cluster.run(4.0)
     for i, name in enumerate(names):
-        deck.lasts[f"{name}/0"] = 4.0 + i
-        other = other_fields(deck, i)
-        await deck.beside(lambda n=name, c=2 + i % 2, o=other: deck.submit(n, c, 45.0, **o))
-    await deck.run(5.0)
-    script, began = sorted(script), deck.clock.at
+        cluster.run_times[f"{name}/0"] = 4.0 + i
+        other = job_fields(cluster, i)
+        await cluster.spawn(lambda n=name, c=2 + i % 2, o=other: cluster.submit(n, c, 45.0, **o))
+    await cluster.run(5.0)
+    script, began = sorted(script), cluster.clock.at
     for step in range(int(script[-1][0]) + 2):
         for at, kind, number in [s for s in script if step <= s[0] < step + 1]:
-            await deck.run(max(0.0, began + at - deck.clock.at))
-            start_trouble(deck, kind, number)
+            await cluster.run(max(0.0, began + at - cluster.clock.at))
+            inject_failure(cluster, kind, number)
         if step % 3 == 1 and step < 9:
             name = names[step // 3 * 3]
-            await deck.beside(deck.cancel, name, (1, 2, 0))
-        await deck.poll(names)
-        await deck.run(max(0.0, began + step + 1 - deck.clock.at))
-    await told_all(deck, names)
+            await cluster.spawn(cluster.cancel, name, (1, 2, 0))
+        await cluster.poll(names)
+        await cluster.run(max(0.0, began + step + 1 - cluster.clock.at))
+    await wait_for_terminal_states(cluster, names)
 
 
 @pytest.mark.parametrize("off_s", [2.0, 16.0])
-def test_long_tasks_outlive_their_holder_when_they_cannot_be_reached(
+def test_long_tasks_outlive_their_owner_while_unreachable(
     monkeypatch: pytest.MonkeyPatch, off_s: float
 ) -> None:
-    """Back within their lease they go on under the next holder, and nothing is run again; later,
-    their lease is over, and all of it is."""
-    deck = Deck(5)
+    """Reachable again within their lease, tasks continue under the next owner and none is rerun;
+    later, the lease has expired and all are."""
+    cluster = SimulatedCluster(5)
 
     async def drive() -> None:
-        name = await spread_job(deck, 0, 60.0)
+        name = await run_spread_job(cluster, 0, 60.0)
         for number in range(3):
-            start_trouble(deck, "off", number)
-        await deck.run(0.3)
-        deck.crash(0, 30.0)
-        await deck.run(off_s)
-        await told_all(deck, [name])
-        again = [task for task, times in deck.begun.items() if times > 1]
+            inject_failure(cluster, "off", number)
+        await cluster.run(0.3)
+        cluster.crash(0, 30.0)
+        await cluster.run(off_s)
+        await wait_for_terminal_states(cluster, [name])
+        again = [task for task, times in cluster.start_counts.items() if times > 1]
         assert bool(again) == (off_s > 10.0)
 
-    play(monkeypatch, deck, drive())
+    run_simulation(monkeypatch, cluster, drive())
 
 
 @pytest.mark.parametrize("sizes", [(2.0, 2.0, 2.0), (4.0, 2.0, 3.0)])
-def test_the_rests_of_a_limit_come_together(
+def test_the_remainders_of_a_limit_are_combined(
     monkeypatch: pytest.MonkeyPatch, sizes: tuple[float, ...]
 ) -> None:
-    """Each shard's share of a limit held a rest in which none of its waiting tasks fitted; none
-    passed its own on, for it lacked quota itself: all waited while the team was under its limit."""
+    """Each shard's share of a limit had a remainder in which none of its waiting tasks fit; none
+    transferred its own, lacking quota itself: all waited while the team was under its limit."""
     limit = sum(sizes) + 2.0
-    deck = Deck(13, limit=limit)
+    cluster = SimulatedCluster(13, limit=limit)
 
     async def drive() -> tuple[float, float]:
-        await deck.run(4.0)
-        names = [of_shard(shard, n) for n in range(3) for shard in range(3)]
+        await cluster.run(4.0)
+        names = [job_of_shard(shard, n) for n in range(3) for shard in range(3)]
         for i, name in enumerate(names):
             other = {"crew": "blue", "cores": sizes[i % 3]}
-            await deck.beside(lambda n=name, o=other: deck.submit(n, 1, 500.0, **o))
-        await deck.run(60.0)
-        return deck.used, min(sizes[i % 3] for i, n in enumerate(names) if not deck.live(n))
+            await cluster.spawn(lambda n=name, o=other: cluster.submit(n, 1, 500.0, **o))
+        await cluster.run(60.0)
+        return cluster.used, min(
+            sizes[i % 3] for i, n in enumerate(names) if not cluster.live_tasks_of(n)
+        )
 
-    used, waiting = play(monkeypatch, deck, drive())
+    used, waiting = run_simulation(monkeypatch, cluster, drive())
     assert used + waiting > limit
 
 
-def test_a_large_task_gathers_its_quota_beside_small_ones(
+def test_a_large_task_accumulates_quota_beside_small_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Rests were passed on at once at first: as its shard's work ended piece by piece, each piece
-    went to where small tasks waited, and the large one would have waited as long as they came."""
-    deck = Deck(14, limit=12.0, workers=18)
+    """Remainders were transferred at once at first: as its shard's tasks ended one by one, each
+    remainder went to where small tasks waited, and the large one starved as long as they came."""
+    cluster = SimulatedCluster(14, limit=12.0, workers=18)
 
     one: dict[str, Any] = {"crew": "blue", "cores": 1.0}
 
     async def drive() -> float:
-        await deck.run(4.0)
-        await deck.beside(lambda: deck.submit(of_shard(2), 4, 500.0, **one))
-        for i in range(4):  # of the shard of the large one: their ends lie apart
-            name, lasts_s = of_shard(0, i + 1), 12.0 * (i + 1)
-            await deck.beside(lambda n=name, s=lasts_s: deck.submit(n, 1, s, **one))
-        await deck.run(2.0)
-        large, small = of_shard(0), of_shard(1)
-        await deck.beside(lambda: deck.submit(small, 200, 8.0, **one))
-        await deck.run(3.0)
-        await deck.beside(lambda: deck.submit(large, 1, 30.0, crew="blue", cores=4.0))
-        began = deck.clock.at
-        while not deck.live(large) and deck.clock.at < began + 300.0:
-            await deck.run(1.0)
-        return deck.clock.at - began
-
-    assert play(monkeypatch, deck, drive()) < 90.0
-
-
-def test_a_mute_machine_is_not_called_over_in_the_session_that_a_call_has_just_shown(
+        await cluster.run(4.0)
+        await cluster.spawn(lambda: cluster.submit(job_of_shard(2), 4, 500.0, **one))
+        for i in range(4):  # of the large job's shard; they end at different times
+            name, run_s = job_of_shard(0, i + 1), 12.0 * (i + 1)
+            await cluster.spawn(lambda n=name, s=run_s: cluster.submit(n, 1, s, **one))
+        await cluster.run(2.0)
+        large, small = job_of_shard(0), job_of_shard(1)
+        await cluster.spawn(lambda: cluster.submit(small, 200, 8.0, **one))
+        await cluster.run(3.0)
+        await cluster.spawn(lambda: cluster.submit(large, 1, 30.0, crew="blue", cores=4.0))
+        began = cluster.clock.at
+        while not cluster.live_tasks_of(large) and cluster.clock.at < began + 300.0:
+            await cluster.run(1.0)
+        return cluster.clock.at - began
+
+    assert run_simulation(monkeypatch, cluster, drive()) < 90.0
+
+
+def test_a_session_shown_by_a_command_lasts_a_lease_while_heartbeats_are_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its reports reach nobody any more, and were slow before. Just as its lease ends, a stop by a
-    call is answered from its next session: that one's lease was counted from the last report."""
-    deck = Deck(12)
+    """Its heartbeats are lost now, and were slow before. Just as its lease expires, a direct stop
+    is answered from its next session, whose lease was counted from the last heartbeat."""
+    cluster = SimulatedCluster(12)
 
     async def drive() -> int:
-        deck.lag_s = 1.0
-        await deck.run(4.0)
-        first, second = of_shard(0), of_shard(1)
-        await deck.beside(deck.submit, first, 12, 500.0)
-        await deck.run(6.0)
-        await deck.beside(deck.submit, second, 12, 500.0)
-        await deck.run(2.0)
-        mute = [w for i, w in enumerate(deck.workers.values()) if i % 2]
-        for worker in mute:
-            worker.mute = True
-        while not any(worker.session > 1 for worker in mute):
-            await deck.run(0.1)
-        await deck.beside(deck.cancel, first, (0,))
-        await deck.run(1.0)
-        for shard in range(3):  # room for what is freed
-            deck.boot(shard)
-        await deck.run(30.0)
-        return len(deck.live(second))
-
-    assert play(monkeypatch, deck, drive()) == 12
-
-
-KINDS = (
+        cluster.report_latency_s = 1.0
+        await cluster.run(4.0)
+        first, second = job_of_shard(0), job_of_shard(1)
+        await cluster.spawn(cluster.submit, first, 12, 500.0)
+        await cluster.run(6.0)
+        await cluster.spawn(cluster.submit, second, 12, 500.0)
+        await cluster.run(2.0)
+        silent = [w for i, w in enumerate(cluster.workers.values()) if i % 2]
+        for worker in silent:
+            worker.heartbeats_lost = True
+        while not any(worker.session > 1 for worker in silent):
+            await cluster.run(0.1)
+        await cluster.spawn(cluster.cancel, first, (0,))
+        await cluster.run(1.0)
+        for shard in range(3):  # capacity for the freed tasks
+            cluster.boot_machine(shard)
+        await cluster.run(30.0)
+        return len(cluster.live_tasks_of(second))
+
+    assert run_simulation(monkeypatch, cluster, drive()) == 12
+
+
+FAILURE_KINDS = (
     "refuse", "outage", "apart", "cut", "crash", "all crash", "deaf", "off", "late writes",
     "late reports", "held", "lost", "slow", "reading", "next reports", "mute", "hang", "zone",
     "reborn", "boot", "all away", "looks", "odd", "cancel at end", "cancel", "cancel and hang",
 )  # fmt: skip
-PLACES: list[dict[str, Any]] = [{}, {"limit": 8.0}, {"zones": ("a", "b", "a")}]
+CLUSTER_VARIANTS: list[dict[str, Any]] = [{}, {"limit": 8.0}, {"zones": ("a", "b", "a")}]
 STEPS = st.tuples(
-    st.sampled_from(KINDS), st.integers(0, 2), st.sampled_from([0.2, 1.0, 3.0, 8.0, 20.0])
+    st.sampled_from(FAILURE_KINDS), st.integers(0, 2), st.sampled_from([0.2, 1.0, 3.0, 8.0, 20.0])
 )
 
 
-async def live_through(deck: Deck, steps: list[tuple[str, int, float]]) -> None:
-    """Jobs of two or three tasks, short and long, some cancelled, under troubles that meet; then
-    every one is known, and ends."""
-    names = [of_shard(shard, n) for n in range(3) for shard in range(3)]
-    await deck.run(4.0)
+async def run_random_failures(
+    cluster: SimulatedCluster, steps: list[tuple[str, int, float]]
+) -> None:
+    """Run short and long jobs of two or three tasks under concurrent failures, cancelling some;
+    then every job is known, and ends."""
+    names = [job_of_shard(shard, n) for n in range(3) for shard in range(3)]
+    await cluster.run(4.0)
     for i, name in enumerate(names):
-        tasks, lasts_s, other = 2 + i % 2, (5.0, 25.0, 60.0)[i // 3], other_fields(deck, i)
-        await deck.beside(lambda n=name, c=tasks, s=lasts_s, o=other: deck.submit(n, c, s, **o))
-    await deck.run(3.0)
+        tasks, run_s, other = 2 + i % 2, (5.0, 25.0, 60.0)[i // 3], job_fields(cluster, i)
+        await cluster.spawn(lambda n=name, c=tasks, s=run_s, o=other: cluster.submit(n, c, s, **o))
+    await cluster.run(3.0)
     for i, (kind, number, seconds) in enumerate(steps):
-        start_trouble(deck, kind, number)
+        inject_failure(cluster, kind, number)
         if i % 2:
             job = names[(i * 4 + number) % len(names)]
-            await deck.beside(deck.cancel, job, (number, 0, 1, 2))
+            await cluster.spawn(cluster.cancel, job, (number, 0, 1, 2))
         for _ in range(max(1, int(seconds / 2))):
-            await deck.poll(names)
-            await deck.run(min(seconds, 2.0))
-    await told_all(deck, names, 240.0)
+            await cluster.poll(names)
+            await cluster.run(min(seconds, 2.0))
+    await wait_for_terminal_states(cluster, names, 240.0)
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(
     seed=st.integers(0, 1 << 16),
-    place=st.sampled_from(PLACES),
+    variant=st.sampled_from(CLUSTER_VARIANTS),
     steps=st.lists(STEPS, min_size=3, max_size=8),
 )
-def check_meetings(
+def check_random_failures(
     monkeypatch: pytest.MonkeyPatch,
     seed: int,
-    place: dict[str, Any],
+    variant: dict[str, Any],
     steps: list[tuple[str, int, float]],
 ) -> None:
-    deck = Deck(seed, **place)
-    play(monkeypatch, deck, live_through(deck, steps))
+    cluster = SimulatedCluster(seed, **variant)
+    run_simulation(monkeypatch, cluster, run_random_failures(cluster, steps))
 
 
-def test_no_rule_breaks_where_troubles_meet(monkeypatch: pytest.MonkeyPatch) -> None:
-    check_meetings(monkeypatch)
+def test_no_invariant_is_violated_under_random_failures(monkeypatch: pytest.MonkeyPatch) -> None:
+    check_random_failures(monkeypatch)
 
 
-# --- each link of the chain
+# --- each step of the protocol by itself
 
 
-def test_a_note_is_not_dropped_by_a_former_holder(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A former holder that hung while its shard was taken over acted on a note first and dropped
-    it: the cancellation was confirmed while the present holder knew nothing of it."""
-    deck = Deck(2)
+def test_a_mailbox_entry_is_not_deleted_by_a_former_owner(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A former owner that hung during the failover handled a mailbox entry first and deleted it:
+    the cancellation was confirmed while the present owner did not know of it."""
+    cluster = SimulatedCluster(2)
 
     async def drive() -> bool:
-        name = await spread_job(deck, 0, 100.0)
-        former = deck.nodes[0]
+        name = await run_spread_job(cluster, 0, 100.0)
+        former = cluster.controllers[0]
         writer = former.writers[0]
-        deck.clients[0].cut = True
-        await deck.run(4.0)
-        assert 0 in deck.nodes[1].writers
-        deck.clients[0].cut = False
+        cluster.clients[0].cut = True
+        await cluster.run(4.0)
+        assert 0 in cluster.controllers[1].writers
+        cluster.clients[0].cut = False
         key = records.mailbox_key(0, name)
-        assert not deck.state.change([put_change(key, 1)], {})
+        assert not cluster.state.change([put_change(key, 1)], {})
         former.mailbox.entries.clear()
-        await former.mailbox.handle_entry(writer, name, key, deck.state.epoch)
-        return key in deck.state.keys
+        await former.mailbox.handle_entry(writer, name, key, cluster.state.revision)
+        return key in cluster.state.keys
 
-    assert play(monkeypatch, deck, drive())
+    assert run_simulation(monkeypatch, cluster, drive())
 
 
-def test_no_word_is_given_while_a_cancellation_may_be_recorded(
+def test_the_watermark_waits_while_a_cancellation_may_be_recorded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The holder's own cancellation got no answer, and was carried out: another controller read
-    and told it while the holder's lists went on without it. It is settled before the next word.
-    Others' cancellations may be under way all the time: each holds the word back no further."""
-    deck = Deck(3)
+    """The owner's own cancellation got no answer, and was executed: another controller read and
+    reported it while the owner's desired state lacked it. Its outcome is known before the watermark
+    advances. Others' cancellations may be pending all the time: none holds the watermark further
+    back."""
+    cluster = SimulatedCluster(3)
 
     async def drive() -> None:
-        name = await spread_job(deck, 0, 100.0)
-        node, client = deck.nodes[0], deck.clients[0]
-        jobs = node.writers[0].shard
-        deck.asked.add(name)
-        client.late = 1.0
+        name = await run_spread_job(cluster, 0, 100.0)
+        controller, client = cluster.controllers[0], cluster.clients[0]
+        jobs = controller.writers[0].shard
+        cluster.cancellation_requested.add(name)
+        client.late_share = 1.0
         path = f"{api.JOBS}/{name}/{api.CANCEL}"
-        sent = deck.clock.at
-        assert await deck.ask(0, "POST", path) == 503
-        words = deck.nodes[1].machines[1].watermarks
+        sent = cluster.clock.at
+        assert await cluster.request(0, "POST", path) == 503
+        watermarks = cluster.controllers[1].machines[1].watermarks
         for _ in range(16):
-            # Carried out only after all this: within it, its fate would be known.
-            deck.late = [(sent + 100.0, when, changes) for _, when, changes in deck.late]
-            await deck.run(0.1)
-        # Lists go on, and say nothing of what may be cancelled.
-        assert sent - 1.5 < words[0] <= sent
-        client.late = 0.0
-        await deck.run(3.0)
-        assert words[0] > sent + 1.0
+            # Executed only after this test: earlier, its outcome would be known.
+            cluster.delayed_transactions = [
+                (sent + 100.0, when, changes) for _, when, changes in cluster.delayed_transactions
+            ]
+            await cluster.run(0.1)
+        # Desired state is still sent; its watermark lies before the cancellation.
+        assert sent - 1.5 < watermarks[0] <= sent
+        client.late_share = 0.0
+        await cluster.run(3.0)
+        assert watermarks[0] > sent + 1.0
         assert jobs.terminal_states[name] == api.CANCELLED
-        assert not deck.live(name)
-        other = new_job(node.context, spec(of_shard(0, 1)), 0, 0)
+        assert not cluster.live_tasks_of(name)
+        other = new_job(controller.context, spec(job_of_shard(0, 1)), 0, 0)
         other.outcome_unknown = True
         jobs.jobs[other.index] = other
-        epoch = node.membership.owners[1].epoch
+        epoch = controller.membership.owners[1].epoch
         for age_s in (0.0, 3.0):
-            jobs.pending_cancellations = {other.index: deck.clock.at - age_s}
-            echo_s = node.state_sync.desired_state_sync.watermark_ms(jobs, 1, epoch) / 1000
-            assert deck.clock.at - age_s - 1.7 < echo_s <= deck.clock.at - age_s
+            jobs.pending_cancellations = {other.index: cluster.clock.at - age_s}
+            watermark_s = (
+                controller.state_sync.desired_state_sync.watermark_ms(jobs, 1, epoch) / 1000
+            )
+            assert cluster.clock.at - age_s - 1.7 < watermark_s <= cluster.clock.at - age_s
         del jobs.jobs[other.index]
 
-    play(monkeypatch, deck, drive())
+    run_simulation(monkeypatch, cluster, drive())
 
 
-def test_a_holder_tells_no_cancellation_that_its_lists_lack(
+def test_an_owner_reports_no_cancellation_that_its_desired_state_lacks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Unsure of a record it answered from the state service, where another controller had written a
-    cancellation: its user was told, and its lists went on without."""
-    deck = Deck(4)
+    """With a write's outcome unknown it answered from the state service, where another controller
+    had written a cancellation: that was reported, and its desired state lacked it."""
+    cluster = SimulatedCluster(4)
 
     async def drive() -> None:
-        name = await spread_job(deck, 0, 100.0)
-        (job,) = deck.nodes[0].writers[0].shard.jobs.values()
+        name = await run_spread_job(cluster, 0, 100.0)
+        (job,) = cluster.controllers[0].writers[0].shard.jobs.values()
         main = records.job_key(0, name)
-        record = msgspec.json.decode(deck.state.keys[main][0], type=records.JobRecord)
+        record = msgspec.json.decode(cluster.state.keys[main][0], type=records.JobRecord)
         record.cancelled = True
         job.outcome_unknown = True
-        assert not deck.state.change([put_change(main, record)], {})
-        deck.asked.add(name)
-        assert await deck.ask(0, "GET", f"{api.JOBS}/{name}") == 503
-        await deck.nodes[0].writers[0].reload(name)
-        assert await deck.ask(0, "GET", f"{api.JOBS}/{name}") == 200
-        assert name in deck.told
+        assert not cluster.state.change([put_change(main, record)], {})
+        cluster.cancellation_requested.add(name)
+        assert await cluster.request(0, "GET", f"{api.JOBS}/{name}") == 503
+        await cluster.controllers[0].writers[0].reload(name)
+        assert await cluster.request(0, "GET", f"{api.JOBS}/{name}") == 200
+        assert name in cluster.reported_terminal
 
-    play(monkeypatch, deck, drive())
+    run_simulation(monkeypatch, cluster, drive())
 
 
-def test_no_start_is_sent_on_an_old_word(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that a list named came to its owner long after: its start went out on a word
-    from before a cancellation, and its lease had just been renewed with nothing on it."""
-    deck = Deck(6)
+def test_no_start_is_sent_on_an_old_watermark(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A machine named in the desired state reported to its owner long after: its start was sent on
+    a watermark from before a cancellation, and its lease had just been renewed without tasks."""
+    cluster = SimulatedCluster(6)
 
     async def drive() -> list[list[str]]:
-        await deck.run(3.0)
-        node = deck.nodes[0]
-        machines = node.machines[0]
-        index = node.context.machine_names.intern(next(iter(deck.workers)))
+        await cluster.run(3.0)
+        controller = cluster.controllers[0]
+        machines = controller.machines[0]
+        index = controller.context.machine_names.intern(next(iter(cluster.workers)))
         machine = machines.machines[index]
-        key = task_key(node.context.job_names.intern(of_shard(1)), 0)
-        machine.pending_launches[key] = PendingLaunch(1, deck.clock.at)
+        key = task_key(controller.context.job_names.intern(job_of_shard(1)), 0)
+        machine.pending_launches[key] = PendingLaunch(1, cluster.clock.at)
         machines.desired_tasks.setdefault(1, {})[index] = {
             key: DesiredTask(1, machine.session, False, 0.0)
         }
         sent = []
-        for age_s in (1.0, node.context.watermark_lifetime_s + 1.0):
-            machines.watermarks[1] = deck.clock.at - age_s
+        for age_s in (1.0, controller.context.watermark_lifetime_s + 1.0):
+            machines.watermarks[1] = cluster.clock.at - age_s
             machine.unanswered_commands = 0
             direct = [c.op for c in machines.commands_for(machine, True).commands]
             machine.unanswered_commands = MAX_UNANSWERED_COMMANDS
             sent += [direct, [c.op for c in machines.piggybacked_starts(machine)]]
         return sent
 
-    assert play(monkeypatch, deck, drive()) == [[api.START], [api.START], [], []]
+    assert run_simulation(monkeypatch, cluster, drive()) == [[api.START], [api.START], [], []]
 
 
-def test_a_takeover_is_not_carried_out_after_another_hold(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Late, it showed a time until all former holders are quiet that was reckoned before the hold
-    in between: a lease that the latter had renewed would have been called over."""
-    deck = Deck(7)
+def test_a_takeover_is_not_executed_after_another_ownership(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Executed late, it carried a time at which all former owners' leases end, computed before the
+    ownership in between: a worker's lease renewed by that one would have counted as expired."""
+    cluster = SimulatedCluster(7)
 
     async def drive() -> list[str]:
-        await deck.run(3.0)
+        await cluster.run(3.0)
         sent: list[tuple[dict[str, int], list[api.Change]]] = []
-        plain = deck.clients[2].transact
+        plain = cluster.clients[2].transact
 
         async def keep(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
             if any(c.put == records.shard_key(0) for c in changes):
@@ -657,125 +690,134 @@
                 raise OutcomeUnknownError("no answer")
             return await plain(conditions, changes, urgent)
 
-        deck.clients[2].transact = keep  # type: ignore[method-assign]
-        # Both others are away for long enough that the third tries to take the shard.
-        deck.clients[0].cut = deck.clients[1].cut = True
-        await deck.run(4.0)
-        deck.clients[1].cut = False
-        deck.clients[2].cut = True
-        await deck.run(4.0)
-        assert 0 in deck.nodes[1].writers  # the hold in between, then given up
-        deck.state.change([api.Change(delete=records.shard_key(0))], {})
+        cluster.clients[2].transact = keep  # type: ignore[method-assign]
+        # Both others are disconnected for long enough that the third tries to take over.
+        cluster.clients[0].cut = cluster.clients[1].cut = True
+        await cluster.run(4.0)
+        cluster.clients[1].cut = False
+        cluster.clients[2].cut = True
+        await cluster.run(4.0)
+        assert 0 in cluster.controllers[1].writers  # the ownership in between, then lost
+        cluster.state.change([api.Change(delete=records.shard_key(0))], {})
         conditions, changes = sent[0]
-        return deck.state.change(changes, conditions)
+        return cluster.state.change(changes, conditions)
 
-    assert play(monkeypatch, deck, drive())
+    assert run_simulation(monkeypatch, cluster, drive())
 
 
 def test_a_controller_whose_key_is_gone_announces_itself_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Announced with no answer, or by a former life's late transaction under a lease that ended
-    after: it was never called living again, and its shard was not handed back to it."""
-    deck = Deck(8)
+    """Announced without an answer, or by a former process's late transaction under a lease that
+    then expired: it never counted as live again, and its shard was not returned to it."""
+    cluster = SimulatedCluster(8)
 
     async def drive() -> list[bool]:
         found = []
-        deck.clients[0].unanswered = True
-        await deck.run(1.0)
-        deck.clients[0].unanswered = False
-        await deck.run(2.0)
-        found.append(records.node_key(0) in deck.state.keys)
-        deck.state.change([api.Change(delete=records.node_key(0))], {})
-        await deck.run(1.0)
-        return [*found, records.node_key(0) in deck.state.keys]
+        cluster.clients[0].unanswered = True
+        await cluster.run(1.0)
+        cluster.clients[0].unanswered = False
+        await cluster.run(2.0)
+        found.append(records.node_key(0) in cluster.state.keys)
+        cluster.state.change([api.Change(delete=records.node_key(0))], {})
+        await cluster.run(1.0)
+        return [*found, records.node_key(0) in cluster.state.keys]
 
-    assert play(monkeypatch, deck, drive()) == [True, True]
+    assert run_simulation(monkeypatch, cluster, drive()) == [True, True]
 
 
-def test_only_a_sure_holder_gives_its_word(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A step that was sure of its lease at its beginning waited for the state service, or stood
-    still, and said its word when another might hold the shard."""
-    deck = Deck(9)
+def test_only_an_owner_with_a_valid_lease_sends_its_watermark(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A cycle that began with a valid lease waited for the state service, or paused, and sent its
+    watermark when another controller might own the shard."""
+    cluster = SimulatedCluster(9)
 
     async def drive() -> tuple[bool, bool]:
-        await deck.run(3.0)
-        node = deck.nodes[0]
+        await cluster.run(3.0)
+        controller = cluster.controllers[0]
         found = []
         for waited_s in (1.0, 2.0):
-            deck.clock.at += waited_s
-            before = dict(node.machines[0].watermarks)
-            for link in deck.mail:
-                deck.mail[link].clear()
-            await node.state_sync.send_desired_state(deck.clock.at)
-            said = any(e.HasField("desired_state") for sent in deck.mail.values() for e in sent)
-            assert said == (node.machines[0].watermarks != before)
-            found.append(said)
+            cluster.clock.at += waited_s
+            before = dict(controller.machines[0].watermarks)
+            for link in cluster.messages:
+                cluster.messages[link].clear()
+            await controller.state_sync.send_desired_state(cluster.clock.at)
+            sent_any = any(
+                e.HasField("desired_state") for sent in cluster.messages.values() for e in sent
+            )
+            assert sent_any == (controller.machines[0].watermarks != before)
+            found.append(sent_any)
         return found[0], found[1]
 
-    assert play(monkeypatch, deck, drive()) == (True, False)
+    assert run_simulation(monkeypatch, cluster, drive()) == (True, False)
 
 
-def test_a_word_echoes_only_the_present_hold(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A time by the clock of a former holder of the machines, echoed to the next, could be later
-    than its own: its word would never have grown old."""
-    deck = Deck(10)
+def test_a_watermark_echoes_only_the_present_ownership_epoch(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A time by the clock of the machine shard's former owner, echoed to the next, could be later
+    than its own: the watermark would never have aged."""
+    cluster = SimulatedCluster(10)
 
     async def drive() -> list[bool]:
-        await deck.run(3.0)
-        node = deck.nodes[0]
-        jobs, epoch = node.writers[0].shard, node.membership.owners[1].epoch
+        await cluster.run(3.0)
+        controller = cluster.controllers[0]
+        jobs, epoch = controller.writers[0].shard, controller.membership.owners[1].epoch
         return [
-            node.state_sync.desired_state_sync.watermark_ms(jobs, 1, g) > 0
+            controller.state_sync.desired_state_sync.watermark_ms(jobs, 1, g) > 0
             for g in (epoch, epoch + 1)
         ]
 
-    assert play(monkeypatch, deck, drive()) == [True, False]
+    assert run_simulation(monkeypatch, cluster, drive()) == [True, False]
 
 
 WRITES_A_SECOND = 30.0  # of all controllers together
 
 
 def test_one_task_jobs_four_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A quarter of them cancelled, the usual work beside them, few changes a second: submissions
-    are answered in time, nothing starves, and nothing is kept of what has ended."""
+    """A quarter of them cancelled, with usual jobs running and few changes a second: submissions
+    are answered in time, nothing starves, and nothing is kept of ended jobs."""
     monkeypatch.setattr(job_shard, "MAX_TERMINAL_JOBS", 20)
-    deck = Deck(11)
-    for client in deck.clients:
-        client.budget = TokenBucket(WRITES_A_SECOND / 3, 1.0, deck.clock.now)
+    cluster = SimulatedCluster(11)
+    for client in cluster.clients:
+        client.budget = TokenBucket(WRITES_A_SECOND / 3, 1.0, cluster.clock.now)
     small = [f"j-{900000 + i:06d}" for i in range(160)]
-    usual = [of_shard(shard, n) for n in range(2) for shard in range(3)]
+    usual = [job_of_shard(shard, n) for n in range(2) for shard in range(3)]
     waits: dict[str, float] = {}
 
-    async def submit(name: str, tasks: int, lasts_s: float) -> None:
-        began = deck.clock.at
-        await deck.submit(name, tasks, lasts_s)
-        waits[name] = deck.clock.at - began
+    async def submit(name: str, tasks: int, run_s: float) -> None:
+        began = cluster.clock.at
+        await cluster.submit(name, tasks, run_s)
+        waits[name] = cluster.clock.at - began
 
     async def drive() -> None:
-        await deck.run(4.0)
+        await cluster.run(4.0)
         for name in usual:
-            await deck.beside(submit, name, 2, 30.0)
-        changes, limit = deck.state.epoch, 0.0
+            await cluster.spawn(submit, name, 2, 30.0)
+        changes, limit = cluster.state.revision, 0.0
         for i, name in enumerate(small):
-            await deck.beside(submit, name, 1, 1.0)
+            await cluster.spawn(submit, name, 1, 1.0)
             if i % 4 == 3:
-                await deck.beside(deck.cancel, small[i - 3], (i % 3,))
+                await cluster.spawn(cluster.cancel, small[i - 3], (i % 3,))
             if i % 20 == 19:  # five seconds
-                await deck.poll([*usual, *small[i - 19 : i + 1]])
-                limit, changes = max(limit, deck.state.epoch - changes), deck.state.epoch
-            await deck.run(0.25)
+                await cluster.poll([*usual, *small[i - 19 : i + 1]])
+                limit, changes = (
+                    max(limit, cluster.state.revision - changes),
+                    cluster.state.revision,
+                )
+            await cluster.run(0.25)
         # Transactions are fewer than changes: a job's end deletes one key and sets another.
         assert limit <= 5 * WRITES_A_SECOND * 4 / 3
-        await told_all(deck, [*usual, *small], 60.0)
-        await deck.run(4.0)
+        await wait_for_terminal_states(cluster, [*usual, *small], 60.0)
+        await cluster.run(4.0)
 
-    play(monkeypatch, deck, drive())
+    run_simulation(monkeypatch, cluster, drive())
     assert max(waits.values()) < 5.0
-    done = sum(deck.told[name][0] == api.DONE for name in small)
+    done = sum(cluster.reported_terminal[name][0] == api.DONE for name in small)
     assert done >= len(small) * 0.7
-    for node in deck.nodes:
-        for writer in node.writers.values():
+    for controller in cluster.controllers:
+        for writer in controller.writers.values():
             shard = writer.shard
             kept = (
                 shard.jobs,
@@ -786,7 +828,7 @@
             )
             assert not any(kept)
             assert len(shard.terminal_states) == len(shard.terminal_completed) <= 20
-        for machines in node.machines.values():
+        for machines in controller.machines.values():
             machines.prune()
             assert not machines.jobs
             assert not any(machines.desired_tasks.values())
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -20,8 +20,8 @@
 from starlingdeck.storage.state import RequestBudget, put_change
 from starlingdeck.transport.frames import FrameLink
 from starlingdeck.transport.server import Request
-from tests.support.builders import Clock, job_body, make_world, spec
-from tests.support.reference_model import PlainClient, PlainState
+from tests.support.builders import Clock, job_body, make_context, spec
+from tests.support.reference_model import FakeStateClient, FakeStateService
 
 
 def report(machine: str, zone: str, session: int = 1, seq: int = 1, token: int = 0) -> bytes:
@@ -34,7 +34,7 @@
     """A controller lost the network; its peers redirected its workers to it until its shard was
     taken over, each of them waited for it in vain, and 50 tasks ended with their leases."""
     clock = Clock()
-    node = Controller(make_world(clock))
+    node = Controller(make_context(clock))
     node.membership.owners[1] = ShardOwner(1, 5, 77)
     node.peers.links[1] = FrameLink(None)
     body = Request("POST", api.REPORT, report("vm-1", "b"))
@@ -53,7 +53,7 @@
     """A controller that lost only its workers went on owning its shard; peers redirected the
     workers to it until their leases ended."""
     clock = Clock()
-    node, owner = Controller(make_world(clock)), Controller(make_world(clock, node=1))
+    node, owner = Controller(make_context(clock)), Controller(make_context(clock, node=1))
     owner.membership.lease.lease_id, owner.membership.lease.renewed_at = 1, clock.at
     owner.machines[1] = MachineShard(owner.context, 1, 5, 77, 0.0)
     node.membership.owners[1] = ShardOwner(1, 5, 77)
@@ -86,7 +86,7 @@
 ) -> None:
     """It renewed its workers' leases for 20 s more, and refused the users that were sent to it."""
     clock = Clock()
-    node = Controller(make_world(clock))
+    node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = (
         1,
         clock.at - (0.0 if state else 5.0),
@@ -100,7 +100,7 @@
     """Zones were partitioned while both controllers of one zone restarted: the other zone's went on
     owning their shards, whose workers they couldn't reach, and the leases ended."""
     clock = Clock()
-    node = Controller(make_world(clock))
+    node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     jobs = JobShard(node.context, 1, 5, 77)
     jobs.loaded = True
@@ -111,10 +111,10 @@
 
 def test_a_controller_that_starts_while_the_cloud_is_down_loads_the_machine_types() -> None:
     """All controllers restarted during a cloud outage, and none was healthy for 40 s."""
-    state = PlainState(random.Random(1))
-    first, second = Controller(make_world(Clock())), Controller(make_world(Clock(), node=1))
+    state = FakeStateService(random.Random(1))
+    first, second = Controller(make_context(Clock())), Controller(make_context(Clock(), node=1))
     for node in (first, second):
-        node.machine_type_store.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+        node.machine_type_store.state = FakeStateClient(state, 0.0)  # type: ignore[assignment]
     types = list(first.context.machine_types.values())
     curio.run(first.machine_type_store.store, types)
     assert curio.run(second.machine_type_store.load) == []  # only the owner of shard 0 stores them
@@ -124,7 +124,7 @@
 
 
 def test_paths_methods_and_bodies_are_answered_with_their_statuses() -> None:
-    node = Controller(make_world(Clock()))
+    node = Controller(make_context(Clock()))
 
     def status(method: str, path: str, body: bytes = b"") -> int:
         return int(curio.run(node.serve, Request(method, path, body)).status)
@@ -142,7 +142,7 @@
 def test_an_owner_cut_off_for_long_renews_no_worker_lease() -> None:
     """It renews leases for a bounded time only: its successor relies on that."""
     clock = Clock()
-    node = Controller(make_world(clock))
+    node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     machines = MachineShard(node.context, 1, 3, 9, 0.0)
     node.machines[1] = machines
@@ -158,12 +158,14 @@
     assert node.context.outage_renewal_s + s.lease_s < s.cancel_s - 3
 
 
-def linked_nodes(clock: Clock, state: PlainState, owner: int) -> tuple[Controller, Controller]:
+def linked_nodes(
+    clock: Clock, state: FakeStateService, owner: int
+) -> tuple[Controller, Controller]:
     """Two controllers with a lease each; the first reaches the second, and `owner` of the two owns
     the shard of j-000001."""
-    ours, theirs = Controller(make_world(clock)), Controller(make_world(clock, node=1))
+    ours, theirs = Controller(make_context(clock)), Controller(make_context(clock, node=1))
     for node in (ours, theirs):
-        node.job_api.services.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+        node.job_api.services.state = FakeStateClient(state, 0.0)  # type: ignore[assignment]
         node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     shard, node = shard_of_job("j-000001", 3), (ours, theirs)[owner]
     jobs = JobShard(node.context, shard, 5, 77)
@@ -184,7 +186,7 @@
 
 def test_a_submission_is_routed_through_a_peer_when_the_state_service_refuses_only_us() -> None:
     """The owner of the job's shard answered 503 until its own lease was over."""
-    state = PlainState(random.Random(1))
+    state = FakeStateService(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 0)
     ours.job_api.services.state.cut = True  # type: ignore[attr-defined]
     shard = shard_of_job("j-000001", 3)
@@ -204,7 +206,7 @@
 
 def test_a_submission_is_stored_by_us_when_the_state_service_refuses_the_owner() -> None:
     """Its 503 was forwarded to the user, though we could have stored the job ourselves."""
-    state = PlainState(random.Random(1))
+    state = FakeStateService(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 1)
     theirs.job_api.services.state.cut = True  # type: ignore[attr-defined]
     shard = shard_of_job("j-000001", 3)
@@ -229,9 +231,9 @@
     """A controller back from a partition was alive but hung in its old watch: its shard was handed
     back, retaken and handed back again, three times in two seconds (incident a99b)."""
     clock = Clock()
-    node = Controller(make_world(clock))
+    node = Controller(make_context(clock))
     own = node.membership
-    own.ownership.state = PlainClient(PlainState(random.Random(1)), 0.0)  # type: ignore[assignment]
+    own.ownership.state = FakeStateClient(FakeStateService(random.Random(1)), 0.0)  # type: ignore[assignment]
     own.lease.lease_id, own.lease.renewed_at, own.live_nodes = (
         1,
         clock.at,
@@ -256,9 +258,9 @@
     """The key's new version was there before the response that reported it: the write's condition
     failed, and the shard's records would never have been written again."""
     clock = Clock()
-    node = Controller(make_world(clock))
-    own, state = node.membership, PlainState(random.Random(1))
-    client = PlainClient(state, 0.0)
+    node = Controller(make_context(clock))
+    own, state = node.membership, FakeStateService(random.Random(1))
+    client = FakeStateClient(state, 0.0)
     own.ownership.state = node.state = client  # type: ignore[assignment]
     own.lease.lease_id, own.lease.renewed_at = 1, clock.at
     curio.run(own.ownership.acquire, 1, 0, 0.0)
@@ -275,7 +277,7 @@
     assert not curio.run(writer.flush)
     assert writer.ownership_lost
     assert not job.placements
-    event = api.Event(state.epoch, key, msgspec.Raw(msgspec.json.encode(value)))
+    event = api.Event(state.revision, key, msgspec.Raw(msgspec.json.encode(value)))
     curio.run(own.handle_event, event)
     assert curio.run(writer.flush)
     assert list(job.placements) == [0]
@@ -285,7 +287,7 @@
     """The first desired state to reach a new owner of machines came from a former owner of jobs; it
     named a task that its successor had seen stopped and reaped: it was started once more."""
     clock = Clock()
-    node = Controller(make_world(clock))
+    node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     node.membership.owners[0] = ShardOwner(0, 5, 77)
     node.machines[0] = MachineShard(node.context, 0, 5, 77, 0.0)
--- a/tests/test_counted_resources.py
+++ b/tests/test_counted_resources.py
@@ -18,15 +18,15 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateError, put_change
-from tests.support.builders import Clock, make_world, spec
+from tests.support.builders import Clock, make_context, spec
 from tests.support.counted_resources import CountedState, deliver_changes, make_plugin
 from tests.support.reference_model import (
-    Broken,
-    Model,
-    PlainClient,
-    PlainNode,
-    PlainWorker,
-    at_once,
+    FakeStateClient,
+    FakeWorker,
+    InvariantViolationError,
+    ModelController,
+    ReferenceModel,
+    run_without_waiting,
 )
 
 NAMES = ("engine", "seat")
@@ -40,28 +40,28 @@
     monkeypatch.setattr("starlingdeck.counts.ledger_store.curio.sleep", at_once_again)
 
 
-class CountedModel(Model):
+class CountedModel(ReferenceModel):
     """The reference model, with jobs that need units of a resource with ceiling 3."""
 
-    def __init__(self, seed: int, trouble: float) -> None:
+    def __init__(self, seed: int, failure_rate: float) -> None:
         self.plugins: dict[int, CountedResourcePlugin] = {}
-        super().__init__(seed, trouble)
+        super().__init__(seed, failure_rate)
         self.state: CountedState
         self.state.set("engine", 3, 2)
 
-    def fresh(self, number: int) -> PlainNode:
+    def make_controller(self, number: int) -> ModelController:
         if not isinstance(self.state, CountedState):
             self.state = CountedState(self.rng)
-        node = super().fresh(number)
-        self.plugins[number] = make_plugin(node.world, node.client, node.jobs)
+        node = super().make_controller(number)
+        self.plugins[number] = make_plugin(node.context, node.client, node.writers)
         return node
 
     def body(self, name: str) -> api.JobSpec:
         units = self.rng.choice([1, 1, 1, 2])
         return spec(name, chores=self.rng.randint(1, 4), cores=2.0, counts={"engine": units})
 
-    def begins(self, worker: PlainWorker, name: str) -> None:
-        super().begins(worker, name)
+    def on_task_started(self, worker: FakeWorker, name: str) -> None:
+        super().on_task_started(worker, name)
         running: Counter[str] = Counter()
         for other in self.workers.values():
             for task, seen in other.tasks.items():
@@ -72,28 +72,28 @@
                     counts = msgspec.json.decode(main[0])["spec"]["counts"] if main else {}
                     running.update(counts)
         if running["engine"] > 3:
-            raise Broken(f"{running} sessions at once")
+            raise InvariantViolationError(f"{running} sessions at once")
 
     def quiet_step(self) -> None:
         """Like `step`, with nothing failing any more."""
         self.clock.at += 0.1
         for worker in self.workers.values():
             worker.expire(self.clock.at)
-        for node in self.nodes:
+        for node in self.controllers:
             self.renew(node)
-        verbs = [
-            "own",
+        steps = [
+            "acquire_ownership",
             *["report"] * 4,
             "serve",
-            "mail",
-            "mail",
-            "mail",
+            "deliver",
+            "deliver",
+            "deliver",
             "write",
             "place",
-            "orders",
+            "commands",
         ]
-        getattr(self, "do_" + self.rng.choice([*verbs, "work"]))()
-        self.check_told()
+        getattr(self, "do_" + self.rng.choice([*steps, "work"]))()
+        self.check_job_states()
         self.run_plugins()
 
     def step(self) -> None:
@@ -102,25 +102,25 @@
 
     def run_plugins(self) -> None:
         """What the plugins do beside the writers' work."""
-        for node in self.nodes:
-            for writer in node.jobs.values():
+        for node in self.controllers:
+            for writer in node.writers.values():
                 writer.durable_plugin = self.plugins[node.number]
         plugin = self.plugins[self.rng.randrange(2)]
-        if not plugin.store.state.cut:  # type: ignore[attr-defined]  # a PlainClient here
+        if not plugin.store.state.cut:  # type: ignore[attr-defined]  # a FakeStateClient here
             deliver_changes(plugin, self.state, lambda: self.rng.random() < 0.3)
         if self.rng.random() < 0.05:
-            for node in self.nodes:
-                at_once(self.plugins[node.number].begin_cycle([]))
-                for writer in node.jobs.values():
+            for node in self.controllers:
+                run_without_waiting(self.plugins[node.number].begin_cycle([]))
+                for writer in node.writers.values():
                     try:
-                        if writer.shard.loaded and node.valid():
-                            at_once(self.plugins[node.number].releaser.release(writer))
+                        if writer.shard.loaded and node.lease_is_valid():
+                            run_without_waiting(self.plugins[node.number].releaser.release(writer))
                     except StateError:
                         continue
 
-    def allowed(self, node: PlainNode, job: Job) -> int:
+    def max_starts(self, node: ModelController, job: Job) -> int:
         plugin = self.plugins[node.number]
-        at_once(plugin.begin_cycle([job]))
+        run_without_waiting(plugin.begin_cycle([job]))
         # Sometimes more is asked for than there are units for.
         return 2 if self.rng.random() < 0.1 else min(2, plugin.headroom(job))
 
@@ -129,7 +129,7 @@
 def test_units_never_exceed_the_ceiling_whatever_is_lost_or_late(first: int) -> None:
     starts = 0
     for seed in range(first, first + 8):
-        model = CountedModel(seed, trouble=0.15)
+        model = CountedModel(seed, failure_rate=0.15)
         for _ in range(1500):
             model.step()
         starts += model.starts
@@ -138,16 +138,16 @@
 
 @pytest.mark.parametrize("seed", [3, 11])
 def test_after_faults_every_job_ends_and_every_unit_is_released(seed: int) -> None:
-    model = CountedModel(seed, trouble=0.15)
+    model = CountedModel(seed, failure_rate=0.15)
     for _ in range(1200):
         model.step()
         if model.rng.random() < 0.01:
             model.state.set("engine", model.rng.choice([1, 3]), 2)
-    model.settle()
+    model.stop_failures()
     model.state.set("engine", 3, 2)
     for _ in range(9000):
         model.quiet_step()
-    assert model.ended() == set(model.accepted)
+    assert model.terminal_jobs() == set(model.accepted)
     assert model.accepted
     assert model.state.ledger("engine").total == 0
 
@@ -161,14 +161,14 @@
         super().__init__()
         self.clock = Clock()
         self.state = CountedState(random.Random(5))
-        self.clients = [PlainClient(self.state, 0.0) for _ in range(3)]
+        self.clients = [FakeStateClient(self.state, 0.0) for _ in range(3)]
         self.plugins: dict[int, CountedResourcePlugin] = {}
         self.writers: dict[int, tuple[int, RecordWriter]] = {}  # shard -> node, writer
         self.jobs = 0
         self.ended: set[str] = set()
         for name, ceiling in (("engine", 3), ("seat", 4)):
             self.state.set(name, ceiling, 3)
-        self.worlds = [make_world(self.clock, node=i) for i in range(3)]
+        self.worlds = [make_context(self.clock, node=i) for i in range(3)]
         self.owned: list[dict[int, RecordWriter]] = [{} for _ in range(3)]
         for shard in range(3):
             self.restart(shard)
@@ -180,7 +180,7 @@
         for shard in [s for s, (n, _) in self.writers.items() if n == node]:
             del self.writers[shard]
             self.state.keys.pop(records.shard_key(shard))
-        self.worlds[node] = make_world(self.clock, node=node)
+        self.worlds[node] = make_context(self.clock, node=node)
         self.owned[node] = {}
         self.plugins[node] = make_plugin(self.worlds[node], self.clients[node], self.owned[node])
         deliver_changes(self.plugins[node], self.state)
@@ -193,10 +193,10 @@
         old = self.state.keys.get(records.shard_key(shard), (b"", 0))[1]
         change = put_change(records.shard_key(shard), records.ShardValue(node, 1))
         assert not self.state.apply({records.shard_key(shard): old}, [change])
-        jobs = JobShard(self.worlds[node], shard, self.state.epoch, self.state.epoch)
+        jobs = JobShard(self.worlds[node], shard, self.state.revision, self.state.revision)
         plugin = self.plugins[node]
         writer = RecordWriter(self.worlds[node], plugin.store.state, jobs, plugin)
-        at_once(writer.load())
+        run_without_waiting(writer.load())
         self.writers[shard] = (node, writer)
         self.owned[node][shard] = writer
 
@@ -212,7 +212,7 @@
         record = put_change(records.job_key(shard, body.id), records.JobRecord(body, 0))
         self.state.apply({}, [record])
         job = new_job(self.worlds[node], body, shard, 0)
-        job.key_versions[0] = self.state.epoch
+        job.key_versions[0] = self.state.revision
         writer.shard.jobs[job.index] = job
 
     def each(self) -> list[tuple[int, RecordWriter]]:
@@ -229,7 +229,7 @@
         """Starts for what waits, as many as the plugin allows, or more."""
         for node, writer in self.each():
             plugin = self.plugins[node]
-            at_once(plugin.begin_cycle(list(writer.shard.jobs.values())))
+            run_without_waiting(plugin.begin_cycle(list(writer.shard.jobs.values())))
             for job in writer.shard.jobs.values():
                 tasks = limit if greedy else min(limit, plugin.headroom(job))
                 for task in job.pending(tasks):
@@ -258,7 +258,7 @@
         if found:
             writer, job = found[pick % len(found)]
             try:
-                at_once(writer.cancel(job))
+                run_without_waiting(writer.cancel(job))
             except StateError:
                 return
 
@@ -267,7 +267,7 @@
         self.clock.at += seconds
         for _, writer in self.each():
             try:
-                at_once(writer.flush())
+                run_without_waiting(writer.flush())
             except StateError:
                 continue
 
@@ -275,7 +275,7 @@
     def release(self) -> None:
         for node, writer in self.each():
             try:
-                at_once(self.plugins[node].releaser.release(writer))
+                run_without_waiting(self.plugins[node].releaser.release(writer))
             except StateError:
                 continue
 
@@ -296,19 +296,24 @@
 
     @rule(node=st.integers(0, 2), trouble=st.sampled_from([0.0, 0.5, 0.9]), cut=st.booleans())
     def trouble(self, node: int, trouble: float, cut: bool) -> None:
-        self.clients[node].trouble, self.clients[node].cut = trouble, cut
+        self.clients[node].failure_rate, self.clients[node].cut = trouble, cut
 
     @rule(pick=st.integers(0, 50))
     def late(self, pick: int) -> None:
         """Execute a write whose sender gave up long ago."""
-        if self.state.late:
-            self.state.apply(*self.state.late.pop(pick % len(self.state.late)))
+        if self.state.delayed_transactions:
+            self.state.apply(
+                *self.state.delayed_transactions.pop(pick % len(self.state.delayed_transactions))
+            )
 
     @invariant()
     def use_known_to_a_shard_is_the_use_recorded(self) -> None:
         used = self.state.use()
         for shard, (node, writer) in self.writers.items():
-            if any(job.stale for job in writer.shard.jobs.values()) or self.state.late:
+            if (
+                any(job.stale for job in writer.shard.jobs.values())
+                or self.state.delayed_transactions
+            ):
                 continue
             for name in NAMES:
                 count = self.worlds[node].resource_names.find(name)
@@ -318,8 +323,8 @@
     def teardown(self) -> None:
         """Without faults every job ends and every unit is released, exactly once."""
         for client in self.clients:
-            client.cut, client.trouble = False, 0.0
-        self.state.late.clear()
+            client.cut, client.failure_rate = False, 0.0
+        self.state.delayed_transactions.clear()
         for name, ceiling in (("engine", 3), ("seat", 4)):
             self.state.set(name, ceiling, 3)
         for shard in range(3):
@@ -339,7 +344,7 @@
             for pick in range(3):
                 self.end(pick, True)
             self.release()
-            self.state.late.clear()
+            self.state.delayed_transactions.clear()
         assert not any(writer.shard.jobs for _, writer in self.each())
         self.clock.at += 5.0
         for _ in range(3):
--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -25,7 +25,7 @@
 from tests.support import fuzz_targets
 from tests.support.builders import job_body, spec
 from tests.support.counted_resources import CountedState, deliver_changes
-from tests.support.reference_model import PlainClient, at_once
+from tests.support.reference_model import FakeStateClient, run_without_waiting
 from tests.test_counted_resources import LedgerStateMachine
 from tests.test_resource_bounds import SingleControllerCluster
 
@@ -71,7 +71,7 @@
 
     def headroom(self, *jobs: Job) -> list[int]:
         """Run a cycle: the headroom of each job, in this order, which it then uses."""
-        at_once(self.plugin.begin_cycle(jobs))
+        run_without_waiting(self.plugin.begin_cycle(jobs))
         found = []
         for job in jobs:
             tasks = min(self.plugin.headroom(job), len(job.pending(9)))
@@ -80,7 +80,7 @@
         return found
 
     def flush(self) -> None:
-        at_once(self.writers[0][1].flush())
+        run_without_waiting(self.writers[0][1].flush())
 
     def finish(self, job: Job, task: int = 0) -> None:
         self.shard.end_attempt(job, task, job.placements[task], api.W_DONE, "exit done")
@@ -108,27 +108,27 @@
     site = SingleShard(1)
     second, third = idle_unit(site)
     site.start(second)
-    site.clients[0].trouble = 2.0  # applied later, answered never
+    site.clients[0].failure_rate = 2.0  # applied later, answered never
     with pytest.raises(OutcomeUnknownError):
         site.flush()
-    site.clients[0].trouble = 0.0
+    site.clients[0].failure_rate = 0.0
     second.pending_starts.clear()
     site.start(third)
     site.flush()
     assert third.placements
-    assert len(site.state.late) == 1
-    assert site.state.apply(*site.state.late.pop())
+    assert len(site.state.delayed_transactions) == 1
+    assert site.state.apply(*site.state.delayed_transactions.pop())
 
 
 def test_a_start_recorded_without_an_answer_is_read_before_the_next() -> None:
     site = SingleShard(1)
     second, third = idle_unit(site)
     site.start(second)
-    site.clients[0].trouble = 2.0
+    site.clients[0].failure_rate = 2.0
     with pytest.raises(OutcomeUnknownError):
         site.flush()
-    site.clients[0].trouble = 0.0
-    (late,) = site.state.late
+    site.clients[0].failure_rate = 0.0
+    (late,) = site.state.delayed_transactions
     second.pending_starts.clear()
     site.start(third)
     reread = site.plugin.store.reread
@@ -151,14 +151,14 @@
     second, _ = idle_unit(site)
     site.release()
     site.clock.at += 1.0
-    site.clients[0].trouble = 2.0
+    site.clients[0].failure_rate = 2.0
     with pytest.raises(OutcomeUnknownError):
-        at_once(site.plugin.releaser.release(site.writers[0][1]))
-    site.clients[0].trouble = 0.0
+        run_without_waiting(site.plugin.releaser.release(site.writers[0][1]))
+    site.clients[0].failure_rate = 0.0
     site.start(second)
     site.flush()
     assert second.placements
-    assert site.state.apply(*site.state.late.pop())
+    assert site.state.apply(*site.state.delayed_transactions.pop())
 
 
 def test_a_unit_moves_from_task_to_task_without_a_change_of_its_ledger() -> None:
@@ -236,7 +236,7 @@
     site.plugin.receive_gossip(1, gossip)
     site.headroom(second, third)
     site.headroom(second, third)
-    at_once(site.plugin.releaser.release(site.writers[0][1]))
+    run_without_waiting(site.plugin.releaser.release(site.writers[0][1]))
     assert site.total() == 0
 
 
@@ -346,7 +346,7 @@
         site.shard.apply_snapshot(snapshot, None)
         site.flush()
         site.clock.at += 1.0
-        at_once(site.plugin.releaser.release(site.writers[0][1]))
+        run_without_waiting(site.plugin.releaser.release(site.writers[0][1]))
     assert site.total() == (0 if frees else 1)
     assert site.shard.resource_use[0] == site.total()
     assert bool(job.placements) is not frees
@@ -562,9 +562,9 @@
         await site.post("engine", ceiling=0, rev=2, removed=True)
         assert await site.submit(uid="j-2", chores=1, counts={"engine": 1}) == 422
         await site.run_rounds(20)
-        _, told = await site.ask("GET", f"{api.JOBS}/j-1")
-        assert told["status"] == api.QUEUED
-        assert told["waits"] == ["count engine was removed"]
+        _, answer = await site.ask("GET", f"{api.JOBS}/j-1")
+        assert answer["status"] == api.QUEUED
+        assert answer["waits"] == ["count engine was removed"]
         await site.post("engine", ceiling=1, rev=3)
         await site.run_rounds(40)
         assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
@@ -628,7 +628,7 @@
     site = SingleShard(1)
     job = site.job()
     site.start(job)
-    assert isinstance(site.clients[0], PlainClient)
+    assert isinstance(site.clients[0], FakeStateClient)
     site.clients[0].cut = True
     with pytest.raises(StateError):
         site.flush()
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -19,7 +19,7 @@
 from starlingdeck.fairness.minimum_share import PROTECTION_SLACK, WorkItem
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import OverloadSettings
-from tests.support.overload_cluster import Events, Flood, array
+from tests.support.overload_cluster import Events, OverloadCluster, array
 
 AMOUNTS = st.floats(0, 3, allow_nan=False)
 PAIRS = st.tuples(st.integers(0, 2), st.sampled_from(["a", "b", "c"]))
@@ -183,16 +183,16 @@
 ON = OverloadSettings(patience_s=5.0, floor=0.5)
 
 
-def crash(context: Flood) -> None:
+def crash(context: OverloadCluster) -> None:
     context.crash(1)
 
 
-def partition(context: Flood) -> None:
-    context.cuts = {(0, 1), (1, 2)}
+def partition(context: OverloadCluster) -> None:
+    context.partitions = {(0, 1), (1, 2)}
 
 
-def heal(context: Flood) -> None:
-    context.cuts = set()
+def heal(context: OverloadCluster) -> None:
+    context.partitions = set()
 
 
 TROUBLES: dict[str, tuple[Events, float, int]] = {
@@ -209,20 +209,20 @@
     """Without minimum shares low work stood still: the capacity that came free was too little for a
     task of it, and what ran was preempted for the flood."""
     events, lost, nodes = TROUBLES[trouble]
-    context = Flood(1, flood, ON, nodes=nodes, lost=lost)
-    context.play(100, events)
-    began, submitted = context.served("low", 1000 + 80)
+    context = OverloadCluster(1, flood, ON, controllers=nodes, gossip_loss_share=lost)
+    context.run(100, events)
+    began, submitted = context.started_and_total("low", 1000 + 80)
     assert began >= 0.5 * submitted
-    began, submitted = context.served("high", 1000 + 80)
+    began, submitted = context.started_and_total("high", 1000 + 80)
     assert began >= 0.5 * submitted
 
 
 def test_effect_and_cost_of_minimum_shares() -> None:
     """Compared with the order by rank alone: starvation, preemptions and total goodput."""
-    plain, fair = Flood(1, flood, None), Flood(1, flood, ON)
+    plain, fair = OverloadCluster(1, flood, None), OverloadCluster(1, flood, ON)
     for context in (plain, fair):
-        context.play(100)
-    began, submitted = plain.served("low", 1000 + 80)
+        context.run(100)
+    began, submitted = plain.started_and_total("low", 1000 + 80)
     assert began < 0.5 * submitted
     assert fair.goodput["low"] > 3 * plain.goodput["low"]
     assert sum(fair.goodput.values()) > 0.9 * sum(plain.goodput.values())
@@ -234,9 +234,9 @@
     def quiet(second: int, rng: random.Random) -> list[api.JobSpec]:
         return low(second, 5) + (high(second, rng)[:1] if second % 2 else [])
 
-    plain, fair = Flood(3, quiet, None), Flood(3, quiet, ON)
+    plain, fair = OverloadCluster(3, quiet, None), OverloadCluster(3, quiet, ON)
     for context in (plain, fair):
-        context.play(60)
+        context.run(60)
     assert plain.started == fair.started
     assert len(plain.started) > 30
 
@@ -245,17 +245,17 @@
     def burst(second: int, rng: random.Random) -> list[api.JobSpec]:
         return flood(second, rng) if second < 40 else []
 
-    context = Flood(2, burst, ON)
+    context = OverloadCluster(2, burst, ON)
     seen: list[bool] = []
 
-    def agree(now: Flood) -> None:
-        shares = [n.overload.shares for n in now.nodes if n.overload is not None]
+    def agree(now: OverloadCluster) -> None:
+        shares = [n.overload.shares for n in now.controllers if n.overload is not None]
         by_signals = {s.signals: s for s in shares}
         seen.append(all(by_signals[s.signals] == s for s in shares))
         assert all(s.overload for s in shares)
 
-    def over(now: Flood) -> None:
-        for node in now.nodes:
+    def over(now: OverloadCluster) -> None:
+        for node in now.controllers:
             assert node.overload is not None
             assert not node.overload.shares.overload
             placements = [
@@ -266,7 +266,7 @@
             ]
             assert not any(placement.protected for placement in placements)
 
-    context.play(140, {30.0: agree, 38.0: agree, 139.0: over})
+    context.run(140, {30.0: agree, 38.0: agree, 139.0: over})
     assert seen == [True, True]
 
 
@@ -274,8 +274,8 @@
     def huge(second: int, rng: random.Random) -> list[api.JobSpec]:
         return high(second, rng) + (low(0, tasks=300) if second == 10 else [])
 
-    context = Flood(4, huge, ON)
-    context.play(100)
+    context = OverloadCluster(4, huge, ON)
+    context.run(100)
     # A minimum share of a quarter to a third of 112 cpus for 90 s, less 10 s until detection.
     assert context.goodput["low"] > 0.5 * 80 * 112 / 4
 
@@ -287,7 +287,7 @@
         late = [array(second * 10 + 7, "svc", "urgent", "blue", 2, 4.0, 10.0)]
         return high(second, rng) + (late if second >= 40 and second % 4 == 0 else [])
 
-    context = Flood(5, both, ON)
-    context.play(100)
-    began, submitted = context.served("svc", 1000 + 85)
+    context = OverloadCluster(5, both, ON)
+    context.run(100)
+    began, submitted = context.started_and_total("svc", 1000 + 85)
     assert began >= 0.8 * submitted
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -25,8 +25,8 @@
 from starlingdeck.sync.message_batch import encode_batch
 from starlingdeck.sync.relay import RELAY_AFTER_S, RELAY_INTERVAL_S
 from starlingdeck.transport.client import ConnectionFailedError, Reply
-from tests.support.builders import Clock, make_world, spec
-from tests.support.reference_model import PlainClient, PlainState, at_once
+from tests.support.builders import Clock, make_context, spec
+from tests.support.reference_model import FakeStateClient, FakeStateService, run_without_waiting
 
 MACHINES = 4000
 TASKS = 32  # per machine
@@ -82,12 +82,12 @@
             jobs.jobs[index].placements[task] = placement
 
 
-class BudgetClient(PlainClient):
+class BudgetClient(FakeStateClient):
     """A state service that executes changes at a controller's share of its rate. The controller
     runs a step during each transaction; the texts it starts are written concurrently."""
 
     def __init__(self, node: Controller, clock: Clock, rate: float) -> None:
-        super().__init__(PlainState(random.Random(1)), 0.0)
+        super().__init__(FakeStateService(random.Random(1)), 0.0)
         self.node, self.clock = node, clock
         self.limiter = TokenBucket(rate, 1.0, clock.now)
         self.limiter.tokens = 0.0
@@ -116,7 +116,7 @@
 
 def cut_off(clock: Clock, peers: list[int]) -> Controller:
     """A controller with a valid lease that can't reach some live peers."""
-    context = make_world(clock)
+    context = make_context(clock)
     node = Controller(context)
     node.membership.lease_is_valid = lambda: True  # type: ignore[method-assign]
     node.peers.started_at = clock.at - RELAY_AFTER_S
@@ -150,14 +150,14 @@
 def received_messages(client: BudgetClient, to: int) -> list[pb.Envelope]:
     """The messages that a peer receives of what was written."""
     received: list[pb.Envelope] = []
-    receiver = Controller(make_world(Clock(), node=to))
+    receiver = Controller(make_context(Clock(), node=to))
 
     async def receive(envelope: pb.Envelope) -> None:
         received.append(envelope)
 
     for change in client.sent:
         value = msgspec.Raw(msgspec.json.encode(change.value))
-        at_once(receiver.state_sync.receive_relay(change.put or "", value, receive))
+        run_without_waiting(receiver.state_sync.receive_relay(change.put or "", value, receive))
     return received
 
 
@@ -221,7 +221,7 @@
     clock = Clock()
     node = cut_off(clock, [2])
     node.machines[0] = MachineShard(node.context, 0, 5, 77, 0.0)
-    client = PlainClient(PlainState(random.Random(1)), 0.0)
+    client = FakeStateClient(FakeStateService(random.Random(1)), 0.0)
     client.cut = True
     node.state_sync.relay.state = client  # type: ignore[assignment]
     for _ in range(3):
@@ -234,7 +234,7 @@
 
 def test_message_sizes_of_the_whole_fleet() -> None:
     """The sizes in docs/operations.md, "Reach of each fixed limit"."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     machines = MachineShard(context, 1, 5, 77, 0.0)
     jobs = JobShard(context, 0, 3, 9)
     full_fleet(machines, jobs, random.Random(1))
@@ -281,7 +281,7 @@
 
 def fleet_to_call(stopping: bool) -> tuple[Controller, MachineShard, Workers]:
     """A controller that owns all machines, each running a task; all tasks are to stop, or none."""
-    node = Controller(make_world(Clock()))
+    node = Controller(make_context(Clock()))
     machines = MachineShard(node.context, 1, 5, 77, 0.0)
     jobs = JobShard(node.context, 0, 3, 9)
     full_fleet(machines, jobs, random.Random(1), 1)
@@ -337,7 +337,7 @@
 def test_a_backlog_of_thousands_of_jobs_hides_no_guaranteed_work() -> None:
     """Gossip had the 500 oldest jobs of any team: behind a backlog of a team without a guarantee,
     another team's guaranteed work was taken for work beyond its guarantee."""
-    node = Controller(make_world(Clock()))
+    node = Controller(make_context(Clock()))
     jobs = JobShard(node.context, 0, 3, 9)
     for number in range(MACHINES):
         crew = "blue" if number == MACHINES - 1 else "red"
@@ -361,7 +361,7 @@
     """A controller that had forgotten a machine learned of it again from one that had not: while
     machines were being deleted, all that ever were stayed in all gossip."""
     clock = Clock()
-    nodes = [Controller(make_world(clock, node=number)) for number in range(3)]
+    nodes = [Controller(make_context(clock, node=number)) for number in range(3)]
     published = []
     for second in range(MACHINES // 10):
         if second < MACHINES // 20:
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -28,7 +28,7 @@
 from starlingdeck.jobs.job_records import encode_chunk, load_job
 from starlingdeck.protocol import api, config, peer_pb2
 from starlingdeck.storage import commit_log, records
-from tests.support.builders import Clock, make_world
+from tests.support.builders import Clock, make_context
 
 MESSAGES: dict[str, Any] = {
     "state_node": records.NodeValue,
@@ -457,7 +457,7 @@
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_job_loaded_from_its_record_is_stored_as_the_same_chunks(name: str) -> None:
-    stored, context = LOG.jobs[name], make_world(Clock())
+    stored, context = LOG.jobs[name], make_context(Clock())
     job = load_job(context, SHARD, stored.record, stored.chunks)
     for number, chunk in stored.all_chunks.items():
         assert encode_chunk(context, job, number, {}, {}, chunk.applied_position) == chunk
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -8,17 +8,17 @@
 from starlingdeck.jobs import commit_log
 from starlingdeck.storage.commit_log import LOG_PREFIX
 from tests.support import builders
-from tests.support.reference_model import Broken, Model
-from tests.support.simulated_cluster import Deck, play
+from tests.support.reference_model import InvariantViolationError, ReferenceModel
+from tests.support.simulated_cluster import SimulatedCluster, run_simulation
 from tests.test_concurrent_failures import (
-    MEETINGS,
-    WORLDS,
-    check_meetings,
-    live_meeting,
-    of_shard,
-    start_trouble,
+    FAILURE_SCENARIOS,
+    SCENARIO_CLUSTERS,
+    check_random_failures,
+    inject_failure,
+    job_of_shard,
+    run_scenario,
 )
-from tests.test_read_consistency import ask_all, counts_while_writing, staggered
+from tests.test_read_consistency import ask_all, counts_while_writing, run_staggered_job
 
 Patch = pytest.MonkeyPatch
 
@@ -37,11 +37,11 @@
 
 
 @pytest.mark.parametrize("first", [100, 110])
-def test_the_rules_hold_whatever_is_lost_or_late(monkeypatch: Patch, first: int) -> None:
+def test_invariants_hold_whatever_is_lost_or_late(monkeypatch: Patch, first: int) -> None:
     small_ring(monkeypatch)
     starts, segments = 0, 0
     for seed in range(first, first + 10):
-        model = Model(seed, trouble=0.15)
+        model = ReferenceModel(seed, failure_rate=0.15)
         for _ in range(1500):
             model.step()
         starts += model.starts
@@ -50,24 +50,26 @@
     assert segments > 60
 
 
-@pytest.mark.parametrize("meeting", [name for n, name in enumerate(MEETINGS) if n % 4 == 1])
-def test_meeting(monkeypatch: Patch, meeting: str) -> None:
+@pytest.mark.parametrize(
+    "scenario", [name for n, name in enumerate(FAILURE_SCENARIOS) if n % 4 == 1]
+)
+def test_failure_scenario(monkeypatch: Patch, scenario: str) -> None:
     small_ring(monkeypatch)
-    deck = Deck(7, **WORLDS.get(meeting, {}))
-    deck.crowded = meeting.startswith("more work than room")
-    play(monkeypatch, deck, live_meeting(deck, MEETINGS[meeting]))
-    assert any(key.startswith(LOG_PREFIX) for key in deck.state.keys)
+    cluster = SimulatedCluster(7, **SCENARIO_CLUSTERS.get(scenario, {}))
+    cluster.mixed_ranks = scenario.startswith("more work than capacity")
+    run_simulation(monkeypatch, cluster, run_scenario(cluster, FAILURE_SCENARIOS[scenario]))
+    assert any(key.startswith(LOG_PREFIX) for key in cluster.state.keys)
 
 
-def test_no_rule_breaks_where_troubles_meet(monkeypatch: Patch) -> None:
+def test_no_invariant_is_violated_under_random_failures(monkeypatch: Patch) -> None:
     small_ring(monkeypatch)
-    check_meetings(monkeypatch)
+    check_random_failures(monkeypatch)
 
 
-@pytest.mark.parametrize("trouble", ["lost", "slow"])
-def test_no_count_falls_while_a_commit_is_under_way(monkeypatch: Patch, trouble: str) -> None:
+@pytest.mark.parametrize("failure", ["lost", "slow"])
+def test_no_count_falls_while_a_commit_is_under_way(monkeypatch: Patch, failure: str) -> None:
     """Others answer from the record and the log while the owner's commit has no answer yet."""
-    counts = counts_while_writing(monkeypatch, trouble)
+    counts = counts_while_writing(monkeypatch, failure)
     assert counts[0] < counts[-1]
 
 
@@ -78,20 +80,20 @@
     async def nothing(*_: Any) -> list[Any]:
         return []
 
-    deck = Deck(5)
+    cluster = SimulatedCluster(5)
 
     async def drive() -> None:
-        name = of_shard(0)
-        await staggered(deck, name)
-        await deck.run(4.0)
-        await ask_all(deck, name)
-        assert deck.done[name] > 0
-        start_trouble(deck, "apart", 0)
-        await ask_all(deck, name)
+        name = job_of_shard(0)
+        await run_staggered_job(cluster, name)
+        await cluster.run(4.0)
+        await ask_all(cluster, name)
+        assert cluster.reported_done[name] > 0
+        inject_failure(cluster, "apart", 0)
+        await ask_all(cluster, name)
         with monkeypatch.context() as patch:
             patch.setattr(StoredStatusReader, "_log_changes", nothing)
-            with pytest.raises(Broken, match="went_back"):
-                await ask_all(deck, name)
-        deck.calm()
+            with pytest.raises(InvariantViolationError, match="went_back"):
+                await ask_all(cluster, name)
+        cluster.heal()
 
-    play(monkeypatch, deck, drive())
+    run_simulation(monkeypatch, cluster, drive())
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -14,7 +14,7 @@
 from starlingdeck.transport.connections import Connection, ConnectionTable
 from starlingdeck.transport.listener import listen
 from starlingdeck.transport.server import HttpServer, Request, Response
-from tests.support.builders import Clock, make_world
+from tests.support.builders import Clock, make_context
 from tests.support.ports import free_port
 
 REPORT = "/report"
@@ -311,7 +311,7 @@
 
 
 def test_the_controller_counts_the_connections_of_worker_reports_as_workers() -> None:
-    server = Controller(make_world(Clock())).http_server
+    server = Controller(make_context(Clock())).http_server
     assert server.is_from_worker(Request("POST", api.REPORT, b"{}"))
     assert server.is_from_worker(Request("POST", f"{api.REPORT}?again=1", b"{}"))
     for path in (api.HEALTH, api.JOBS, f"{api.JOBS}/j-1"):
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -16,7 +16,7 @@
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.storage.records import TASKS_PER_CHUNK, JobRecord
 from starlingdeck.sync import message_batch
-from tests.support.builders import Clock, job_body, make_world, settings_dict, spec
+from tests.support.builders import Clock, job_body, make_context, settings_dict, spec
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
     ],
 )
 def test_a_job_that_can_never_run_is_infeasible(change: dict[str, Any], expected: str) -> None:
-    reason = submission.infeasibility_reason(make_world(Clock()), spec(**change))
+    reason = submission.infeasibility_reason(make_context(Clock()), spec(**change))
     assert expected in reason
     assert bool(expected) == bool(reason)
 
@@ -105,7 +105,7 @@
 
 
 def test_a_record_is_read_as_it_was_written() -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     job = new_job(context, spec(chores=TASKS_PER_CHUNK + 10), 1, 5)
     placements = {
         t: TaskPlacement(
@@ -135,7 +135,7 @@
 
 
 def test_a_full_chunk_fits_a_value() -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     job = new_job(context, spec(chores=TASKS_PER_CHUNK), 0, 0)
     for t in range(TASKS_PER_CHUNK):
         index = context.machine_names.intern(f"vm-{t:06d}")
@@ -148,7 +148,7 @@
 
 def test_a_large_job_is_written_in_transactions_that_fit() -> None:
     """Eight full chunks at once were over the state service's 64 KiB and refused for ever."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     shard = JobShard(context, 0, 3, 9)
     job = new_job(context, spec(chores=TASKS_PER_CHUNK * 10), 0, 0)
     job.key_versions[0] = 1
