--- a/tests/test_invariant_checks.py
+++ b/tests/test_invariant_checks.py
@@ -1,4 +1,4 @@
-"""Each check of the plain world fails on a service that is broken by hand."""
+"""Each check of the simulated cluster fails on a service with a fault injected for it."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,184 +9,190 @@
 from starlingdeck import context
 from starlingdeck.protocol import api
 from starlingdeck.transport.server import Request, Response
-from tests.support.reference_model import Broken, PlainWorker
-from tests.support.simulated_cluster import Deck, play
-from tests.test_concurrent_failures import of_shard, told_all
+from tests.support.reference_model import FakeWorker, InvariantViolationError
+from tests.support.simulated_cluster import SimulatedCluster, run_simulation
+from tests.test_concurrent_failures import job_of_shard, wait_for_terminal_states
 
 Patch = pytest.MonkeyPatch
-NAME = of_shard(0)
+NAME = job_of_shard(0)
 
 
-async def one_job(deck: Deck, tasks: int = 2, lasts_s: float = 8.0, **other: Any) -> None:
-    await deck.run(4.0)
-    await deck.beside(lambda: deck.submit(NAME, tasks, lasts_s, **other))
-    await deck.run(4.0)
+async def run_one_job(
+    cluster: SimulatedCluster, tasks: int = 2, run_s: float = 8.0, **other: Any
+) -> None:
+    await cluster.run(4.0)
+    await cluster.spawn(lambda: cluster.submit(NAME, tasks, run_s, **other))
+    await cluster.run(4.0)
 
 
-def answers(deck: Deck, code: int, **told: Any) -> None:
-    """From now on one controller tells this of every job."""
-    body = msgspec.json.encode({"uid": NAME, **told})
+def answer_always(cluster: SimulatedCluster, code: int, **answer: Any) -> None:
+    """Make controller 1 give this answer to every request."""
+    body = msgspec.json.encode({"uid": NAME, **answer})
 
     async def serve(request: Request) -> Response:
         return Response(code if request.method == "POST" or code != 400 else 404, body)
 
-    deck.nodes[1].serve = serve  # type: ignore[method-assign]
+    cluster.controllers[1].serve = serve  # type: ignore[method-assign]
 
 
-async def ask(deck: Deck, method: str = "GET") -> None:
-    """Beside the story, as users do: a fault there has to end the play."""
-    await deck.beside(deck.ask, 1, method, f"{api.JOBS}/{NAME}")
-    await deck.run(0.2)
+async def query(cluster: SimulatedCluster, method: str = "GET") -> None:
+    """Query in the background, as users do: a violation there must fail the simulation."""
+    await cluster.spawn(cluster.request, 1, method, f"{api.JOBS}/{NAME}")
+    await cluster.run(0.2)
 
 
-# What a controller tells of a job that is running and of which nothing is done.
-LIES: list[tuple[int, dict[str, Any], str]] = [
+# Wrong answers about a running job of which no task is done.
+WRONG_ANSWERS: list[tuple[int, dict[str, Any], str]] = [
     (404, {"error": "no such job"}, "forgotten: .* 404"),
     (200, {"status": "done", "done": 2}, "not_done"),
-    (200, {"status": "running", "done": 1}, "not_done: .* told 1"),
+    (200, {"status": "running", "done": 1}, "not_done: .* reported 1"),
     (200, {"status": "cancelled"}, "never cancelled"),
 ]
 
 
-@pytest.mark.parametrize(("code", "told", "broken"), LIES)
-def test_a_lie_is_found(monkeypatch: Patch, code: int, told: dict[str, Any], broken: str) -> None:
-    deck = Deck(3)
+@pytest.mark.parametrize(("code", "answer", "violation"), WRONG_ANSWERS)
+def test_a_wrong_answer_is_detected(
+    monkeypatch: Patch, code: int, answer: dict[str, Any], violation: str
+) -> None:
+    cluster = SimulatedCluster(3)
 
     async def drive() -> None:
-        await one_job(deck)
-        answers(deck, code, **told)
-        await ask(deck)
+        await run_one_job(cluster)
+        answer_always(cluster, code, **answer)
+        await query(cluster)
 
-    with pytest.raises(Broken, match=broken):
-        play(monkeypatch, deck, drive())
+    with pytest.raises(InvariantViolationError, match=violation):
+        run_simulation(monkeypatch, cluster, drive())
 
 
-async def repeat_refused(deck: Deck, patch: Patch) -> None:
-    await one_job(deck)
-    answers(deck, 422, error="never")
-    body = msgspec.json.encode(deck.jobs[NAME])
-    await deck.beside(deck.ask, 1, "POST", api.JOBS, body)
-    await deck.run(0.2)
+async def repeat_refused(cluster: SimulatedCluster, patch: Patch) -> None:
+    await run_one_job(cluster)
+    answer_always(cluster, 422, error="never")
+    body = msgspec.json.encode(cluster.jobs[NAME])
+    await cluster.spawn(cluster.request, 1, "POST", api.JOBS, body)
+    await cluster.run(0.2)
 
 
-async def count_falls(deck: Deck, patch: Patch) -> None:
-    deck.lasts[f"{NAME}/0"] = 1.0
-    await one_job(deck)
-    await deck.ask(0, "GET", f"{api.JOBS}/{NAME}")
-    answers(deck, 200, status="running", done=0)
-    await ask(deck)
+async def count_falls(cluster: SimulatedCluster, patch: Patch) -> None:
+    cluster.run_times[f"{NAME}/0"] = 1.0
+    await run_one_job(cluster)
+    await cluster.request(0, "GET", f"{api.JOBS}/{NAME}")
+    answer_always(cluster, 200, status="running", done=0)
+    await query(cluster)
 
 
-async def back_from_done(deck: Deck, patch: Patch) -> None:
-    await one_job(deck, lasts_s=1.0)
-    await told_all(deck, [NAME])
-    answers(deck, 200, status="running")
-    await ask(deck)
+async def back_from_done(cluster: SimulatedCluster, patch: Patch) -> None:
+    await run_one_job(cluster, run_s=1.0)
+    await wait_for_terminal_states(cluster, [NAME])
+    answer_always(cluster, 200, status="running")
+    await query(cluster)
 
 
-async def invented(deck: Deck, patch: Patch) -> None:
-    await one_job(deck)
-    answers(deck, 200, status="queued")
-    await deck.beside(deck.ask, 1, "GET", f"{api.JOBS}/{of_shard(1)}")
-    await deck.run(0.2)
+async def invented(cluster: SimulatedCluster, patch: Patch) -> None:
+    await run_one_job(cluster)
+    answer_always(cluster, 200, status="queued")
+    await cluster.spawn(cluster.request, 1, "GET", f"{api.JOBS}/{job_of_shard(1)}")
+    await cluster.run(0.2)
 
 
-async def accepted_oddly(deck: Deck, patch: Patch) -> None:
-    await one_job(deck)
-    answers(deck, 201, status="queued")
-    await deck.beside(deck.ask_oddly, NAME)
-    await deck.run(0.2)
+async def accepted_oddly(cluster: SimulatedCluster, patch: Patch) -> None:
+    await run_one_job(cluster)
+    answer_always(cluster, 201, status="queued")
+    await cluster.spawn(cluster.send_invalid_requests, NAME)
+    await cluster.run(0.2)
 
 
-async def refused_wrongly(deck: Deck, patch: Patch) -> None:
-    """What can never run is malformed to this one."""
-    await one_job(deck)
-    answers(deck, 400, error="no")
-    deck.known.clear()
-    await deck.beside(deck.ask_oddly, NAME)
-    await deck.run(0.2)
+async def refused_wrongly(cluster: SimulatedCluster, patch: Patch) -> None:
+    """A controller calls a job malformed that could merely never run."""
+    await run_one_job(cluster)
+    answer_always(cluster, 400, error="no")
+    cluster.acknowledged.clear()
+    await cluster.spawn(cluster.send_invalid_requests, NAME)
+    await cluster.run(0.2)
 
 
-async def ran_twice(deck: Deck, patch: Patch) -> None:
-    """Silence is taken for an end long before a lease is over."""
+async def ran_twice(cluster: SimulatedCluster, patch: Patch) -> None:
+    """The service assumes that leases expire far too early."""
     patch.setattr(context.ControllerContext, "lease_expiry_s", property(lambda _: 0.5))
-    await one_job(deck, 4, 60.0)
-    deck.off |= {(i, machine) for machine, _ in deck.live(NAME) for i in range(3)}
-    await deck.run(8.0)
+    await run_one_job(cluster, 4, 60.0)
+    cluster.blocked_worker_links |= {
+        (i, machine) for machine, _ in cluster.live_tasks_of(NAME) for i in range(3)
+    }
+    await cluster.run(8.0)
 
 
-async def quota(deck: Deck, patch: Patch) -> None:
-    """The service knows another limit."""
-    await deck.run(4.0)
-    deck.limit = 4.0
-    await deck.beside(lambda: deck.submit(NAME, 4, 30.0, crew="blue"))
-    await deck.run(4.0)
+async def quota(cluster: SimulatedCluster, patch: Patch) -> None:
+    """The service has another limit configured."""
+    await cluster.run(4.0)
+    cluster.limit = 4.0
+    await cluster.spawn(lambda: cluster.submit(NAME, 4, 30.0, crew="blue"))
+    await cluster.run(4.0)
 
 
-async def wrong_place(deck: Deck, patch: Patch) -> None:
+async def wrong_place(cluster: SimulatedCluster, patch: Patch) -> None:
     """The service doesn't know that the job is bound to a zone."""
-    await deck.run(4.0)
-    await deck.beside(deck.submit, NAME, 8, 30.0)
-    await deck.run(0.1)
-    deck.jobs[NAME]["roost"] = "b"
-    await deck.run(4.0)
+    await cluster.run(4.0)
+    await cluster.spawn(cluster.submit, NAME, 8, 30.0)
+    await cluster.run(0.1)
+    cluster.jobs[NAME]["roost"] = "b"
+    await cluster.run(4.0)
 
 
-async def together_or_spread(deck: Deck, patch: Patch) -> None:
-    await deck.run(4.0)
-    await deck.beside(deck.submit, NAME, 12, 30.0)
-    await deck.run(0.1)
-    deck.jobs[NAME].update(spread=True, chores=2)
-    await deck.run(4.0)
+async def together_or_spread(cluster: SimulatedCluster, patch: Patch) -> None:
+    await cluster.run(4.0)
+    await cluster.spawn(cluster.submit, NAME, 12, 30.0)
+    await cluster.run(0.1)
+    cluster.jobs[NAME].update(spread=True, chores=2)
+    await cluster.run(4.0)
 
 
-async def ran_cancelled(deck: Deck, patch: Patch) -> None:
-    """Nothing is ever told to stop."""
-    plain = PlainWorker.execute
+async def ran_cancelled(cluster: SimulatedCluster, patch: Patch) -> None:
+    """Workers ignore stop commands."""
+    plain = FakeWorker.execute
 
-    def execute(worker: PlainWorker, command: api.Command) -> None:
+    def execute(worker: FakeWorker, command: api.Command) -> None:
         if command.op != api.STOP:
             plain(worker, command)
 
-    patch.setattr(PlainWorker, "execute", execute)
-    await one_job(deck, 2, 200.0)
-    await deck.beside(deck.cancel, NAME, (0,))
-    await deck.run(50.0)
+    patch.setattr(FakeWorker, "execute", execute)
+    await run_one_job(cluster, 2, 200.0)
+    await cluster.spawn(cluster.cancel, NAME, (0,))
+    await cluster.run(50.0)
 
 
-async def began_cancelled(deck: Deck, patch: Patch) -> None:
-    await one_job(deck, 2, 200.0)
-    await deck.beside(deck.cancel, NAME, (0,))
-    await deck.run(45.0)
-    worker = next(iter(deck.workers.values()))
+async def began_cancelled(cluster: SimulatedCluster, patch: Patch) -> None:
+    await run_one_job(cluster, 2, 200.0)
+    await cluster.spawn(cluster.cancel, NAME, (0,))
+    await cluster.run(45.0)
+    worker = next(iter(cluster.workers.values()))
     worker.execute(api.Command(api.START, f"{NAME}/0", 9))
-    await deck.run(0.2)
+    await cluster.run(0.2)
 
 
-async def waits(deck: Deck, patch: Patch) -> None:
-    """Nothing is planned any more."""
-    await deck.run(4.0)
+async def waits(cluster: SimulatedCluster, patch: Patch) -> None:
+    """Scheduling cycles place nothing."""
+    await cluster.run(4.0)
 
     async def plan() -> None:
         return None
 
-    for node in deck.nodes:
-        node.planner.run_cycle = plan  # type: ignore[method-assign, assignment]
-    await deck.beside(deck.submit, NAME, 2, 5.0)
-    await deck.run(1.0)
-    deck.calm()
-    await deck.run(95.0)
+    for controller in cluster.controllers:
+        controller.planner.run_cycle = plan  # type: ignore[method-assign, assignment]
+    await cluster.spawn(cluster.submit, NAME, 2, 5.0)
+    await cluster.run(1.0)
+    cluster.heal()
+    await cluster.run(95.0)
 
 
-async def unanswered(deck: Deck, patch: Patch) -> None:
-    await one_job(deck, lasts_s=500.0)
+async def unanswered(cluster: SimulatedCluster, patch: Patch) -> None:
+    await run_one_job(cluster, run_s=500.0)
     for number in range(3):
-        deck.shut.add(number)
-    patch.setattr(deck, "calm", lambda: None)
-    await told_all(deck, [NAME])
+        cluster.closed_to_users.add(number)
+    patch.setattr(cluster, "heal", lambda: None)
+    await wait_for_terminal_states(cluster, [NAME])
 
 
-CHECKS: list[tuple[Callable[[Deck, Patch], Any], str]] = [
+CHECKS: list[tuple[Callable[[SimulatedCluster, Patch], Any], str]] = [
     (repeat_refused, "forgotten: .* 422"),
     (count_falls, "went_back: .* has 0"),
     (back_from_done, "went_back: .* is running"),
@@ -204,11 +210,15 @@
 ]
 
 
-@pytest.mark.parametrize(("story", "broken"), CHECKS, ids=[c.__name__ for c, _ in CHECKS])
-def test_a_broken_service_is_found(
-    monkeypatch: Patch, story: Callable[[Deck, Patch], Any], broken: str
+@pytest.mark.parametrize(("scenario", "violation"), CHECKS, ids=[c.__name__ for c, _ in CHECKS])
+def test_an_injected_fault_is_detected(
+    monkeypatch: Patch, scenario: Callable[[SimulatedCluster, Patch], Any], violation: str
 ) -> None:
-    zones = ("a", "b", "a") if "zone" in str(story.__doc__) or "spread" in story.__name__ else None
-    deck = Deck(3, limit=24.0, zones=zones or ("a", "a", "a"))
-    with pytest.raises((Broken, AssertionError), match=broken):
-        play(monkeypatch, deck, story(deck, monkeypatch))
+    zones = (
+        ("a", "b", "a")
+        if "zone" in str(scenario.__doc__) or "spread" in scenario.__name__
+        else None
+    )
+    cluster = SimulatedCluster(3, limit=24.0, zones=zones or ("a", "a", "a"))
+    with pytest.raises((InvariantViolationError, AssertionError), match=violation):
+        run_simulation(monkeypatch, cluster, scenario(cluster, monkeypatch))
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -18,8 +18,8 @@
 from starlingdeck.storage import records
 from starlingdeck.storage.limiter import TokenBucket
 from starlingdeck.storage.state import put_change
-from tests.support.builders import Clock, make_world, spec
-from tests.support.reference_model import PlainClient, PlainState
+from tests.support.builders import Clock, make_context, spec
+from tests.support.reference_model import FakeStateClient, FakeStateService
 
 
 def job(context: ControllerContext, name: str, age_s: float, **other: object) -> Job:
@@ -34,7 +34,7 @@
 
 def test_jobs_late_for_every_objective_go_last() -> None:
     """In a backlog late jobs went first, in order of slack, and made the next ones late too."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     late = job(context, "j-000001", 95.0, guess_s=40.0)
     tight = job(context, "j-000002", 40.0, guess_s=40.0)
     fresh = job(context, "j-000003", 0.0, guess_s=40.0)
@@ -44,7 +44,7 @@
 
 
 def test_smaller_of_equal_jobs_goes_first() -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     large = job(context, "j-000001", 1.0, chores=70)
     small = job(context, "j-000002", 0.0, chores=4)
     assert priority.priority_order(context, [large, small], context.wall_clock_ms()) == [
@@ -55,7 +55,7 @@
 
 def test_preempting_tasks_share_machines_and_respect_spreading() -> None:
     """All tasks of a spread job were assigned by one count of its zones, taken before."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     candidates = [
         Candidate(i, 0, i % 2, False, 0, (4.0, 0.0, 16.0), [0.0, 0.0, 0.0]) for i in range(8)
     ]
@@ -71,7 +71,7 @@
 
 def test_preemption_plan_asks_a_machine_for_no_more_than_its_capacity() -> None:
     """Similar jobs asked the same machines in one cycle, and too much was stopped for them."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     total, ages = (4.0, 0.0, 16.0), [5.0, -1.0, -1.0, -1.0]
     candidates = [Candidate(i, 0, 0, False, 0, total, [0.0] * 3, youngest_s=ages) for i in range(3)]
     asked = preemption_plan(context, candidates, limit=5)
@@ -90,7 +90,7 @@
 def test_only_machines_with_preemptible_work_are_asked() -> None:
     """On a full fleet every machine was asked, and nearly all had nothing to preempt."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
 
     def candidate_with(*ages: float) -> Candidate:
         return Candidate(
@@ -116,9 +116,9 @@
 
 def test_urgent_starts_are_recorded_first_and_alone() -> None:
     """Replicas waited for the record of their start behind the submissions of a busy minute."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     shard = JobShard(context, 0, 3, 9)
-    writer = RecordWriter(context, PlainClient(PlainState(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
+    writer = RecordWriter(context, FakeStateClient(FakeStateService(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
     low, high = job(context, "j-000001", 9.0), job(context, "j-000002", 0.0, rank="prod")
     for one in (low, high):
         one.key_versions[0] = 1
@@ -137,13 +137,13 @@
     """Chosen before the wait for it, each start of a job was a write of its own, and replicas
     waited behind what had been chosen first."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     limiter = TokenBucket(10.0, 1.0, clock.now)
     limiter.tokens = 0.5
-    client = PlainClient(PlainState(random.Random(1)), 0.0)
+    client = FakeStateClient(FakeStateService(random.Random(1)), 0.0)
     client.writable = limiter.available  # type: ignore[method-assign]
     client.state.apply({}, [put_change(records.shard_key(0), 1)])
-    shard = JobShard(context, 0, client.state.epoch, 9)
+    shard = JobShard(context, 0, client.state.revision, 9)
     shard.loaded = True
     writer = RecordWriter(context, client, shard)  # type: ignore[arg-type]
     low, high = job(context, "j-000001", 9.0), job(context, "j-000002", 0.0, rank="prod")
@@ -169,16 +169,16 @@
     clock.at += 1.0
     assert curio.run(writer.flush)
     assert list(low.placements) == [0, 1]
-    assert client.state.epoch == shard.token + 2
+    assert client.state.revision == shard.token + 2
 
 
 def test_starts_still_being_reserved_are_recorded_with_the_first() -> None:
     """Each owner's answer was a write of its own, two or three a service, and in a day's first
     seconds the changes a second are what starts wait for."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     shard = JobShard(context, 0, 3, 9)
-    writer = RecordWriter(context, PlainClient(PlainState(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
+    writer = RecordWriter(context, FakeStateClient(FakeStateService(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
     service = job(context, "j-000001", 0.0, shape="daemon", rank="prod")
     service.key_versions[0] = 1
     service.pending_starts[0] = TaskPlacement(
@@ -197,7 +197,7 @@
 
 def test_preemption_is_requested_where_the_least_work_is_lost() -> None:
     """Machines asked at random gave up work that had run for half its time."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     now = context.now()
 
     def candidate_with(index: int, *youngest_s: float) -> Candidate:
@@ -221,7 +221,7 @@
 
 def test_replicas_do_not_pile_up_on_the_machine_with_the_fastest_fetch() -> None:
     """Many replicas were on one large machine, and were gone at once when it died."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     candidates = [
         Candidate(
             i,
@@ -251,36 +251,36 @@
     """In a flood of urgent starts nothing else was written: ends, which free limits and finish
     jobs, waited for its end. Of those passed over, the team that wrote least lately goes first."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     shard = JobShard(context, 0, 3, 9)
-    writer = RecordWriter(context, PlainClient(PlainState(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
+    writer = RecordWriter(context, FakeStateClient(FakeStateService(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
     context.machine_names.intern("vm-0")
     context.zone_names.intern("a")
-    flood = job(context, "j-000001", 0.0, rank="urgent", crew="red")
+    cluster = job(context, "j-000001", 0.0, rank="urgent", crew="red")
     ended = [job(context, f"j-00000{n}", 9.0 - n, crew=c) for n, c in ((2, "red"), (3, "blue"))]
-    for one in (flood, *ended):
+    for one in (cluster, *ended):
         one.key_versions[0] = 1
         shard.adopt(one)
     for one in ended:
         one.placements[0] = TaskPlacement(0, 1, 1, 0, 0)
         one.pending_ends[0] = api.W_DONE
-    writer.batches.spent[flood.team] = 50.0
+    writer.batches.spent[cluster.team] = 50.0
     seen: list[list[Job]] = []
     for _ in range(8):
         clock.at += 0.4
-        flood.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
-        shard.dirty_jobs.add(flood.index)
+        cluster.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
+        shard.dirty_jobs.add(cluster.index)
         batch, _, urgent = writer.batches.select()
         assert urgent
         seen.append([d.job for d in batch])
         for update in batch:  # as if written; its next start and the next ends are there at once
             del writer.batches.since[update.job.index]
-    assert seen == [*[[flood]] * 3, [ended[1], ended[0], flood]] * 2
+    assert seen == [*[[cluster]] * 3, [ended[1], ended[0], cluster]] * 2
 
 
 def test_idle_work_leaves_headroom_unless_prioritized() -> None:
     """It used all that others left free, and whatever came next had to preempt some of it."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     total = (16.0, 0.0, 64.0)
     candidates = [
         Candidate(n, context.type_names.intern("big"), 0, False, 0, total, [*total])
@@ -298,7 +298,7 @@
 
 def test_starving_job_goes_first_with_one_task() -> None:
     """A class's largest jobs waited for as long as smaller and more urgent ones came."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     now = context.wall_clock_ms()
     old = new_job(
         context, spec("j-1", rank="idle", chores=99), 0, now - int(STARVATION_S * 1000) - 1
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -8,7 +8,7 @@
 from starlingdeck.machines.shard_state import DELETED_RETENTION_S
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
-from tests.support.builders import Clock, make_world, spec
+from tests.support.builders import Clock, make_context, spec
 
 
 def request_capacity(
@@ -24,7 +24,7 @@
     """A preempted task came back into the capacity freed for another before that one requested
     it again, and was preempted again, up to eleven times."""
     clock = Clock()
-    machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
+    machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
 
     def report(seq: int, *tasks: api.ReportTask, renews: bool = False) -> None:
         body = api.Report("vm-1", "x", "small", "a", 1, seq, 3, tasks=list(tasks))
@@ -71,7 +71,7 @@
 def test_a_task_is_preempted_without_saving_when_the_new_one_cannot_wait() -> None:
     """A replica with 2 s to start waited 3 s for an array's task to save."""
     clock = Clock()
-    machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
+    machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     low = {"cores": 4.0, "chores": 1, "rank": "normal", "mark_s": 10.0, "stash_s": 3.0}
     request_capacity(machines, "j-1", False, **low)
     tasks = [api.ReportTask("j-1/0", 1, "running")]
@@ -91,7 +91,7 @@
 def test_jobs_without_tasks_here_are_pruned() -> None:
     """What was known of a job stayed for as long as the shard was owned."""
     clock = Clock()
-    machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
+    machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
     for number in range(50):
         request_capacity(machines, f"j-{number}", False, chores=1)
@@ -117,7 +117,7 @@
     """Delayed reports of a session long over revived it; tasks were placed there, freed by the
     next delayed report, which showed a newer session, and placed again."""
     clock = Clock()
-    machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
+    machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
 
     def report(session: int, seq: int, renews: bool = True) -> None:
         machines.apply_report(api.Report("vm-1", "x", "small", "a", session, seq, 3), renews)
@@ -160,7 +160,7 @@
     command to one of them hangs: two hundred at once would leave no socket for the state
     service."""
     clock = Clock()
-    machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
+    machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     for number in range(3 * MAX_PROBES):
         machines.apply_report(api.Report(f"vm-{number}", "x", "small", "a", 1, 1, 3), True)
     first = machines.reconcile()
@@ -195,7 +195,7 @@
 def test_unchanged_reports_are_answered_with_the_commands_that_became_due() -> None:
     """An unchanged report is skipped, as most are; a stop desired since then must be sent."""
     clock = Clock()
-    machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
+    machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     seq = iter(range(1, 99))
 
     def commands_after(*tasks: api.ReportTask) -> list[str]:
@@ -234,7 +234,7 @@
 def test_protected_tasks_stay_and_capacity_accumulates_for_one_task_at_a_time() -> None:
     """Small tasks took all capacity that came free, and a larger one never fitted."""
     clock = Clock()
-    machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
+    machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
     small = {"cores": 1.0, "chores": 1, "rank": "urgent"}
     for n in range(2, 6):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -17,14 +17,14 @@
     StateError,
     TransactionConflictError,
 )
-from tests.support.builders import Clock, make_world
-from tests.support.reference_model import PlainState
+from tests.support.builders import Clock, make_context
+from tests.support.reference_model import FakeStateService
 
 NODES = 3
 TICK_S = 0.2
 
 
-class LeasedState(PlainState):
+class LeasedState(FakeStateService):
     """A state service with keys attached to leases, and a history to watch."""
 
     def __init__(self, clock: Clock) -> None:
@@ -51,10 +51,10 @@
             key = change.put or change.delete or ""
             self.attached.pop(key, None)
             if change.put is None:
-                self.history.append(api.Event(self.epoch, delete=key))
+                self.history.append(api.Event(self.revision, delete=key))
                 continue
             value = msgspec.Raw(msgspec.json.encode(change.value))
-            self.history.append(api.Event(self.epoch, key, value))
+            self.history.append(api.Event(self.revision, key, value))
             if change.lease is not None:
                 self.attached[key] = change.lease
         return failed
@@ -102,7 +102,7 @@
         self._answer()
         if failed:
             raise TransactionConflictError(failed)
-        return state.epoch
+        return state.revision
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
         state = self._call()
@@ -112,12 +112,12 @@
             for key, (value, stamp) in sorted(state.keys.items())
             if key.startswith(prefix)
         ]
-        return found, state.epoch
+        return found, state.revision
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> api.Events:
         state = self._call()
         self._answer()
-        return api.Events([e for e in state.history if e.version > after], state.epoch)
+        return api.Events([e for e in state.history if e.version > after], state.revision)
 
 
 class IgnoringHooks:
@@ -152,7 +152,7 @@
         self.owners: dict[int, ShardOwner] = {}  # of each shard, as last checked
 
     def start(self, number: int) -> Membership:
-        context = make_world(self.clock, seed=self.clock.wall_ms() + number, node=number)
+        context = make_context(self.clock, seed=self.clock.wall_ms() + number, node=number)
         client: Any = self.clients[number]
         return Membership(context, client, IgnoringHooks())
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,7 +18,7 @@
 from starlingdeck.scheduling.candidate_pool import UNANSWERED_RETENTION_S
 from starlingdeck.scheduling.overload import OverloadController
 from starlingdeck.scheduling.planner import MAX_STRETCH_S
-from tests.support.builders import Clock, make_world, spec
+from tests.support.builders import Clock, make_context, spec
 
 
 def overloaded(node: Controller, *jobs: Job) -> OverloadController:
@@ -47,7 +47,7 @@
 
 def planning_controller(clock: Clock, *machines: pb.MachineState) -> tuple[Controller, JobShard]:
     """A controller that owns job shard 0; machine shard 2 belongs to a reachable peer."""
-    node = Controller(make_world(clock))
+    node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
     jobs = JobShard(node.context, 0, 3, 9)
     jobs.loaded = True
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -5,7 +5,7 @@
 import pytest
 
 from starlingdeck.admission.quota import ZERO, Quota, ResourceAmount
-from tests.support.builders import Clock, make_world
+from tests.support.builders import Clock, make_context
 
 LIMIT = 24.0  # team "blue" of tests.support.builders
 
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_use_never_exceeds_the_limit(seed: int) -> None:
     rng = random.Random(seed)
-    context = make_world(Clock())
+    context = make_context(Clock())
     stored: tuple[list[ResourceAmount], int] = ([], 0)  # value and version of the key
     late: list[tuple[list[ResourceAmount], int]] = []  # writes applied after their sender gave up
     controllers = [Quota(context) for _ in range(3)]
@@ -54,7 +54,7 @@
 
 
 def test_a_job_of_nearly_the_whole_limit_gets_its_quota() -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     quota = Quota(context)
     for giver in (1, 2):
         after = quota.transfer(0, giver, 0, ResourceAmount(12.0, 0.0), ZERO)
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -22,7 +22,7 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.storage.records import TASKS_PER_CHUNK, ShardValue
-from tests.support.builders import Clock, make_world, spec
+from tests.support.builders import Clock, make_context, spec
 
 
 @dataclass
@@ -35,7 +35,7 @@
     seq: int = 0
 
     def __post_init__(self) -> None:
-        self.world: ControllerContext = make_world(self.clock)
+        self.world: ControllerContext = make_context(self.clock)
         self.jobs = JobShard(self.world, shard_of_job("j-000001", 3), 3, 9)
         self.machines = self.change_owner()
 
@@ -317,7 +317,7 @@
 def test_thousands_of_jobs_that_fail_everywhere_mark_a_limited_number_of_machines() -> None:
     """And a faulty machine is recognised in spite of them."""
     clock = Clock()
-    machines = MachineShard(make_world(clock), 0, 3, 9, 0.0)
+    machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     rng = random.Random(4)
     for number in range(4000):
         vm = f"vm-{number % 40}"
@@ -369,7 +369,7 @@
     """A controller took a shard over from one that is partitioned and goes on answering its
     workers, crashed and restarted at once: it took its own key over, and expired leases at once."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     taken = ShardValue(0, 7, context.wall_clock_ms() + int(context.outage_renewal_s * 1000))
     off_s = 2 * context.settings.settings.skew_ms / 1000
     for later, left in (
@@ -388,7 +388,7 @@
     """The owner was partitioned from its workers and the third controller was down: a worker was
     back 10 s after its redirect, 2 s too late to be recognised, and was redirected each time."""
     clock = Clock()
-    node = Controller(make_world(clock, zones=("a",) * 3, node=1))
+    node = Controller(make_context(clock, zones=("a",) * 3, node=1))
     names = [f"vm-{i}" for i in range(40)]
     mine = [n for n in names if shard_of_machine(n, "a", ("a",) * 3) == 0]
     node.membership.owners[0] = ShardOwner(0, 7, 7)
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -21,14 +21,19 @@
 from starlingdeck.storage.state import put_change
 from starlingdeck.transport.client import Reply
 from starlingdeck.transport.server import Request
-from tests.support.builders import Clock, job_body, make_world, spec
-from tests.support.reference_model import Model, PlainClient, PlainState, PlainWorker
+from tests.support.builders import Clock, job_body, make_context, spec
+from tests.support.reference_model import (
+    FakeStateClient,
+    FakeStateService,
+    FakeWorker,
+    ReferenceModel,
+)
 
 VALUE_BYTES, TXN_BYTES = 16 * 1024, 64 * 1024
 GOOD = "j-000001"
 
 
-class StrictClient(PlainClient):
+class StrictClient(FakeStateClient):
     """Holds callers to the state service's limits."""
 
     async def transact(
@@ -45,16 +50,16 @@
         return await super().transact(conditions, changes, urgent)
 
 
-class WorkerModel(Model):
+class WorkerModel(ReferenceModel):
     """The part of the reference model that a worker needs."""
 
     def __init__(self) -> None:
         self.finished = set()
 
-    def launched(self, name: str) -> None:
+    def on_task_launched(self, name: str) -> None:
         pass
 
-    def begins(self, worker: PlainWorker, name: str) -> None:
+    def on_task_started(self, worker: FakeWorker, name: str) -> None:
         pass
 
 
@@ -63,14 +68,14 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.state = PlainState(random.Random(1))
+        self.state = FakeStateService(random.Random(1))
         self.client = StrictClient(self.state, 0.0)
         self.workers = {
-            f"w-{i}:1": PlainWorker(f"vm-{i}", "a", WorkerModel(), slots=400) for i in range(3)
+            f"w-{i}:1": FakeWorker(f"vm-{i}", "a", WorkerModel(), slots=400) for i in range(3)
         }
 
     async def start(self) -> None:
-        self.node = node = Controller(make_world(self.clock, zones=("a",)))
+        self.node = node = Controller(make_context(self.clock, zones=("a",)))
         node.state = node.job_api.services.state = node.membership.ownership.state = self.client  # type: ignore
         node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, self.clock.at
         found = self.state.keys.get(records.shard_key(0), (b"", 0))[1]
@@ -83,7 +88,7 @@
             address: str, method: str, path: str, body: bytes | None, timeout_s: float
         ) -> Reply:
             orders = msgspec.json.decode(body or b"", type=api.Commands)
-            status, report = self.workers[address].do(orders)
+            status, report = self.workers[address].handle_commands(orders)
             return Reply(status, self.body(address, report), None)
 
         node.http.call = call  # type: ignore[method-assign]
@@ -120,7 +125,7 @@
                     "POST", api.REPORT, self.body(address, worker.report())
                 )
                 assert status == 200, reply
-                worker.answer(msgspec.convert(reply, api.ReportReply), session, sent_at)
+                worker.handle_reply(msgspec.convert(reply, api.ReportReply), session, sent_at)
                 worker.progress(self.state.rng)
             await node.planner.run_cycle()
             for _ in range(3):
@@ -387,4 +392,4 @@
         with pytest.raises(api.ValidationError, match=names):
             api.decode_job(msgspec.json.encode(job_body(**change)))
     wide = spec(builds=["é" * 120] * 60)
-    assert "of 4000 allowed" in submission.oversize_reason(make_world(Clock()), wide)
+    assert "of 4000 allowed" in submission.oversize_reason(make_context(Clock()), wide)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -226,8 +226,8 @@
     path.write_text(text)
     with pytest.raises(ConfigError) as error:
         load(path)
-    told = "\n".join(error.value.lines)
-    assert all(one in told for one in faults), told
+    answer = "\n".join(error.value.lines)
+    assert all(one in answer for one in faults), answer
 
 
 def test_the_plans_that_are_there_can_be_played() -> None:
@@ -389,9 +389,9 @@
         await state.handle(Request("POST", api.TXN, body))
         lapse = await curio.spawn(state.lapse, daemon=True)
         query = f"{api.WATCH}?prefix=c/&after={state.epoch}&block_ms=3000"
-        told = msgspec.json.decode((await state.handle(Request("GET", query, b""))).body)
+        answer = msgspec.json.decode((await state.handle(Request("GET", query, b""))).body)
         await lapse.cancel()
-        return len(state.keys), [e.get("delete") for e in told["events"]]
+        return len(state.keys), [e.get("delete") for e in answer["events"]]
 
     assert curio.run(drive) == (0, ["c/n"])
 
@@ -403,9 +403,9 @@
 def test_an_id_says_what_its_job_is(kind: int) -> None:
     name = workload.job_id(kind, 339, 12.5, 42)
     assert api.JOB_ID.fullmatch(name)
-    told = workload.describe(name)
-    assert (told.kind, told.team, told.service) == (kind, 339, kind == workload.SERVICE)
-    if not told.service:
+    answer = workload.describe(name)
+    assert (answer.kind, answer.team, answer.service) == (kind, 339, kind == workload.SERVICE)
+    if not answer.service:
         runs = [workload.run_s(f"{name}/{i}") for i in range(200)]
         assert 12.5 * 0.7 <= min(runs) < max(runs) <= 12.5 * 1.3
         assert runs == [workload.run_s(f"{name}/{i}") for i in range(200)]
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -14,7 +14,7 @@
 from starlingdeck.protocol.config import Objective, Team
 from starlingdeck.scheduling import guarantees, scheduler
 from starlingdeck.scheduling.guarantees import TeamJob
-from tests.support.builders import Clock, make_world, spec
+from tests.support.builders import Clock, make_context, spec
 
 amounts = st.integers(1, 8).map(float)
 
@@ -103,7 +103,7 @@
     jobs: list[tuple[int, int, int]],
 ) -> None:
     """A backlog of normal work took up its team's guarantee, and its urgent work waited."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     found = [TeamJob(0, at, f"j-{i}", float(c), 0.0, r) for i, (at, c, r) in enumerate(jobs)]
     inside = guarantees.guaranteed_jobs(context, found)
     total = 0.0
@@ -123,7 +123,7 @@
     jobs: list[tuple[int, int, int, int]],
 ) -> None:
     """Each sends only its jobs that bear on them; together they decide as all jobs would."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     found = [
         TeamJob(team, at, f"j-{i:02d}", float(cpus), 0.0, rank)
         for i, (team, at, cpus, rank) in enumerate(jobs)
@@ -138,7 +138,7 @@
 
 def test_a_guarantee_is_its_own_teams() -> None:
     """The first team's lack of one was taken for the second's: it had all processors."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     teams = [Team("red"), Team("blue", cpus=8.0)]
     deployment = msgspec.structs.replace(context.settings.settings, teams=teams)
     context.settings = msgspec.structs.replace(context.settings, settings=deployment)
@@ -156,7 +156,7 @@
 
 
 def test_spread_keeps_at_most_half_rounded_up_in_a_zone() -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     job = new_job(context, spec(chores=5, spread=True, cores=1.0), 0, 0)
     candidates = [
         Candidate(
@@ -173,7 +173,7 @@
 
 
 def test_a_job_with_a_wait_objective_preempts_once_where_its_image_is() -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     context.settings.settings.objectives.append(Objective("wait", "batch", 1.0, 0.8))
     job = new_job(context, spec(chores=1, rank="prod", image_gb=8.0), 0, 0)
     total = (16.0, 0.0, 64.0)
@@ -197,7 +197,7 @@
 
 
 def test_one_zone_job_never_leaves_its_first_zone() -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     job = new_job(context, spec(chores=4, same_place=True), 0, 0)
     candidates = [
         Candidate(i, 0, i, False, i, (16.0, 0.0, 64.0), [4.0, 0.0, 64.0]) for i in range(2)
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -25,9 +25,9 @@
 from starlingdeck.sync.state_sync import SnapshotResult
 from starlingdeck.transport import frames
 from starlingdeck.transport.frames import FrameLink, FrameServer, dial
-from tests.support.builders import Clock, make_world, spec
+from tests.support.builders import Clock, make_context, spec
 from tests.support.ports import free_port
-from tests.support.reference_model import PlainClient, PlainState, at_once
+from tests.support.reference_model import FakeStateClient, FakeStateService, run_without_waiting
 
 
 def report(name: str, seq: int = 1, token: int = 5) -> api.Report:
@@ -36,7 +36,7 @@
 
 def test_a_snapshot_after_a_missed_one_needs_a_resync() -> None:
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     machines = MachineShard(context, 1, 5, 77, 0.0)
     snapshots: dict[int, ShardSnapshot] = {}
     machines.apply_report(report("vm-1"), True)
@@ -61,7 +61,7 @@
 ]:
     """A job whose task is recorded on vm-1, in desired state that the machine's owner has received
     but not yet reconciled; the owner has published the machine before."""
-    context = make_world(Clock())
+    context = make_context(Clock())
     machines = MachineShard(context, 1, 5, 77, 0.0)
     jobs = JobShard(context, shard_of_job("j-000001", 3), 3, 9)
     job = new_job(context, spec("j-000001"), jobs.shard, 0)
@@ -117,7 +117,7 @@
 
 
 def test_desired_state_is_incremental_and_full_for_a_new_epoch() -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     machines = MachineShard(context, 1, 5, 77, 0.0)
     jobs = JobShard(context, 0, 3, 9)
     job = new_job(context, spec("j-000001", chores=200), 0, 0)
@@ -147,13 +147,13 @@
 
 def test_a_relayed_text_of_many_parts_arrives() -> None:
     """A text beyond a value's limit was dropped: a partitioned zone lost the relay it needed."""
-    state = PlainState(random.Random(3))
-    ours, theirs = Controller(make_world(Clock())), Controller(make_world(Clock(), node=1))
+    state = FakeStateService(random.Random(3))
+    ours, theirs = Controller(make_context(Clock())), Controller(make_context(Clock(), node=1))
     payload = random.Random(5).randbytes(40_000)
     text = encode_batch(
         [pb.Envelope(sender=0, forward_request=pb.ForwardRequest(method="x", body=payload))]
     )
-    ours.state_sync.relay.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+    ours.state_sync.relay.state = FakeStateClient(state, 0.0)  # type: ignore[assignment]
     curio.run(ours.state_sync.write_relay, 1, text)
     parts = {k: v for k, (v, _) in state.keys.items() if k.startswith(records.RELAY)}
     limit = ours.context.settings.settings.state.value_kb * 1000
@@ -165,7 +165,7 @@
         received.append(envelope)
 
     completed = [
-        at_once(theirs.state_sync.receive_relay(key, msgspec.Raw(value), receive))
+        run_without_waiting(theirs.state_sync.receive_relay(key, msgspec.Raw(value), receive))
         for key, value in sorted(parts.items(), reverse=True)
     ]
     assert completed == [False] * (len(parts) - 1) + [True]
@@ -175,7 +175,7 @@
 def test_parts_of_two_relayed_texts_do_not_mix() -> None:
     """A text that waited to be written continued under a newer one's number: the receiver put
     parts of both together."""
-    ours, theirs = Controller(make_world(Clock())), Controller(make_world(Clock(), node=1))
+    ours, theirs = Controller(make_context(Clock())), Controller(make_context(Clock(), node=1))
     payloads = [random.Random(i).randbytes(90_000) for i in range(2)]
     texts = [
         encode_batch([pb.Envelope(sender=0, forward_request=pb.ForwardRequest(body=n))])
@@ -184,7 +184,7 @@
     arrived: list[list[api.Change]] = []
     waits = [0.02, 0.0, 0.0, 0.0, 0.0, 0.0]  # the first one's first pieces, then the second's
 
-    class Slow(PlainClient):
+    class Slow(FakeStateClient):
         async def transact(
             self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
         ) -> int:
@@ -198,7 +198,7 @@
         received.append(envelope.forward_request.body)
 
     async def write() -> None:
-        ours.state_sync.relay.state = Slow(PlainState(random.Random(1)), 0.0)  # type: ignore[assignment]
+        ours.state_sync.relay.state = Slow(FakeStateService(random.Random(1)), 0.0)  # type: ignore[assignment]
         first = await curio.spawn(ours.state_sync.write_relay, 1, texts[0])
         await curio.sleep(0)
         second = await curio.spawn(ours.state_sync.write_relay, 1, texts[1])
@@ -210,11 +210,11 @@
     for changes in arrived:
         for change in changes:
             value = msgspec.Raw(msgspec.json.encode(change.value))
-            at_once(theirs.state_sync.receive_relay(change.put or "", value, receive))
+            run_without_waiting(theirs.state_sync.receive_relay(change.put or "", value, receive))
     assert set(received) <= set(payloads)
     for change in [c for changes in arrived for c in changes if c.value.sequence == 2]:
         value = msgspec.Raw(msgspec.json.encode(change.value))
-        at_once(theirs.state_sync.receive_relay(change.put or "", value, receive))
+        run_without_waiting(theirs.state_sync.receive_relay(change.put or "", value, receive))
     assert payloads[1] in received
 
 
@@ -261,7 +261,7 @@
 def test_a_full_snapshot_of_4000_full_machines_passes_over_a_link() -> None:
     """It was larger than a link's backlog: the link was closed and dialled again, for ever."""
     clock = Clock()
-    ours, theirs = Controller(make_world(clock, node=1)), Controller(make_world(clock))
+    ours, theirs = Controller(make_context(clock, node=1)), Controller(make_context(clock))
     shard = full_shard(ours, 4_000)
 
     def names() -> list[str]:
@@ -311,7 +311,7 @@
 def test_differences_add_up_to_the_whole(steps: list[tuple[str, int, int]]) -> None:
     """Reports, deletions, reservations, time and lost views, against the view made whole."""
     clock = Clock()
-    context = make_world(clock)
+    context = make_context(clock)
     machines = MachineShard(context, 1, 5, 77, 0.0)
     snapshots: dict[int, ShardSnapshot] = {}
     job = job_message(new_job(context, spec("j-000001", cores=2.0), 1, 0))
@@ -356,7 +356,7 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("pppelcw"), st.integers(0, 7)), max_size=30))
 def test_desired_state_matches_the_recorded_placements(steps: list[tuple[str, int]]) -> None:
-    context = make_world(Clock())
+    context = make_context(Clock())
     jobs = JobShard(context, 0, 3, 9)
     machines = MachineShard(context, 1, 5, 77, 0.0)
     context.zone_names.intern("b")
@@ -399,7 +399,7 @@
 def test_machines_known_only_to_a_former_owner_are_forgotten() -> None:
     """They stayed in the candidate pool: chosen in vain, and never removed."""
     clock = Clock()
-    node = Controller(make_world(clock))
+    node = Controller(make_context(clock))
     for epoch, names in ((77, ("vm-1", "vm-2")), (78, ()), (78, ("vm-2",))):
         machines = MachineShard(node.context, 1, 5, epoch, 0.0)
         node.membership.owners[1] = ShardOwner(1, epoch, epoch)
--- a/tests/test_status_answers.py
+++ b/tests/test_status_answers.py
@@ -20,8 +20,8 @@
 from starlingdeck.storage import records
 from starlingdeck.storage.state import OutcomeUnknownError, StateError, put_change
 from starlingdeck.transport.server import Request, Response
-from tests.support.builders import Clock, job_body, make_world
-from tests.support.reference_model import PlainClient, PlainState
+from tests.support.builders import Clock, job_body, make_context
+from tests.support.reference_model import FakeStateClient, FakeStateService
 
 NODES = 3
 TTL_S = 2.5
@@ -35,8 +35,8 @@
 
     def __init__(self, seed: int) -> None:
         self.clock = Clock()
-        self.state = PlainState(random.Random(seed))
-        self.clients = [PlainClient(self.state, 0.0) for _ in range(NODES)]
+        self.state = FakeStateService(random.Random(seed))
+        self.clients = [FakeStateClient(self.state, 0.0) for _ in range(NODES)]
         self.nodes = [self.start(i) for i in range(NODES)]
         self.parted: set[frozenset[int]] = set()
         self.watch_paused: set[int] = set()
@@ -45,7 +45,7 @@
         self.accepted = False
 
     def start(self, number: int) -> Controller:
-        node = Controller(make_world(self.clock, node=number))
+        node = Controller(make_context(self.clock, node=number))
         node.state = node.job_api.services.state = self.clients[number]  # type: ignore[assignment]  # a test double
         node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, self.clock.at
 
@@ -88,7 +88,7 @@
         epoch = self.state.rng.getrandbits(40)
         change = put_change(records.shard_key(SHARD), records.ShardValue(self.owner, epoch))
         assert not self.state.apply({records.shard_key(SHARD): 0}, [change])
-        node, token = self.nodes[self.owner], self.state.epoch
+        node, token = self.nodes[self.owner], self.state.revision
         writer = RecordWriter(node.context, node.state, JobShard(node.context, SHARD, token, epoch))
         node.writers[SHARD] = writer
         await node.shard_loader.load(writer)
@@ -114,9 +114,9 @@
         elif verb == "pause_watch":
             self.watch_paused ^= {number}
         elif verb == "trouble":
-            client.trouble = 0.0 if client.trouble else 0.6
-        elif verb == "late" and self.state.late:
-            self.state.apply(*self.state.late.pop(0))
+            client.failure_rate = 0.0 if client.failure_rate else 0.6
+        elif verb == "late" and self.state.delayed_transactions:
+            self.state.apply(*self.state.delayed_transactions.pop(0))
         elif verb == "restart":
             # Back within a fraction of a second: what it has sent may still be executed.
             self.nodes[number] = self.start(number)
@@ -143,7 +143,7 @@
         self.parted.clear()
         self.watch_paused.clear()
         for client in self.clients:
-            client.cut, client.trouble = False, 0.0
+            client.cut, client.failure_rate = False, 0.0
         asked, began = set(range(NODES)), self.clock.at
         while asked:
             assert self.clock.at - began < FORGOTTEN_S, "forgotten"
@@ -361,7 +361,7 @@
         tasks = []
         for _ in range(5):
             cluster[0].state.apply({}, [put_change(key, 1)])
-            version = cluster[0].state.epoch
+            version = cluster[0].state.revision
             tasks += [
                 await curio.spawn(node.mailbox.handle_entry, writer, JOB, key, version)
                 for _ in range(9)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -21,7 +21,7 @@
 from starlingdeck.transport.frames import MAX_FRAME, FrameLink, LinkBusyError, dial
 from starlingdeck.transport.listener import listen
 from starlingdeck.transport.server import HttpServer, Request, Response
-from tests.support.builders import Clock, make_world
+from tests.support.builders import Clock, make_context
 from tests.support.ports import free_port
 
 
@@ -47,7 +47,7 @@
 
 def test_a_call_ends_with_its_link() -> None:
     """Submissions passed on to a controller that crashed waited 1 s for nothing."""
-    controller = Controller(make_world(Clock()))
+    controller = Controller(make_context(Clock()))
 
     async def cut() -> str:
         crash = curio.Event()
@@ -136,7 +136,7 @@
         async def nothing(*_: object) -> None:
             pass
 
-        peers = Peers(make_world(Clock()), nothing, pb.Gossip, nothing)  # type: ignore[arg-type]
+        peers = Peers(make_context(Clock()), nothing, pb.Gossip, nothing)  # type: ignore[arg-type]
         peers.send = failing  # type: ignore[method-assign]
         task = await curio.spawn(peers._keep_link, 1, address, daemon=True)
         await curio.sleep(0.2)
