--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 import curio
 import msgspec
@@ -34,6 +34,8 @@
 TICK_S = 0.25
 REPORT_INTERVAL_S = 1.0
 GOSSIP_INTERVAL_S = 0.5
+SMALL_MACHINES = 12  # of 4 cores
+BIG_MACHINES = 4  # of 16 cores
 TAKEOVER_DELAY_S = 3.0  # from a crash to the failover
 
 
@@ -110,16 +112,13 @@
         arrivals: Callable[[int, random.Random], list[api.JobSpec]],
         overload: OverloadSettings | None,
         controllers: int = 3,
-        small: int = 12,
-        big: int = 4,
         gossip_loss_share: float = 0.0,
-        teams: list[Team] | None = None,
     ) -> None:
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.arrivals = arrivals
         self.gossip_loss_share = gossip_loss_share
-        self.teams = teams or [Team("red"), Team("blue")]
+        self.teams = [Team("red"), Team("blue")]
         self.tuning = Tuning(overload=overload)
         self.zones = ("a",) * controllers
         self.state = FakeStateService(self.rng)
@@ -132,8 +131,13 @@
         self.down: dict[int, float] = {}  # controller -> when it crashed
         self.messages: list[tuple[float, int, pb.Envelope]] = []
         self.controllers = [self.make_controller(i) for i in range(controllers)]
-        self.workers = [SimulatedWorker(f"vm-{i}", "small", 4.0, self) for i in range(small)]
-        self.workers += [SimulatedWorker(f"vm-{small + i}", "big", 16.0, self) for i in range(big)]
+        self.workers = [
+            SimulatedWorker(f"vm-{i}", "small", 4.0, self) for i in range(SMALL_MACHINES)
+        ]
+        self.workers += [
+            SimulatedWorker(f"vm-{SMALL_MACHINES + i}", "big", 16.0, self)
+            for i in range(BIG_MACHINES)
+        ]
         self.token = 10
 
     def make_controller(self, number: int) -> Controller:
@@ -149,7 +153,8 @@
         controller.membership.live_nodes = dict.fromkeys(range(len(self.zones)), 0.0)
         controller.peers.started_at = self.clock.at
 
-        async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
+        # In place of Peers.call, hence the unused timeout.
+        async def call(to: int, envelope: pb.Envelope, _timeout_s: float) -> pb.Envelope:
             if not self.is_connected(number, to):
                 raise PeerUnavailableError("partitioned")
             envelope.sender = number
@@ -327,10 +332,17 @@
         return sum(n in self.started for n in names), len(names)
 
 
-def array(
-    number: int, cls: str, rank: str, team: str, tasks: int, cpus: float, run_s: float
-) -> api.JobSpec:
+class JobClass(NamedTuple):
+    """What objectives, quota and preemption go by."""
+
+    name: str
+    rank: str
+    team: str
+
+
+def array(number: int, cls: JobClass, tasks: int, cpus: float, run_s: float) -> api.JobSpec:
+    """Return a job array of this class; the run time is its estimate."""
     return spec(
-        f"j-{number:06d}", flock=cls, rank=rank, crew=team, chores=tasks, cores=cpus,
-        ram_gb=cpus, guess_s=run_s, image_gb=0.1,
+        f"j-{number:06d}", flock=cls.name, rank=cls.rank, crew=cls.team, chores=tasks,
+        cores=cpus, ram_gb=cpus, guess_s=run_s, image_gb=0.1,
     )  # fmt: skip
--- a/tests/support/reference_model.py
+++ b/tests/support/reference_model.py
@@ -17,6 +17,7 @@
 from starlingdeck.jobs.job import Job, TaskPlacement, new_job
 from starlingdeck.jobs.job_shard import JobShard
 from starlingdeck.jobs.record_writer import RecordWriter
+from starlingdeck.machines.machine import Machine
 from starlingdeck.machines.machine_shard import MachineShard
 from starlingdeck.machines.shard_snapshot import ShardSnapshot, apply_snapshot_message
 from starlingdeck.protocol import api
@@ -77,7 +78,10 @@
 
 
 class FakeStateClient:
-    """A controller's client of the state service; `failure_rate` of its calls fail."""
+    """A controller's client of the state service; `failure_rate` of its calls fail.
+
+    The signatures are those of `StateClient`; `urgent` changes nothing here.
+    """
 
     def __init__(self, state: FakeStateService, failure_rate: float) -> None:
         self.state = state
@@ -507,50 +511,59 @@
         controller = self.rng.choice(self.controllers)
         valid = controller.lease_is_valid()
         for shard, machines in controller.machines.items():
-            machines.expire_leases()
-            machines.deschedule()
-            for machine in machines.reconcile():
-                commands = machines.commands_for(machine, valid)
-                if commands.commands or machine.needs_probe or machine.unanswered_commands:
-                    machine.command_in_flight = True
-                    self.commands.append((machine.name, commands, machines, machine.position()))
-            if valid and machines.needs_new_token() and not controller.client.cut:
-                key = records.shard_key(shard)
-                change = put_change(key, records.ShardValue(0, machines.epoch))
-                if not self.state.apply({key: machines.token}, [change]):
-                    machines.token = controller.writers[shard].shard.token = self.state.revision
-            # The cycle waits for the state service here, while reports continue to arrive.
-            if self.rng.random() < 0.3:
-                for worker in self.workers.values():
-                    worker.progress(self.rng)
-                    self.send_report(worker)
-            # Incremental messages get lost here, so full ones must be frequent enough.
-            update = machines.snapshot_update(valid)
-            full = self.rng.random() < 0.4
-            message = pb.Envelope(snapshot=machines.full_snapshot(valid) if full else update)
-            self.messages += [(n, message) for n in range(2)]
+            self.run_machine_shard(controller, shard, machines, valid)
         for writer in controller.writers.values():
-            if not (writer.shard.loaded and valid):
-                continue
-            for other in self.controllers:
-                for to, machines in other.machines.items():
-                    # Learning of an owner may lag: sometimes an older ownership epoch is named.
-                    epoch = (
-                        machines.epoch
-                        if self.rng.random() < 0.9
-                        else controller.named_epochs.get(to, 0)
-                    )
-                    controller.named_epochs[to] = epoch
-                    seen = controller.snapshots.get(to)
-                    watermark_ms = (
-                        seen.watermark_ms(controller.context.now())
-                        if seen and seen.epoch == epoch
-                        else 0
-                    )
-                    desired_state = writer.shard.desired_state_message(
-                        to, epoch, self.rng.random() < 0.4, watermark_ms
-                    )
-                    self.messages.append((other.number, pb.Envelope(desired_state=desired_state)))
+            if writer.shard.loaded and valid:
+                self.send_desired_state(controller, writer)
+
+    def run_machine_shard(
+        self, controller: ModelController, shard: int, machines: MachineShard, valid: bool
+    ) -> None:
+        """Run one machine shard's part of a cycle. `valid`: whether its owner's lease is."""
+        machines.expire_leases()
+        machines.deschedule()
+        for machine in machines.reconcile():
+            commands = machines.commands_for(machine, valid)
+            if commands.commands or machine.needs_probe or machine.unanswered_commands:
+                machine.command_in_flight = True
+                self.commands.append((machine.name, commands, machines, machine.position()))
+        if valid and machines.needs_new_token() and not controller.client.cut:
+            key = records.shard_key(shard)
+            change = put_change(key, records.ShardValue(0, machines.epoch))
+            if not self.state.apply({key: machines.token}, [change]):
+                machines.token = controller.writers[shard].shard.token = self.state.revision
+        # The cycle waits for the state service here, while reports continue to arrive.
+        if self.rng.random() < 0.3:
+            for worker in self.workers.values():
+                worker.progress(self.rng)
+                self.send_report(worker)
+        # Incremental messages get lost here, so full ones must be frequent enough.
+        update = machines.snapshot_update(valid)
+        full = self.rng.random() < 0.4
+        message = pb.Envelope(snapshot=machines.full_snapshot(valid) if full else update)
+        self.messages += [(n, message) for n in range(2)]
+
+    def send_desired_state(self, controller: ModelController, writer: RecordWriter) -> None:
+        """Send one job shard's desired state to all machine shards."""
+        for other in self.controllers:
+            for to, machines in other.machines.items():
+                # Learning of an owner may lag: sometimes an older ownership epoch is named.
+                epoch = (
+                    machines.epoch
+                    if self.rng.random() < 0.9
+                    else controller.named_epochs.get(to, 0)
+                )
+                controller.named_epochs[to] = epoch
+                seen = controller.snapshots.get(to)
+                watermark_ms = (
+                    seen.watermark_ms(controller.context.now())
+                    if seen and seen.epoch == epoch
+                    else 0
+                )
+                desired_state = writer.shard.desired_state_message(
+                    to, epoch, self.rng.random() < 0.4, watermark_ms
+                )
+                self.messages.append((other.number, pb.Envelope(desired_state=desired_state)))
 
     def do_deliver(self) -> None:
         """Deliver messages, mostly in order; some are lost, some delayed for long."""
@@ -589,14 +602,12 @@
         if machine is not None:
             machine.command_in_flight = False
         if worker.unreachable:
-            if machine is not None and machines is not None:
-                machines.on_command_unanswered(machine, commands, True)
+            self.note_unanswered(machines, machine, commands)
             return
         if draw < 0.15:
             # Delayed: the sender has given up, and the command arrives later.
             self.commands.append((name, commands, None, None))
-            if machine is not None and machines is not None:
-                machines.on_command_unanswered(machine, commands, True)
+            self.note_unanswered(machines, machine, commands)
             return
         status, report = worker.handle_commands(commands)
         if machine is None or machines is None:
@@ -608,6 +619,13 @@
         if status == 409:
             machines.on_command_rejected(taken)
 
+    def note_unanswered(
+        self, machines: MachineShard | None, machine: Machine | None, commands: api.Commands
+    ) -> None:
+        """Tell a command's sender, if there is one, that no answer came."""
+        if machine is not None and machines is not None:
+            machines.on_command_unanswered(machine, commands, True)
+
     def do_write(self) -> None:
         for controller in self.controllers:
             for writer in controller.writers.values():
@@ -629,7 +647,7 @@
                     if job.pending_starts:
                         writer.shard.dirty_jobs.add(job.index)
 
-    def max_starts(self, controller: ModelController, job: Job) -> int:
+    def max_starts(self, _controller: ModelController, _job: Job) -> int:
         """How many of a job's tasks a scheduling cycle may place."""
         return 2
 
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -9,6 +9,7 @@
 import random
 from collections.abc import Awaitable, Callable, Coroutine
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any
 
 import curio
@@ -149,6 +150,52 @@
                 self.model.on_task_completed(name)
 
 
+@dataclass
+class ControllerLinks:
+    """A controller's connections to peers and workers, in place of its sockets."""
+
+    cluster: "SimulatedCluster"
+    controller: Controller
+    number: int
+
+    def has_ended(self) -> bool:
+        """Whether another process runs in the controller's place."""
+        return self.cluster.controllers[self.number] is not self.controller
+
+    def is_reachable(self, to: int) -> bool:
+        return self.cluster.is_connected(self.number, to)
+
+    async def call_peer(self, to: int, envelope: pb.Envelope, _timeout_s: float) -> pb.Envelope:
+        if not self.is_reachable(to) or self.has_ended():
+            raise PeerUnavailableError("partitioned")
+        envelope.sender = self.number
+        return await self.cluster.controllers[to].on_message(envelope) or pb.Envelope()
+
+    async def enqueue(self, to: int, envelope: pb.Envelope) -> None:
+        if self.is_reachable(to):
+            self.cluster.messages[self.number, to].append(serialized_copy(envelope, self.number))
+
+    async def call_worker(
+        self, address: str, _method: str, _path: str, body: bytes | None, _timeout_s: float
+    ) -> Reply:
+        cluster = self.cluster
+        worker = cluster.workers[address.split(":")[1]]
+        if (self.number, worker.name) in cluster.blocked_worker_links or self.has_ended():
+            raise ConnectionFailedError("link is blocked")
+        if worker.unreachable:
+            raise NoResponseError("worker is unreachable")
+        commands = msgspec.json.decode(body or b"", type=api.Commands)
+        draw = cluster.rng.random()
+        if draw < cluster.delayed_command_share / 2 or worker.hung:
+            delivered_at = cluster.clock.at + cluster.rng.uniform(1.0, 15.0)
+            cluster.delayed_commands.append((delivered_at, worker.name, commands))
+            raise NoResponseError("command is delayed")
+        status, report = worker.handle_commands(commands)
+        if draw < cluster.delayed_command_share:
+            raise NoResponseError("answer is delayed")
+        return Reply(status, msgspec.json.encode(report), None)
+
+
 class SimulatedCluster:
     """Controllers, workers, users, and the failures injected between them."""
 
@@ -241,45 +288,11 @@
         ):
             part.state = client
 
-        def up(to: int) -> bool:
-            return self.is_connected(number, to)
-
-        async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
-            if not self.is_connected(number, to) or self.controllers[number] is not controller:
-                raise PeerUnavailableError("partitioned")
-            envelope.sender = number
-            return await self.controllers[to].on_message(envelope) or pb.Envelope()
-
-        async def post(to: int, envelope: pb.Envelope) -> None:
-            if self.is_connected(number, to):
-                self.messages[number, to].append(serialized_copy(envelope, number))
-
-        async def http(
-            address: str, method: str, path: str, body: bytes | None, timeout_s: float
-        ) -> Reply:
-            worker = self.workers[address.split(":")[1]]
-            if (number, worker.name) in self.blocked_worker_links or self.controllers[
-                number
-            ] is not controller:
-                raise ConnectionFailedError("link is blocked")
-            if worker.unreachable:
-                raise NoResponseError("worker is unreachable")
-            commands = msgspec.json.decode(body or b"", type=api.Commands)
-            draw = self.rng.random()
-            if draw < self.delayed_command_share / 2 or worker.hung:
-                self.delayed_commands.append(
-                    (self.clock.at + self.rng.uniform(1.0, 15.0), worker.name, commands)
-                )
-                raise NoResponseError("command is delayed")
-            status, report = worker.handle_commands(commands)
-            if draw < self.delayed_command_share:
-                raise NoResponseError("answer is delayed")
-            return Reply(status, msgspec.json.encode(report), None)
-
-        controller.peers.call = call  # type: ignore[method-assign, assignment]
-        controller.peers.enqueue = post  # type: ignore[method-assign, assignment]
-        controller.peers.is_reachable = up  # type: ignore[method-assign, assignment]
-        controller.http.call = http  # type: ignore[method-assign]
+        links = ControllerLinks(self, controller, number)
+        controller.peers.call = links.call_peer  # type: ignore[method-assign, assignment]
+        controller.peers.enqueue = links.enqueue  # type: ignore[method-assign, assignment]
+        controller.peers.is_reachable = links.is_reachable  # type: ignore[method-assign, assignment]
+        controller.http.call = links.call_worker  # type: ignore[method-assign, assignment]
         controller.peers.started_at = self.clock.at
         return controller
 
@@ -521,6 +534,15 @@
         if name in self.invalid_jobs or name not in self.jobs:
             raise InvariantViolationError(f"invented: {name} answered {reply.status}")
         answer = msgspec.json.decode(reply.body, type=api.JobStatus)
+        self.check_answer(name, answer, final, done)
+        if self.record_answer(name, answer, sent) and self.rng.random() < self.burst_query_share:
+            await self.spawn(self.query_all_controllers, name)
+        return reply.status
+
+    def check_answer(
+        self, name: str, answer: api.JobStatus, final: tuple[str, float] | None, done: int
+    ) -> None:
+        """Compare an answer with the terminal state and the count reported before its request."""
         if final and answer.state != final[0]:
             raise InvariantViolationError(f"went_back: {name} was {final[0]}, is {answer.state}")
         if answer.state == api.CANCELLED and name not in self.cancellation_requested:
@@ -536,6 +558,9 @@
             raise InvariantViolationError(
                 f"not_done: {name} has {ended} tasks done, reported {answer.done}"
             )
+
+    def record_answer(self, name: str, answer: api.JobStatus, sent: float) -> bool:
+        """Record an answer. Return whether the job's acceptance or terminal state is new."""
         news = name not in self.acknowledged or (
             answer.state in TERMINAL_STATES and name not in self.reported_terminal
         )
@@ -544,9 +569,7 @@
         self.reported_done[name] = max(answer.done or 0, self.reported_done.get(name, 0))
         if answer.state in TERMINAL_STATES:
             self.reported_terminal.setdefault(name, (answer.state, sent))
-        if news and self.rng.random() < self.burst_query_share:
-            await self.spawn(self.query_all_controllers, name)
-        return reply.status
+        return news
 
     async def query_all_controllers(self, name: str) -> None:
         """Query all controllers within milliseconds, repeat submissions; some users cancel."""
@@ -646,46 +669,66 @@
             self.clock.at += TICK_S
             now = self.clock.at
             self.state.expire()
-            for one in [
-                item for item in self.delayed_transactions if item[0] <= now and not self.state.down
-            ]:
-                self.delayed_transactions.remove(one)
-                if all(c.lease is None or c.lease in self.state.leases for c in one[2]):
-                    self.state.change(one[2], one[1])
-            for held in [item for item in self.delayed_commands if item[0] <= now]:
-                self.delayed_commands.remove(held)
-                self.workers[held[1]].handle_commands(held[2])
-            for copy in [item for item in self.duplicate_reports if item[0] <= now]:
-                self.duplicate_reports.remove(copy)
-                await self.deliver_duplicate(copy[1])
-            for kept in [
-                k for k in self.replays_at_takeover if self.ownership_epochs.get(k[0], k[1]) != k[1]
-            ]:
-                self.replays_at_takeover.remove(kept)
-                await self.deliver_duplicate(kept[2])
-            for number, at in list(self.down.items()):
-                if at <= now:
-                    del self.down[number]
-                    self.controllers[number] = self.start_controller(number)
+            await self.deliver_delayed(now)
+            self.restart_controllers(now)
             for link in self.messages:
-                await self.run_loop(("mail", link), lambda link=link: self.deliver(link))  # type: ignore[misc]
+                await self.run_loop(("mail", link), partial(self.deliver, link))
             for number, controller in enumerate(self.controllers):
                 if number not in self.down:
                     await self.run_controller(number, controller)
-            for worker in self.workers.values():
-                worker.expire(now)  # PROTOCOL: a machine that hangs may continue within its lease
-                if worker.hung:
-                    continue
-                worker.work(now)
-                if worker.next_report_at <= now:
-                    await self.spawn(self.report, worker)
-            for job, number in self.pending_cancellations:
-                await self.spawn(self.cancel, job, (number, *range(len(self.controllers))))
-            self.pending_cancellations.clear()
+            await self.run_workers(now)
+            await self.cancel_pending()
             for _ in range(4):
                 await real_sleep(0)
             self.check_invariants()
 
+    async def deliver_delayed(self, now: float) -> None:
+        """Execute and deliver what was delayed until now."""
+        due = [item for item in self.delayed_transactions if item[0] <= now]
+        for transaction in due if not self.state.down else []:
+            self.delayed_transactions.remove(transaction)
+            _, conditions, changes = transaction
+            if all(c.lease is None or c.lease in self.state.leases for c in changes):
+                self.state.change(changes, conditions)
+        for delayed in [item for item in self.delayed_commands if item[0] <= now]:
+            self.delayed_commands.remove(delayed)
+            _, name, commands = delayed
+            self.workers[name].handle_commands(commands)
+        for duplicate in [item for item in self.duplicate_reports if item[0] <= now]:
+            self.duplicate_reports.remove(duplicate)
+            await self.deliver_duplicate(duplicate[1])
+        await self.deliver_replays()
+
+    async def deliver_replays(self) -> None:
+        """Deliver old reports to controllers whose predecessor's ownership has ended."""
+        for replay in [
+            item
+            for item in self.replays_at_takeover
+            if self.ownership_epochs.get(item[0], item[1]) != item[1]
+        ]:
+            self.replays_at_takeover.remove(replay)
+            await self.deliver_duplicate(replay[2])
+
+    def restart_controllers(self, now: float) -> None:
+        for number, at in list(self.down.items()):
+            if at <= now:
+                del self.down[number]
+                self.controllers[number] = self.start_controller(number)
+
+    async def run_workers(self, now: float) -> None:
+        for worker in self.workers.values():
+            worker.expire(now)  # PROTOCOL: a machine that hangs may continue within its lease
+            if worker.hung:
+                continue
+            worker.work(now)
+            if worker.next_report_at <= now:
+                await self.spawn(self.report, worker)
+
+    async def cancel_pending(self) -> None:
+        for job, number in self.pending_cancellations:
+            await self.spawn(self.cancel, job, (number, *range(len(self.controllers))))
+        self.pending_cancellations.clear()
+
     @property
     def ownership_epochs(self) -> dict[int, int]:
         """The ownership epoch of each machine shard, by the state service."""
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -1,5 +1,6 @@
 """Concurrent failures: the table of combinations is in docs/design/meetings.md."""
 
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -22,6 +23,7 @@
     CANCEL_S,
     MAX_UNANSWERED_S,
     SimulatedCluster,
+    SimulatedWorker,
     run_simulation,
 )
 
@@ -84,90 +86,195 @@
     run_simulation(monkeypatch, cluster, drive())
 
 
+def machines_of(cluster: SimulatedCluster, number: int) -> list[SimulatedWorker]:
+    """The third of the machines that failures on this controller's number concern."""
+    return [w for i, w in enumerate(cluster.workers.values()) if i % 3 == number]
+
+
+def toggle(value: float, active: float) -> float:
+    """Return the other one of inactive (0) and active."""
+    return 0.0 if value else active
+
+
+def toggle_state_service(cluster: SimulatedCluster, number: int) -> None:
+    client = cluster.clients[number]
+    client.cut = not client.cut
+
+
+def toggle_outage(cluster: SimulatedCluster, _number: int) -> None:
+    cluster.set_outage(not cluster.state.down)
+
+
+def toggle_partition(cluster: SimulatedCluster, number: int) -> None:
+    others = [i for i in range(3) if i != number]
+    cluster.partitions ^= {frozenset((number, i)) for i in others}
+
+
+def toggle_isolation(cluster: SimulatedCluster, number: int) -> None:
+    toggle_state_service(cluster, number)
+    toggle_partition(cluster, number)
+
+
+def crash_one(cluster: SimulatedCluster, number: int) -> None:
+    if number not in cluster.down:
+        cluster.crash(number, cluster.rng.choice([0.2, 6.0]))
+
+
+def crash_all(cluster: SimulatedCluster, number: int) -> None:
+    """This controller is back at once, the others later."""
+    for i in range(3):
+        if i not in cluster.down:
+            cluster.crash(i, 0.2 if i == number else 6.0)
+
+
+def crash_all_longer_than_a_lease(cluster: SimulatedCluster, _number: int) -> None:
+    for i in range(3):
+        if i not in cluster.down:
+            cluster.crash(i, 14.0 + i)
+
+
+def toggle_unreachable(cluster: SimulatedCluster, number: int) -> None:
+    for worker in machines_of(cluster, number):
+        worker.unreachable = not worker.unreachable
+
+
+def toggle_heartbeats_lost(cluster: SimulatedCluster, number: int) -> None:
+    for worker in machines_of(cluster, number):
+        worker.heartbeats_lost = not worker.heartbeats_lost
+
+
+def toggle_hung(cluster: SimulatedCluster, number: int) -> None:
+    for worker in machines_of(cluster, number):
+        worker.hung = not worker.hung
+
+
+def end_hangs(cluster: SimulatedCluster, _number: int) -> None:
+    for worker in cluster.workers.values():
+        worker.hung = False
+
+
+def restart_machines(cluster: SimulatedCluster, number: int) -> None:
+    for worker in machines_of(cluster, number):
+        worker.restart(cluster.clock.at)
+
+
+def add_machine(cluster: SimulatedCluster, number: int) -> None:
+    cluster.boot_machine(number)
+
+
+def toggle_worker_links(cluster: SimulatedCluster, number: int) -> None:
+    cluster.blocked_worker_links ^= {(number, w.name) for w in cluster.workers.values()}
+
+
+def toggle_late_transactions(cluster: SimulatedCluster, _number: int) -> None:
+    for client in cluster.clients:
+        client.late_share = toggle(client.late_share, 0.2)
+
+
+def toggle_lost_answers(cluster: SimulatedCluster, _number: int) -> None:
+    for client in cluster.clients:
+        client.lost_answer_share = toggle(client.lost_answer_share, 0.3)
+
+
+def toggle_slow_answers(cluster: SimulatedCluster, _number: int) -> None:
+    for client in cluster.clients:
+        client.max_latency_s = toggle(client.max_latency_s, 0.8)
+
+
+def toggle_unreadable_jobs(cluster: SimulatedCluster, number: int) -> None:
+    for client in cluster.clients:
+        client.unreadable_prefixes ^= {f"j/{number}/"}
+
+
+def toggle_duplicate_reports(cluster: SimulatedCluster, _number: int) -> None:
+    cluster.duplicate_share = toggle(cluster.duplicate_share, 0.3)
+
+
+def toggle_report_replays(cluster: SimulatedCluster, _number: int) -> None:
+    cluster.replay_share = toggle(cluster.replay_share, 0.3)
+
+
+def toggle_delayed_commands(cluster: SimulatedCluster, _number: int) -> None:
+    cluster.delayed_command_share = toggle(cluster.delayed_command_share, 0.3)
+
+
+def toggle_query_bursts(cluster: SimulatedCluster, _number: int) -> None:
+    cluster.burst_query_share = toggle(cluster.burst_query_share, 0.5)
+
+
+def toggle_report_latency(cluster: SimulatedCluster, _number: int) -> None:
+    cluster.report_latency_s = toggle(cluster.report_latency_s, 1.0)
+
+
+def toggle_invalid_requests(cluster: SimulatedCluster, _number: int) -> None:
+    cluster.send_invalid = not cluster.send_invalid
+
+
+def toggle_cancellation_at_end(cluster: SimulatedCluster, _number: int) -> None:
+    cluster.cancel_at_end_share = toggle(cluster.cancel_at_end_share, 0.5)
+
+
+def running_job(cluster: SimulatedCluster) -> str:
+    """The first running job whose cancellation was not requested, or an empty string."""
+    jobs = (name.split("/")[0] for _, name, _ in cluster.live_tasks())
+    return next((job for job in jobs if job not in cluster.cancellation_requested), "")
+
+
+def cancel_job(cluster: SimulatedCluster, number: int) -> None:
+    job = running_job(cluster)
+    if job:
+        cluster.pending_cancellations.append((job, number))
+
+
+def cancel_job_and_hang(cluster: SimulatedCluster, number: int) -> None:
+    """Cancel a job while its machines hang."""
+    job = running_job(cluster)
+    if job:
+        for worker, _, _ in cluster.live_tasks(job):
+            worker.hung = True
+        cluster.pending_cancellations.append((job, number))
+
+
+def toggle_zone(cluster: SimulatedCluster, number: int) -> None:
+    cut_zone(cluster, cluster.zones[number])
+
+
+# By the kind's name in scenarios. Each begins a failure, or ends it if it is active.
+FAILURES: dict[str, Callable[[SimulatedCluster, int], None]] = {
+    "refuse": toggle_state_service,
+    "outage": toggle_outage,
+    "apart": toggle_partition,
+    "cut": toggle_isolation,
+    "crash": crash_one,
+    "all crash": crash_all,
+    "all away": crash_all_longer_than_a_lease,
+    "deaf": toggle_unreachable,
+    "mute": toggle_heartbeats_lost,
+    "hang": toggle_hung,
+    "go on": end_hangs,
+    "reborn": restart_machines,
+    "boot": add_machine,
+    "off": toggle_worker_links,
+    "late writes": toggle_late_transactions,
+    "lost": toggle_lost_answers,
+    "slow": toggle_slow_answers,
+    "reading": toggle_unreadable_jobs,
+    "late reports": toggle_duplicate_reports,
+    "next reports": toggle_report_replays,
+    "held": toggle_delayed_commands,
+    "looks": toggle_query_bursts,
+    "lag": toggle_report_latency,
+    "odd": toggle_invalid_requests,
+    "cancel at end": toggle_cancellation_at_end,
+    "cancel": cancel_job,
+    "cancel and hang": cancel_job_and_hang,
+    "zone": toggle_zone,
+}
+
+
 def inject_failure(cluster: SimulatedCluster, kind: str, number: int) -> None:
     """Begin a failure of this kind on one controller or its share of machines, or end it."""
-    client, others = cluster.clients[number], [i for i in range(3) if i != number]
-    some = [w for i, w in enumerate(cluster.workers.values()) if i % 3 == number]
-    if kind == "refuse":
-        client.cut = not client.cut
-    elif kind == "outage":
-        cluster.set_outage(not cluster.state.down)
-    elif kind == "apart":
-        cluster.partitions ^= {frozenset((number, i)) for i in others}
-    elif kind == "cut":
-        client.cut = not client.cut
-        cluster.partitions ^= {frozenset((number, i)) for i in others}
-    elif kind == "crash" and number not in cluster.down:
-        cluster.crash(number, cluster.rng.choice([0.2, 6.0]))
-    elif kind == "all crash":
-        for i in range(3):
-            if i not in cluster.down:
-                cluster.crash(i, 0.2 if i == number else 6.0)
-    elif kind == "deaf":
-        for worker in some:
-            worker.unreachable = not worker.unreachable
-    elif kind == "off":
-        cluster.blocked_worker_links ^= {(number, w.name) for w in cluster.workers.values()}
-    elif kind == "late writes":
-        for each in cluster.clients:
-            each.late_share = 0.0 if each.late_share else 0.2
-    elif kind == "late reports":
-        cluster.duplicate_share = 0.0 if cluster.duplicate_share else 0.3
-    elif kind == "held":
-        cluster.delayed_command_share = 0.0 if cluster.delayed_command_share else 0.3
-    elif kind == "lost":
-        for each in cluster.clients:
-            each.lost_answer_share = 0.0 if each.lost_answer_share else 0.3
-    elif kind == "slow":
-        for each in cluster.clients:
-            each.max_latency_s = 0.0 if each.max_latency_s else 0.8
-    elif kind == "reading":
-        for each in cluster.clients:
-            each.unreadable_prefixes ^= {f"j/{number}/"}
-    elif kind == "next reports":
-        cluster.replay_share = 0.0 if cluster.replay_share else 0.3
-    elif kind == "mute":
-        for worker in some:
-            worker.heartbeats_lost = not worker.heartbeats_lost
-    elif kind == "hang":
-        for worker in some:
-            worker.hung = not worker.hung
-    elif kind == "zone":
-        cut_zone(cluster, cluster.zones[number])
-    elif kind == "reborn":
-        for worker in some:
-            worker.restart(cluster.clock.at)
-    elif kind == "boot":
-        cluster.boot_machine(number)
-    elif kind == "all away":
-        for i in range(3):
-            if i not in cluster.down:
-                cluster.crash(i, 14.0 + i)
-    elif kind == "looks":
-        cluster.burst_query_share = 0.0 if cluster.burst_query_share else 0.5
-    elif kind == "lag":
-        cluster.report_latency_s = 0.0 if cluster.report_latency_s else 1.0
-    elif kind == "odd":
-        cluster.send_invalid = not cluster.send_invalid
-    elif kind == "cancel at end":
-        cluster.cancel_at_end_share = 0.0 if cluster.cancel_at_end_share else 0.5
-    elif kind in ("cancel", "cancel and hang"):
-        job = next(
-            (
-                n.split("/")[0]
-                for _, n, _ in cluster.live_tasks()
-                if n.split("/")[0] not in cluster.cancellation_requested
-            ),
-            "",
-        )
-        if job and kind == "cancel and hang":
-            for worker, _, _ in cluster.live_tasks(job):
-                worker.hung = True
-        if job:
-            cluster.pending_cancellations.append((job, number))
-    elif kind == "go on":
-        for worker in cluster.workers.values():
-            worker.hung = False
+    FAILURES[kind](cluster, number)
 
 
 def cut_zone(cluster: SimulatedCluster, zone: str) -> None:
@@ -816,6 +923,11 @@
     assert max(waits.values()) < 5.0
     done = sum(cluster.reported_terminal[name][0] == api.DONE for name in small)
     assert done >= len(small) * 0.7
+    check_nothing_is_kept(cluster)
+
+
+def check_nothing_is_kept(cluster: SimulatedCluster) -> None:
+    """Check that controllers keep nothing of ended jobs but limited numbers of terminal states."""
     for controller in cluster.controllers:
         for writer in controller.writers.values():
             shard = writer.shard
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -19,7 +19,7 @@
 from starlingdeck.fairness.minimum_share import PROTECTION_SLACK, WorkItem
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import OverloadSettings
-from tests.support.overload_cluster import Events, OverloadCluster, array
+from tests.support.overload_cluster import Events, JobClass, OverloadCluster, array
 
 AMOUNTS = st.floats(0, 3, allow_nan=False)
 PAIRS = st.tuples(st.integers(0, 2), st.sampled_from(["a", "b", "c"]))
@@ -164,16 +164,20 @@
 
 # --- several controllers in simulated time
 
+HIGH = JobClass("high", "urgent", "red")
+LOW = JobClass("low", "normal", "blue")
+SERVICE = JobClass("svc", "urgent", "blue")
+
 
 def high(second: int, rng: random.Random) -> list[api.JobSpec]:
     """Four small urgent tasks of 15 s, two jobs a second: more than all 112 cpus."""
-    return [array(second * 10 + i, "high", "urgent", "red", 4, 1.0, 15.0) for i in range(2)]
+    return [array(second * 10 + i, HIGH, 4, 1.0, 15.0) for i in range(2)]
 
 
 def low(second: int, every: int = 4, tasks: int = 4) -> list[api.JobSpec]:
     if second % every:
         return []
-    return [array(second * 10 + 5, "low", "normal", "blue", tasks, 4.0, 10.0)]
+    return [array(second * 10 + 5, LOW, tasks, 4.0, 10.0)]
 
 
 def flood(second: int, rng: random.Random) -> list[api.JobSpec]:
@@ -284,7 +288,7 @@
     """All work has the higher rank: one team's flood, and another team's class that comes later."""
 
     def both(second: int, rng: random.Random) -> list[api.JobSpec]:
-        late = [array(second * 10 + 7, "svc", "urgent", "blue", 2, 4.0, 10.0)]
+        late = [array(second * 10 + 7, SERVICE, 2, 4.0, 10.0)]
         return high(second, rng) + (late if second >= 40 and second % 4 == 0 else [])
 
     context = OverloadCluster(5, both, ON)
--- a/tests/test_invariant_checks.py
+++ b/tests/test_invariant_checks.py
@@ -65,7 +65,7 @@
         run_simulation(monkeypatch, cluster, drive())
 
 
-async def repeat_refused(cluster: SimulatedCluster, patch: Patch) -> None:
+async def repeat_refused(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster)
     answer_always(cluster, 422, error="never")
     body = msgspec.json.encode(cluster.jobs[NAME])
@@ -73,7 +73,7 @@
     await cluster.run(0.2)
 
 
-async def count_falls(cluster: SimulatedCluster, patch: Patch) -> None:
+async def count_falls(cluster: SimulatedCluster, _patch: Patch) -> None:
     cluster.run_times[f"{NAME}/0"] = 1.0
     await run_one_job(cluster)
     await cluster.request(0, "GET", f"{api.JOBS}/{NAME}")
@@ -81,28 +81,28 @@
     await query(cluster)
 
 
-async def back_from_done(cluster: SimulatedCluster, patch: Patch) -> None:
+async def back_from_done(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster, run_s=1.0)
     await wait_for_terminal_states(cluster, [NAME])
     answer_always(cluster, 200, status="running")
     await query(cluster)
 
 
-async def invented(cluster: SimulatedCluster, patch: Patch) -> None:
+async def invented(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster)
     answer_always(cluster, 200, status="queued")
     await cluster.spawn(cluster.request, 1, "GET", f"{api.JOBS}/{job_of_shard(1)}")
     await cluster.run(0.2)
 
 
-async def accepted_oddly(cluster: SimulatedCluster, patch: Patch) -> None:
+async def accepted_oddly(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster)
     answer_always(cluster, 201, status="queued")
     await cluster.spawn(cluster.send_invalid_requests, NAME)
     await cluster.run(0.2)
 
 
-async def refused_wrongly(cluster: SimulatedCluster, patch: Patch) -> None:
+async def refused_wrongly(cluster: SimulatedCluster, _patch: Patch) -> None:
     """A controller calls a job malformed that could merely never run."""
     await run_one_job(cluster)
     answer_always(cluster, 400, error="no")
@@ -121,7 +121,7 @@
     await cluster.run(8.0)
 
 
-async def quota(cluster: SimulatedCluster, patch: Patch) -> None:
+async def quota(cluster: SimulatedCluster, _patch: Patch) -> None:
     """The service has another limit configured."""
     await cluster.run(4.0)
     cluster.limit = 4.0
@@ -129,7 +129,7 @@
     await cluster.run(4.0)
 
 
-async def wrong_place(cluster: SimulatedCluster, patch: Patch) -> None:
+async def wrong_place(cluster: SimulatedCluster, _patch: Patch) -> None:
     """The service doesn't know that the job is bound to a zone."""
     await cluster.run(4.0)
     await cluster.spawn(cluster.submit, NAME, 8, 30.0)
@@ -138,7 +138,7 @@
     await cluster.run(4.0)
 
 
-async def together_or_spread(cluster: SimulatedCluster, patch: Patch) -> None:
+async def together_or_spread(cluster: SimulatedCluster, _patch: Patch) -> None:
     await cluster.run(4.0)
     await cluster.spawn(cluster.submit, NAME, 12, 30.0)
     await cluster.run(0.1)
@@ -160,7 +160,7 @@
     await cluster.run(50.0)
 
 
-async def began_cancelled(cluster: SimulatedCluster, patch: Patch) -> None:
+async def began_cancelled(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster, 2, 200.0)
     await cluster.spawn(cluster.cancel, NAME, (0,))
     await cluster.run(45.0)
@@ -169,7 +169,7 @@
     await cluster.run(0.2)
 
 
-async def waits(cluster: SimulatedCluster, patch: Patch) -> None:
+async def waits(cluster: SimulatedCluster, _patch: Patch) -> None:
     """Scheduling cycles place nothing."""
     await cluster.run(4.0)
 
