--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -22,13 +22,16 @@
         self.at = 1000.0
 
     def now(self) -> float:
+        """Return seconds, as a monotonic clock does."""
         return self.at
 
     def wall_ms(self) -> int:
+        """Return milliseconds, as the wall clock does."""
         return int(self.at * 1000)
 
 
 def settings_dict(zones: tuple[str, ...] = ("a", "b", "a")) -> dict[str, Any]:
+    """Return the raw settings of a cluster with one controller for each zone."""
     peers = [
         {"host_name": f"n-{i}", "zone": z, "address": f"127.0.0.1:{9100 + i}"}
         for i, z in enumerate(zones)
@@ -60,6 +63,7 @@
 def make_context(
     clock: Clock, seed: int = 1, zones: tuple[str, ...] = ("a", "b", "a"), node: int = 0
 ) -> ControllerContext:
+    """Return the context of one controller, with two machine types."""
     raw = settings_dict(zones)
     settings = msgspec.convert(raw, Settings)
     if node:
@@ -77,6 +81,7 @@
 
 
 def job_body(uid: str = "j-000001", **other: Any) -> dict[str, Any]:
+    """Return the JSON body of a submission; `other` replaces fields."""
     body: dict[str, Any] = {
         "uid": uid,
         "flock": "batch",
@@ -104,4 +109,5 @@
 
 
 def spec(uid: str = "j-000001", **other: Any) -> JobSpec:
+    """Return the decoded description of a job; `other` replaces fields."""
     return msgspec.convert(job_body(uid, **other), JobSpec)
--- a/tests/support/counted_resources.py
+++ b/tests/support/counted_resources.py
@@ -27,6 +27,7 @@
         self.used: Counter[str] = Counter()
 
     def apply(self, conditions: dict[str, int], changes: list[api.Change]) -> list[str]:
+        """Apply a transaction, and check the invariants if it was not refused."""
         failed = super().apply(conditions, changes)
         if not failed:
             self.check()
@@ -50,9 +51,11 @@
         return found
 
     def ledger(self, name: str) -> Ledger:
+        """Return a resource's stored ledger."""
         return msgspec.json.decode(self.keys[records.count_key(name)][0], type=Ledger)
 
     def check(self) -> None:
+        """Check each shard's use against its allocation, and each total against its ceiling."""
         total: Counter[str] = Counter()
         for (name, shard), units in self.use().items():
             if units and units > self.ledger(name).allocated[shard]:
@@ -82,6 +85,7 @@
     writers: dict[int, RecordWriter],
     **settings: Any,
 ) -> CountedResourcePlugin:
+    """Return a plugin without membership, for one controller."""
     return CountedResourcePlugin(
         context,
         cast(StateClient, client),
--- a/tests/support/fuzz_targets.py
+++ b/tests/support/fuzz_targets.py
@@ -37,6 +37,7 @@
 
 
 def decode_ledger(data: bytes) -> str:
+    """Deliver a ledger's value to a plugin, and check grants from what it keeps."""
     plugin = make_plugin(
         make_context(Clock()), FakeStateClient(FakeStateService.__new__(FakeStateService), 0.0), {}
     )
@@ -52,6 +53,7 @@
 
 
 def decode_gossip(data: bytes) -> str:
+    """Deliver gossip to a plugin, and run its cycle and its preemption."""
     plugin = make_plugin(
         make_context(Clock()), FakeStateClient(FakeStateService.__new__(FakeStateService), 0.0), {}
     )
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -44,6 +44,8 @@
 
 @dataclass
 class RunningTask:
+    """A task on a machine; `ends_at` in simulated seconds."""
+
     attempt: int
     cpus: float
     ends_at: float
@@ -53,6 +55,8 @@
 
 @dataclass
 class SimulatedWorker:
+    """A worker that starts what fits, and runs each task for its estimate."""
+
     name: str
     machine_type: str
     cpus: float
@@ -63,6 +67,7 @@
     tasks: dict[str, RunningTask] = field(default_factory=dict)
 
     def report(self) -> api.Report:
+        """Return the next report."""
         self.seq += 1
         tasks = [
             api.ReportTask(n, r.attempt, r.state, r.exit_reason) for n, r in self.tasks.items()
@@ -73,6 +78,7 @@
         )  # fmt: skip
 
     def run(self, now: float) -> bool:
+        """End the tasks whose time has come. Return whether there were any."""
         ended = [r for r in self.tasks.values() if r.state == "running" and r.ends_at <= now]
         for name in self.tasks:
             one = self.tasks[name]
@@ -83,6 +89,7 @@
         return bool(ended)
 
     def execute(self, commands: list[api.Command], now: float) -> None:
+        """Execute start, stop and reap commands."""
         for command in commands:
             old = self.tasks.get(command.task)
             if command.op == api.START and (old is None or old.attempt != command.attempt):
@@ -141,6 +148,7 @@
         self.token = 10
 
     def make_controller(self, number: int) -> Controller:
+        """Return a controller whose sockets are replaced by the simulated network."""
         context = make_context(self.clock, self.rng.getrandbits(32), self.zones, number)
         deployment = msgspec.structs.replace(context.settings.settings, teams=self.teams)
         context.settings = msgspec.structs.replace(context.settings, settings=deployment)
@@ -181,10 +189,12 @@
         return controller
 
     def is_connected(self, one: int, other: int) -> bool:
+        """Whether both controllers run and no partition separates them."""
         dead = one in self.down or other in self.down
         return not dead and (min(one, other), max(one, other)) not in self.partitions
 
     def on_task_started(self, task: str, worker: SimulatedWorker, full: bool) -> None:
+        """Check that no other machine runs the task, and note its job's start."""
         job = task.split("/", maxsplit=1)[0]
         if full:
             return
@@ -196,6 +206,7 @@
     # --- ownership
 
     def assign_shard(self, shard: int, number: int) -> None:
+        """Make a controller the owner of a shard, under a new token."""
         controller = self.controllers[number]
         self.token += 1
         owner = ShardOwner(number, self.token, self.token)
@@ -222,6 +233,7 @@
     def run(
         self, seconds: float, events: dict[float, Callable[["OverloadCluster"], None]] | None = None
     ) -> None:
+        """Run the simulation; `events` are called at their seconds from its beginning."""
         curio.run(self._run, seconds, dict(events or {}))
 
     async def _run(
@@ -247,6 +259,7 @@
                     await self.run_controller(number, controller)
 
     async def take_over(self) -> None:
+        """Assign crashed controllers' shards to the first one that runs."""
         for number, at in self.down.items():
             successor = next(i for i in range(len(self.controllers)) if i not in self.down)
             owners = self.controllers[successor].membership.owners
@@ -255,6 +268,7 @@
                 await self.controllers[successor].writers[number].load()
 
     def submit(self, body: api.JobSpec) -> None:
+        """Store a job and hand it to its shard's owner."""
         shard = shard_of_job(body.id, len(self.controllers))
         for controller in self.controllers:
             writer = controller.writers.get(shard)
@@ -269,6 +283,7 @@
             self.specs[body.id], self.submitted_at[body.id] = body, self.clock.at
 
     def work(self, tick: int) -> None:
+        """Run the workers; they report once a second, and when a task ends."""
         for n, worker in enumerate(self.workers):
             ended = worker.run(self.clock.at)
             if not ended and (tick + n) % int(REPORT_INTERVAL_S / TICK_S):
@@ -282,6 +297,7 @@
                     worker.execute(machines.pending_commands(machine, True), self.clock.at)
 
     async def deliver(self, tick: int) -> None:
+        """Send gossip, and deliver the messages that are due."""
         if tick % int(GOSSIP_INTERVAL_S / TICK_S) == 0:
             for number, controller in enumerate(self.controllers):
                 for to in range(len(self.controllers)):
@@ -304,6 +320,7 @@
                     )
 
     async def run_controller(self, number: int, controller: Controller) -> None:
+        """Run a controller's cycle, and write until nothing is left to write."""
         controller.membership.lease.lease_id, controller.membership.lease.renewed_at = (
             1,
             self.clock.at,
--- a/tests/support/reference_model.py
+++ b/tests/support/reference_model.py
@@ -66,6 +66,7 @@
         self.delayed_transactions: list[tuple[dict[str, int], list[api.Change]]] = []
 
     def apply(self, conditions: dict[str, int], changes: list[api.Change]) -> list[str]:
+        """Apply a transaction. Return the keys whose conditions failed."""
         failed = [k for k, v in conditions.items() if self.keys.get(k, (b"", 0))[1] != v]
         if not failed:
             self.revision += 1
@@ -89,11 +90,13 @@
         self.cut = False
 
     def writable(self, urgent: bool) -> tuple[int, float]:
+        """Return how many changes may be written now, and the wait for more."""
         return 1000, 0.0
 
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
+        """Write; the answer or the whole transaction may be lost or late."""
         if self.cut:
             raise StateError("503")
         changes = [
@@ -112,12 +115,14 @@
         return self.state.revision
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
+        """Read one key."""
         if self.cut:
             raise StateError("503")
         found = self.state.keys.get(key)
         return api.Entry(key, msgspec.Raw(found[0]), found[1]) if found else None
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
+        """Read all keys with a prefix, in their order."""
         if self.cut:
             raise StateError("503")
         found = [
@@ -130,6 +135,8 @@
 
 @dataclass
 class FakeTask:
+    """A task on a machine, in the states of PROTOCOL."""
+
     attempt: int
     state: str = "fetching"
     exit_reason: str | None = None
@@ -157,12 +164,14 @@
         self.session, self.seq, self.token, self.lease_renewed_at = 1, 0, 0, now
 
     def expire(self, now: float) -> None:
+        """Stop everything and begin a new session if the lease has expired."""
         if now - self.lease_renewed_at > LEASE_S:
             self.tasks.clear()
             self.session += 1
             self.lease_renewed_at = now
 
     def report(self) -> api.Report:
+        """Return the next report."""
         self.seq += 1
         tasks = [
             api.ReportTask(name, t.attempt, t.state, t.exit_reason)
@@ -174,6 +183,7 @@
         )  # fmt: skip
 
     def handle_reply(self, reply: api.ReportReply, session: int, sent: float) -> None:
+        """Renew the lease and execute the commands of a report's reply."""
         if session != self.session or reply.token < self.token:
             return
         self.token = max(self.token, reply.token)
@@ -182,6 +192,7 @@
             self.execute(command)
 
     def handle_commands(self, commands: api.Commands) -> tuple[int, api.Report]:
+        """Execute direct commands, or refuse those of another session or an older token."""
         if commands.token < self.token or commands.session != self.session:
             return 409, self.report()
         self.token = commands.token
@@ -190,6 +201,7 @@
         return 200, self.report()
 
     def execute(self, command: api.Command) -> None:
+        """Execute one command."""
         task = self.tasks.get(command.task)
         if command.op == api.START:
             if task is not None and task.attempt == command.attempt:
@@ -210,6 +222,7 @@
             del self.tasks[command.task]
 
     def progress(self, rng: random.Random) -> None:
+        """Advance each task at random."""
         for name, task in self.tasks.items():
             if task.state == "fetching" and rng.random() < 0.5:
                 task.state = "running"
@@ -238,9 +251,11 @@
     named_epochs: dict[int, int] = field(default_factory=dict)
 
     def lease_is_valid(self) -> bool:
+        """Whether its lease is certainly valid, by its own clock."""
         return self.context.now() < self.lease_renewed_at + TTL_S / 1.002 - 0.2
 
     def may_renew_worker_leases(self) -> bool:
+        """Whether it may answer reports, which renews workers' leases."""
         return self.context.now() < self.lease_renewed_at + max(
             TTL_S, self.context.outage_renewal_s
         )
@@ -274,17 +289,20 @@
         self.owners: dict[int, tuple[int, float]] = {}
 
     def make_controller(self, number: int) -> ModelController:
+        """Return a controller with empty memory."""
         context = make_context(self.clock, self.rng.random().__hash__(), self.zones, number)
         return ModelController(number, context, FakeStateClient(self.state, self.failure_rate))
 
     # --- invariants
 
     def on_task_launched(self, name: str) -> None:
+        """Check that the job of a launched task was accepted."""
         job = name.split("/", maxsplit=1)[0]
         if job not in self.accepted:
             raise InvariantViolationError(f"invented: {name}")
 
     def on_task_started(self, worker: FakeWorker, name: str) -> None:
+        """Check that no other machine runs the task."""
         self.starts += 1
         for other in self.workers.values():
             task = other.tasks.get(name)
@@ -295,6 +313,7 @@
         self.check_cancelled()
 
     def check_cancelled(self) -> None:
+        """Check that no task outlives its cancellation by too much."""
         for worker in self.workers.values():
             for name, task in worker.tasks.items():
                 at = self.cancelled.get(name.split("/")[0])
@@ -325,12 +344,14 @@
                     raise InvariantViolationError(f"not_done: {job}")
 
     def terminal_jobs(self) -> set[str]:
+        """Return the jobs with a stored terminal state."""
         finals = (key for key in self.state.keys if key.startswith("f/"))
         return {key.rsplit("/", 1)[1] for key in finals}
 
     # --- steps
 
     def step(self) -> None:
+        """Advance the clock, take one random step and check the invariants."""
         rng = self.rng
         self.clock.at += rng.choice((0.0, 0.02, 0.05, 0.05, 0.1)) if rng.random() < 0.99 else 4.0
         choice = rng.choice(
@@ -357,11 +378,13 @@
         controller.lease_renewed_at = self.clock.at
 
     def expire_ownership(self, shard: int) -> None:
+        """Delete a shard's key, as the end of its owner's lease does."""
         del self.owners[shard]
         self.state.keys.pop(records.shard_key(shard), None)
         self.state.revision += 1
 
     def do_acquire_ownership(self) -> None:
+        """Let a controller take over the shards without an owner."""
         controller = self.rng.choice(self.controllers)
         now = self.clock.at
         if controller.client.cut:
@@ -386,6 +409,7 @@
             run_without_waiting(controller.writers[shard].load())
 
     def do_crash(self) -> None:
+        """Restart a controller with empty memory."""
         number = self.rng.randrange(2)
         old = self.controllers[number]
         controller = self.controllers[number] = self.make_controller(number)
@@ -395,17 +419,21 @@
             self.expire_ownership(shard)
 
     def do_cut(self) -> None:
+        """Cut a controller off from the state service, or reconnect it."""
         controller = self.rng.choice(self.controllers)
         controller.client.cut = not controller.client.cut
 
     def do_partition(self) -> None:
+        """Make a worker unreachable, or reachable again."""
         worker = self.rng.choice(list(self.workers.values()))
         worker.unreachable = not worker.unreachable
 
     def do_restart(self) -> None:
+        """Restart a worker."""
         self.rng.choice(list(self.workers.values())).restart(self.clock.at)
 
     def do_submit(self) -> None:
+        """Submit a job to its shard's owner."""
         if len(self.accepted) >= 12:
             return
         name = f"j-{len(self.accepted):06d}"
@@ -424,9 +452,11 @@
                     self.accepted[name] = body.tasks
 
     def body(self, name: str) -> api.JobSpec:
+        """Return the description of a new job."""
         return spec(name, chores=self.rng.randint(1, 3), cores=2.0)
 
     def do_cancel(self) -> None:
+        """Cancel a random job."""
         if not self.accepted:
             return
         name = self.rng.choice(sorted(self.accepted))
@@ -447,15 +477,19 @@
                 self.cancelled.setdefault(name, self.clock.at)
 
     def do_work(self) -> None:
+        """Advance a random worker's tasks."""
         self.rng.choice(list(self.workers.values())).progress(self.rng)
 
     def shard_of_worker(self, worker: FakeWorker) -> int:
+        """Return the machine shard of a worker."""
         return shard_of_machine(worker.name, worker.zone, self.zones)
 
     def do_report(self) -> None:
+        """Let a random worker report."""
         self.send_report(self.rng.choice(list(self.workers.values())))
 
     def send_report(self, worker: FakeWorker) -> None:
+        """Send a report to all controllers; copies may arrive late."""
         sent, session = self.clock.at, worker.session
         report = worker.report()
         if self.rng.random() < 0.15:
@@ -474,6 +508,7 @@
         sent: float,
         session: int,
     ) -> None:
+        """Deliver a report to its shard's owner, and the reply to its worker, if given."""
         machines = controller.machines.get(
             shard_of_machine(report.machine, report.zone, self.zones)
         )
@@ -627,6 +662,7 @@
             machines.on_command_unanswered(machine, commands, True)
 
     def do_write(self) -> None:
+        """Let all writers with a valid lease write."""
         for controller in self.controllers:
             for writer in controller.writers.values():
                 if controller.lease_is_valid():
@@ -652,6 +688,7 @@
         return 2
 
     def reserve(self, controller: ModelController, job: Job, task: int) -> None:
+        """Reserve capacity for a task on a random machine of a random shard."""
         owners = [(n, s) for n in self.controllers for s in n.machines]
         if not owners:
             return
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -67,11 +67,13 @@
             await curio.sleep(self.cluster.rng.uniform(0.0, self.max_latency_s))
 
     def writable(self, urgent: bool) -> tuple[int, float]:
+        """Return how many changes may be written now, and the wait for more."""
         return self.budget.available(urgent) if self.budget else (1000, 0.0)
 
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
+        """Write, with the injected failures."""
         if self.budget:
             await self.budget.take(len(changes), urgent)
         if self.cluster.rng.random() < self.late_share and not (self.cut or self.state.down):
@@ -100,12 +102,14 @@
         return revision
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
+        """Read one key, with the injected latency."""
         self._call()
         found = self.state.keys.get(key)
         await self._delay_answer()
         return api.Entry(key, msgspec.Raw(found[0]), found[1]) if found else None
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
+        """Read all keys with a prefix, with the injected failures."""
         if any(prefix.startswith(b) for b in self.unreadable_prefixes):
             raise StateError("too slow")
         found, epoch = await super().read(prefix)
@@ -113,6 +117,7 @@
         return [e for e in found if e.key.startswith(prefix)], epoch
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> api.Events:
+        """Return the events under a prefix."""
         found = await super().watch(prefix, after, wait_s)
         found.events = [e for e in found.events if (e.put or e.delete or "").startswith(prefix)]
         return found
@@ -163,21 +168,25 @@
         return self.cluster.controllers[self.number] is not self.controller
 
     def is_reachable(self, to: int) -> bool:
+        """Whether messages reach the other controller."""
         return self.cluster.is_connected(self.number, to)
 
     async def call_peer(self, to: int, envelope: pb.Envelope, _timeout_s: float) -> pb.Envelope:
+        """Send a message to another controller and return its reply."""
         if not self.is_reachable(to) or self.has_ended():
             raise PeerUnavailableError("partitioned")
         envelope.sender = self.number
         return await self.cluster.controllers[to].on_message(envelope) or pb.Envelope()
 
     async def enqueue(self, to: int, envelope: pb.Envelope) -> None:
+        """Send a message to another controller without waiting."""
         if self.is_reachable(to):
             self.cluster.messages[self.number, to].append(serialized_copy(envelope, self.number))
 
     async def call_worker(
         self, address: str, _method: str, _path: str, body: bytes | None, _timeout_s: float
     ) -> Reply:
+        """Send commands to a worker; they or their answer may be delayed."""
         cluster = self.cluster
         worker = cluster.workers[address.split(":")[1]]
         if (self.number, worker.name) in cluster.blocked_worker_links or self.has_ended():
@@ -270,6 +279,7 @@
     # --- controllers
 
     def start_controller(self, number: int) -> Controller:
+        """Return a new controller process, connected to the simulated network."""
         context = make_context(self.clock, self.rng.getrandbits(32), self.zones, number)
         if self.limit:
             teams = context.settings.settings.teams
@@ -297,10 +307,12 @@
         return controller
 
     def is_connected(self, one: int, other: int) -> bool:
+        """Whether both controllers run and no partition separates them."""
         up = one not in self.down and other not in self.down
         return up and (one == other or frozenset((one, other)) not in self.partitions)
 
     def crash(self, number: int, for_s: float) -> None:
+        """End a controller; it restarts after `for_s` seconds."""
         self.down[number] = self.clock.at + for_s
         old = self.controllers[number]
         old.membership.lease.lease_id = 0  # its remaining tasks act for no owner
@@ -362,6 +374,7 @@
         await self.spawn(turn)
 
     async def run_controller(self, number: int, controller: Controller) -> None:
+        """Send gossip, and give each of a controller's loops a turn."""
         links = controller.peers.links
         for other in range(len(self.controllers)):
             if other != number and self.is_connected(number, other):
@@ -385,6 +398,7 @@
         await self.run_loop((id(controller), "write"), lambda: self.write(controller))
 
     async def write(self, controller: Controller) -> None:
+        """Write a controller's changes while its lease is valid."""
         for writer in list(controller.writers.values()):
             try:
                 while controller.membership.lease_is_valid() and await writer.flush():
@@ -407,6 +421,7 @@
     # --- workers
 
     def on_task_launched(self, task: str) -> None:
+        """Check that the job of a launched task was accepted."""
         if task.split("/", maxsplit=1)[0] not in self.acknowledged:
             raise InvariantViolationError(f"invented: {task}")
 
@@ -437,9 +452,11 @@
         return self.workers[name]
 
     def run_time_s(self, task: str) -> float:
+        """Return how long a task runs, in seconds."""
         return self.run_times.get(task) or self.run_times[task.split("/", maxsplit=1)[0]]
 
     def on_task_started(self, worker: FakeWorker, name: str) -> None:
+        """Check that a task may start now, on this machine."""
         self.start_counts[name] = self.start_counts.get(name, 0) + 1
         for other in self.workers.values():
             task = other.tasks.get(name)
@@ -583,6 +600,7 @@
             await real_sleep(0)
 
     async def submit(self, name: str, tasks: int, run_s: float, **other: Any) -> None:
+        """Submit a job until a controller has accepted it."""
         self.run_times[name] = run_s
         self.jobs[name] = job_body(name, chores=tasks, image_gb=0.1, **other)
         body = msgspec.json.encode(self.jobs[name])
@@ -620,6 +638,7 @@
     # --- time
 
     def check_invariants(self) -> None:
+        """Raise the errors of spawned tasks, and check what runs now."""
         if self.background_errors:
             raise self.background_errors[0]
         now, used = self.clock.at, 0.0
@@ -664,6 +683,7 @@
                     raise InvariantViolationError(f"waits: {task} beside capacity on {capacity}")
 
     async def run(self, seconds: float) -> None:
+        """Advance the simulation tick by tick."""
         end = self.clock.at + seconds
         while self.clock.at < end - 1e-9:
             self.clock.at += TICK_S
@@ -710,12 +730,14 @@
             await self.deliver_duplicate(replay[2])
 
     def restart_controllers(self, now: float) -> None:
+        """Start crashed controllers whose time has come."""
         for number, at in list(self.down.items()):
             if at <= now:
                 del self.down[number]
                 self.controllers[number] = self.start_controller(number)
 
     async def run_workers(self, now: float) -> None:
+        """Advance all workers; those that are due report."""
         for worker in self.workers.values():
             worker.expire(now)  # PROTOCOL: a machine that hangs may continue within its lease
             if worker.hung:
@@ -725,6 +747,7 @@
                 await self.spawn(self.report, worker)
 
     async def cancel_pending(self) -> None:
+        """Send the cancellations that tasks and failures have caused."""
         for job, number in self.pending_cancellations:
             await self.spawn(self.cancel, job, (number, *range(len(self.controllers))))
         self.pending_cancellations.clear()
@@ -740,6 +763,7 @@
         return found
 
     def ownership_of(self, worker: SimulatedWorker) -> tuple[int, int]:
+        """Return a worker's shard and its ownership epoch."""
         shard = shard_of_machine(worker.name, worker.zone, self.zones)
         return shard, self.ownership_epochs.get(shard, 0)
 
@@ -758,6 +782,7 @@
             await self.spawn(self.request, number, "GET", f"{api.JOBS}/{name}")
 
     def live_tasks_of(self, job: str) -> list[tuple[str, FakeTask]]:
+        """Return a job's tasks that have not exited, with their machines."""
         return [(worker.name, task) for worker, _, task in self.live_tasks(job)]
 
 
