--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Builds the small worlds that tests use. No clock, no network: time is a number."""
+"""Builders for contexts, settings and jobs in tests. No network; time is a number."""
 
 import os
 import random
@@ -11,22 +11,27 @@
 from starlingdeck.protocol.config import GroupCommitSettings, Settings, Tuning
 
 LOGGED = Tuning(group_commit=GroupCommitSettings())
-# Of the worlds that are made from then on. With GROUP_COMMIT=1 the whole suite plays with the log.
+# Used by the contexts made from then on. GROUP_COMMIT=1 runs the whole suite with the commit log.
 tuning = LOGGED if os.environ.get("GROUP_COMMIT") else Tuning()
 
 
 class Clock:
+    """A clock that tests advance, in seconds."""
+
     def __init__(self) -> None:
         self.at = 1000.0
 
     def now(self) -> float:
+        """Return seconds, as a monotonic clock does."""
         return self.at
 
     def wall_ms(self) -> int:
+        """Return milliseconds, as the wall clock does."""
         return int(self.at * 1000)
 
 
 def settings_dict(zones: tuple[str, ...] = ("a", "b", "a")) -> dict[str, Any]:
+    """Return the raw settings of a cluster with one controller for each zone."""
     peers = [
         {"host_name": f"n-{i}", "zone": z, "address": f"127.0.0.1:{9100 + i}"}
         for i, z in enumerate(zones)
@@ -55,9 +60,10 @@
     }
 
 
-def make_world(
+def make_context(
     clock: Clock, seed: int = 1, zones: tuple[str, ...] = ("a", "b", "a"), node: int = 0
 ) -> ControllerContext:
+    """Return the context of one controller, with two machine types."""
     raw = settings_dict(zones)
     settings = msgspec.convert(raw, Settings)
     if node:
@@ -75,6 +81,7 @@
 
 
 def job_body(uid: str = "j-000001", **other: Any) -> dict[str, Any]:
+    """Return the JSON body of a submission; `other` replaces fields."""
     body: dict[str, Any] = {
         "uid": uid,
         "flock": "batch",
@@ -102,4 +109,5 @@
 
 
 def spec(uid: str = "j-000001", **other: Any) -> JobSpec:
+    """Return the decoded description of a job; `other` replaces fields."""
     return msgspec.convert(job_body(uid, **other), JobSpec)
--- a/tests/support/counted_resources.py
+++ b/tests/support/counted_resources.py
@@ -16,10 +16,10 @@
 from starlingdeck.protocol.config import CountSettings
 from starlingdeck.storage import records
 from starlingdeck.storage.state import StateClient, put_change
-from tests.support.reference_model import Broken, PlainClient, PlainState
+from tests.support.reference_model import FakeStateClient, FakeStateService, InvariantViolationError
 
 
-class CountedState(PlainState):
+class CountedState(FakeStateService):
     """Checks every change: a start may never bring a resource over its ceiling."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -27,6 +27,7 @@
         self.used: Counter[str] = Counter()
 
     def apply(self, conditions: dict[str, int], changes: list[api.Change]) -> list[str]:
+        """Apply a transaction, and check the invariants if it was not refused."""
         failed = super().apply(conditions, changes)
         if not failed:
             self.check()
@@ -50,17 +51,23 @@
         return found
 
     def ledger(self, name: str) -> Ledger:
+        """Return a resource's stored ledger."""
         return msgspec.json.decode(self.keys[records.count_key(name)][0], type=Ledger)
 
     def check(self) -> None:
+        """Check each shard's use against its allocation, and each total against its ceiling."""
         total: Counter[str] = Counter()
         for (name, shard), units in self.use().items():
             if units and units > self.ledger(name).allocated[shard]:
-                raise Broken(f"shard {shard} uses {units} of {name}: {self.ledger(name)}")
+                raise InvariantViolationError(
+                    f"shard {shard} uses {units} of {name}: {self.ledger(name)}"
+                )
             total[name] += units
         for name, units in total.items():
             if units > self.used[name] and units > self.ledger(name).ceiling:
-                raise Broken(f"{name} is over its ceiling: {units} of {self.ledger(name)}")
+                raise InvariantViolationError(
+                    f"{name} is over its ceiling: {units} of {self.ledger(name)}"
+                )
         self.used = total
 
     def set(self, name: str, ceiling: int, shards: int, **fields: Any) -> None:
@@ -74,10 +81,11 @@
 
 def make_plugin(
     context: ControllerContext,
-    client: PlainClient,
+    client: FakeStateClient,
     writers: dict[int, RecordWriter],
     **settings: Any,
 ) -> CountedResourcePlugin:
+    """Return a plugin without membership, for one controller."""
     return CountedResourcePlugin(
         context,
         cast(StateClient, client),
@@ -89,7 +97,7 @@
 
 def deliver_changes(
     plugin: CountedResourcePlugin,
-    state: PlainState,
+    state: FakeStateService,
     is_delivered: Callable[[], bool] = lambda: True,
 ) -> None:
     """Deliver the ledgers' changes to a plugin, as its controller's watch would."""
