--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -20,8 +20,8 @@
 import msgspec  # noqa: E402
 
 from standins.scale import report as reports  # noqa: E402
-from standins.scale.plan import Plan, Rung, load  # noqa: E402
-from standins.scale.run import PortsTakenError, play  # noqa: E402
+from standins.scale.plan import Plan, Rung, load_plan  # noqa: E402
+from standins.scale.run import PortsTakenError, play_rung  # noqa: E402
 from starlingdeck.protocol.config import ConfigError  # noqa: E402
 
 
@@ -38,7 +38,7 @@
 def main(plan: Path | None, report: Path | None, keep: Path | None) -> None:
     """Play a plan's rungs one after the other."""
     try:
-        wanted = load(plan)
+        wanted = load_plan(plan)
     except ConfigError as error:
         for text in error.lines:
             click.echo(text, err=True)
@@ -50,9 +50,10 @@
     told = reports.Report(plan=wanted)
     write(report, told)
     for number, rung in enumerate(wanted.rungs):
+        starts_per_s = wanted.requested_starts_per_s(rung)
         say(
             f"rung {number + 1} of {len(wanted.rungs)}: {rung.workers} workers,"
-            f" {rung.controllers} controllers, {wanted.starts(rung):.0f} starts a second asked for"
+            f" {rung.controllers} controllers, {starts_per_s:.0f} starts a second asked for"
         )
         began = time.monotonic()
         folder = keep / f"rung-{number + 1}" if keep is not None else None
@@ -67,9 +68,9 @@
         if reports.failed(row):
             break
     if len(wanted.rungs) > 1:
-        say(reports.HEAD)
+        say(reports.ROW_HEADER)
         for row in told.rows:
-            say(reports.line(row))
+            say(reports.format_row(row))
     told.complete = len(told.rows) == len(wanted.rungs)
     write(report, told)
     sys.exit(1 if any(reports.failed(row) for row in told.rows) else 0)
@@ -78,7 +79,7 @@
 def play_or_exit(wanted: Plan, rung: Rung, folder: Path | None) -> reports.Row:
     """A rung's row; without one the whole run ends, with the status that tells why."""
     try:
-        return play(wanted, rung, folder, say)
+        return play_rung(wanted, rung, folder, say)
     except PortsTakenError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
--- a/standins/agent.py
+++ b/standins/agent.py
@@ -10,9 +10,9 @@
 from starlingdeck.protocol import api
 
 FETCHING, RUNNING, EXITED = "fetching", "running", "exited"
-ANSWER_S = 4.0  # how long a worker waits for an answer to a report
-MOVE_S = 1.0  # and before it tries the next controller
-CHANGES_S = 0.5  # the least time between two reports
+REPORT_TIMEOUT_S = 4.0  # how long a worker waits for an answer to a report
+CONTROLLER_RETRY_S = 1.0  # and before it tries the next controller
+MIN_REPORT_INTERVAL_S = 0.5  # the least time between two reports
 
 
 @dataclass
@@ -21,15 +21,15 @@
 
     attempt: int
     state: str = FETCHING
-    why: str | None = None
+    exit_cause: str | None = None
 
 
 @dataclass
 class Actions:
     """What a batch of commands asks of the driver, in order of the commands."""
 
-    begin: list[str] = field(default_factory=list)
-    end: list[str] = field(default_factory=list)
+    to_start: list[str] = field(default_factory=list)
+    to_stop: list[str] = field(default_factory=list)
 
 
 @dataclass
@@ -56,32 +56,34 @@
         """A machine that is new or comes back with nothing on it."""
         self.tasks.clear()
         self.session = 1
-        self.tally = self.token = 0
-        self.answered = now  # when the last answered report was sent
+        self.sequence = self.token = 0
+        self.last_answered_at = now  # when the last answered report was sent
 
-    def report(self) -> api.Report:
+    def build_report(self) -> api.Report:
         """The next message about this machine; each has a higher tally."""
-        self.tally += 1
+        self.sequence += 1
         me = self.identity
-        tasks = [api.ReportTask(n, t.attempt, t.state, t.why) for n, t in self.tasks.items()]
+        tasks = [api.ReportTask(n, t.attempt, t.state, t.exit_cause) for n, t in self.tasks.items()]
         return api.Report(
-            me.name, me.address, me.type, me.zone, self.session, self.tally, self.token,
+            me.name, me.address, me.type, me.zone, self.session, self.sequence, self.token,
             me.spot, None, tasks,
         )  # fmt: skip
 
-    def command(self, orders: api.Commands) -> Actions | None:
+    def handle_commands(self, orders: api.Commands) -> Actions | None:
         """Direct commands; None when token or session don't match and nothing was executed."""
         if orders.token < self.token or orders.session != self.session:
             return None
         self.token = orders.token
         return self.execute(orders.commands)
 
-    def answered_report(self, reply: api.ReportReply, session: int, sent: float) -> Actions | None:
+    def handle_report_reply(
+        self, reply: api.ReportReply, session: int, sent: float
+    ) -> Actions | None:
         """An answer to the report sent then; None when it has to be dropped."""
         if session != self.session or reply.token < self.token:
             return None
         self.token = reply.token
-        self.answered = max(self.answered, sent)
+        self.last_answered_at = max(self.last_answered_at, sent)
         return self.execute(reply.commands)
 
     def execute(self, commands: list[api.Command]) -> Actions:
@@ -95,8 +97,8 @@
             elif task is None or not known:
                 continue
             elif command.op == api.STOP and task.state != EXITED:
-                self.ended(command.task, "halted")
-                actions.end.append(command.task)
+                self.task_ended(command.task, "halted")
+                actions.to_stop.append(command.task)
             elif command.op == api.REAP and task.state == EXITED:
                 del self.tasks[command.task]
         return actions
@@ -107,31 +109,31 @@
         live = sum(t.state != EXITED for t in self.tasks.values())
         self.tasks[command.task] = Task(command.attempt)
         if self.fits(command.task, live):
-            actions.begin.append(command.task)
+            actions.to_start.append(command.task)
         else:
-            self.ended(command.task, "full")
+            self.task_ended(command.task, "full")
 
-    def running(self, name: str) -> None:
+    def task_running(self, name: str) -> None:
         """A task has its image and is on the machine."""
         self.tasks[name].state = RUNNING
 
-    def ended(self, name: str, error: str) -> None:
+    def task_ended(self, name: str, error: str) -> None:
         """A task has ended, with the cause that reports give."""
         task = self.tasks[name]
-        task.state, task.why = EXITED, error
+        task.state, task.exit_cause = EXITED, error
 
-    def expire(self, now: float, lease_s: float) -> list[str]:
+    def expire_lease(self, now: float, lease_s: float) -> list[str]:
         """Ends the session when the lease is over; the tasks that were killed by that."""
-        if now - self.answered <= lease_s:
+        if now - self.last_answered_at <= lease_s:
             return []
         killed = [name for name, task in self.tasks.items() if task.state != EXITED]
         self.tasks.clear()
         self.session += 1
-        self.answered = now
+        self.last_answered_at = now
         return killed
 
 
-def next_controller(names: list[str], named: str | None) -> bool:
+def advance_controller(names: list[str], named: str | None) -> bool:
     """Puts the controller to report to first, after a refusal that may have named one.
 
     True when the worker has to wait before it tries that.
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -18,26 +18,26 @@
 
     def __init__(self, path: Path) -> None:
         self.log = path.open("a", buffering=1)
-        self.open = 0
+        self.open_sessions = 0
 
-    def note(self, what: str, who: str) -> None:
+    def log_event(self, what: str, who: str) -> None:
         """Appends one line to the log."""
-        self.log.write(f"{time.time():.3f} {what} {who} {self.open}\n")
+        self.log.write(f"{time.time():.3f} {what} {who} {self.open_sessions}\n")
 
-    async def session(self, sock: curio.io.Socket, _: object) -> None:
+    async def serve_session(self, sock: curio.io.Socket, _: object) -> None:
         """Serves one session, from its first line until the connection closes."""
         stream = sock.as_stream()
         who = (await stream.readline()).decode().strip()
-        self.open += 1
-        self.note("open", who)
+        self.open_sessions += 1
+        self.log_event("open", who)
         try:
             if await stream.readline() == b"done\n":
-                self.note("done", who)
+                self.log_event("done", who)
         finally:
-            self.open -= 1
-            self.note("close", who)
+            self.open_sessions -= 1
+            self.log_event("close", who)
 
 
 if __name__ == "__main__":
     engine = Engine(Path(sys.argv[2]))
-    curio.run(curio.tcp_server, *split_address(sys.argv[1]), engine.session)
+    curio.run(curio.tcp_server, *split_address(sys.argv[1]), engine.serve_session)
--- a/standins/limits.py
+++ b/standins/limits.py
@@ -5,25 +5,27 @@
 import msgspec
 
 
-class Rate:
+class RateLimiter:
     """`per_s` a second with a burst worth `burst_s` seconds; 0: no limit."""
 
     def __init__(self, per_s: float, burst_s: float = 1.0) -> None:
-        self.per_s = per_s
-        self.most = max(1.0, per_s * burst_s)
-        self.level = self.most
-        self.at = time.monotonic()
+        self.rate_per_s = per_s
+        self.burst_tokens = max(1.0, per_s * burst_s)
+        self.tokens = self.burst_tokens
+        self.refilled_at = time.monotonic()
 
     def take(self, amount: float = 1.0) -> bool:
         """Takes it if there is as much; what is refused costs nothing."""
-        if not self.per_s:
+        if not self.rate_per_s:
             return True
         now = time.monotonic()
-        self.level = min(self.most, self.level + (now - self.at) * self.per_s)
-        self.at = now
-        if self.level < amount:
+        self.tokens = min(
+            self.burst_tokens, self.tokens + (now - self.refilled_at) * self.rate_per_s
+        )
+        self.refilled_at = now
+        if self.tokens < amount:
             return False
-        self.level -= amount
+        self.tokens -= amount
         return True
 
 
--- a/standins/scale/measure.py
+++ b/standins/scale/measure.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 CPU_FIELDS = slice(11, 13)  # user and system time, after the process's name
 PORTS = re.compile(r"^(\S+)\s+(\S+)\s")
 
@@ -22,7 +22,7 @@
     descriptors: int
 
 
-def usage(pid: int) -> Usage | None:
+def process_usage(pid: int) -> Usage | None:
     """None when the process has ended."""
     folder = Path(f"/proc/{pid}")
     try:
@@ -31,7 +31,9 @@
         descriptors = len(os.listdir(folder / "fd"))
     except (OSError, IndexError):
         return None
-    return Usage(sum(map(int, fields[CPU_FIELDS])) / TICKS, pages * PAGE, descriptors)
+    return Usage(
+        sum(map(int, fields[CPU_FIELDS])) / CLOCK_TICKS_PER_S, pages * PAGE_BYTES, descriptors
+    )
 
 
 @dataclass(frozen=True)
@@ -43,7 +45,7 @@
     connections: int
 
 
-def traffic(ports: set[int]) -> dict[int, Traffic] | None:
+def port_traffic(ports: set[int]) -> dict[int, Traffic] | None:
     """By listening port; None where `ss` is not to be had. Closed connections don't count."""
     program = shutil.which("ss")
     if program is None:
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -23,12 +23,12 @@
 OTHERS_MB = 250.0  # state service, cloud, users and checker
 HOST_WORKER_SOCKETS = 4  # of a hollow worker: it listens, reports, and is called by two controllers
 CONTROLLER_WORKER_SOCKETS = 3
-SPARE_SOCKETS = 300
-MOST_PROCESSES = 300
+SOCKET_HEADROOM = 300
+MAX_PROCESSES = 300
 MEMORY_SHARE = 0.5  # of the machine's
 
 
-class Users(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class UserSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Section `users`: what is submitted. Sizes and shares are of jobs, rates of tasks."""
 
     teams: Many = 340
@@ -43,7 +43,7 @@
     poll_s: Seconds = 5.0
 
 
-class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServiceLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Section `limits`: those of the state service and the cloud, and workers' timers."""
 
     rps: Rate = 500.0
@@ -57,9 +57,12 @@
     max_connections: Annotated[int, Meta(ge=0, le=100_000)] = 0  # 0: as many as workers may open
 
 
-class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One entry of `troubles`. `count`: workers of a rack or a zone; `for_s`: of an outage, or
-    until a killed controller is back."""
+class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One fault to inject: an entry of the file's `troubles`.
+
+    `count`: workers of a rack or a zone; `for_s`: length of an outage, or until a killed
+    controller is started again.
+    """
 
     at_s: Annotated[float, Meta(ge=0)]
     kind: str
@@ -68,7 +71,7 @@
     rate: Rate = 0.02  # workers restarted a second, from then on
 
 
-KINDS = ("controller", "rack", "restarts", "state")
+FAULT_KINDS = ("controller", "rack", "restarts", "state")
 
 
 class Rung(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -92,31 +95,31 @@
     port: Annotated[int, Meta(ge=1024, le=60_000)] = 24_000
     tuning: str = ""  # the controllers' tuning file
     broken: bool = False  # one process of workers breaks a rule: the run has to end with 1
-    users: Users = Users()
-    limits: Limits = Limits()
-    troubles: list[Trouble] = []
+    users: UserSettings = UserSettings()
+    limits: ServiceLimits = ServiceLimits()
+    faults: list[Fault] = msgspec.field(name="troubles", default=[])
 
-    def starts(self, rung: Rung) -> float:
+    def requested_starts_per_s(self, rung: Rung) -> float:
         """Task starts a second that a rung's users ask for."""
         return rung.starts_per_s or 0.75 * self.slots * rung.workers / self.users.run_s
 
 
-DEFAULT = Plan(
+DEFAULT_PLAN = Plan(
     rungs=[Rung(workers=150, name="a look")],
-    troubles=[Trouble(at_s=20.0, kind="controller", for_s=3.0)],
+    faults=[Fault(at_s=20.0, kind="controller", for_s=3.0)],
 )
 
 
-def load(path: Path | None) -> Plan:
+def load_plan(path: Path | None) -> Plan:
     """The plan of a file, or the one that is played without; raises Fault with every fault."""
     if path is None:
-        return DEFAULT
+        return DEFAULT_PLAN
     try:
         raw = msgspec.toml.decode(path.read_bytes())
     except (OSError, msgspec.DecodeError) as error:
         raise ConfigError([f"{path}: {error}"]) from error
     lines = validation_errors(raw, Plan, "")
-    for name, kind in (("rungs", Rung), ("troubles", Trouble)):
+    for name, kind in (("rungs", Rung), ("troubles", Fault)):
         rows = raw.get(name)
         if isinstance(rows, list):
             lines = [line for line in lines if not line.startswith(f"{name}:")]
@@ -124,13 +127,13 @@
                 lines += validation_errors(row, kind, f"{name}[{number}]")
     if not lines:
         plan = msgspec.convert(raw, Plan)
-        lines = beyond(plan, memory_mb(), sockets()) + tuning_faults(plan)
+        lines = plan_errors(plan, machine_memory_mb(), max_sockets()) + tuning_errors(plan)
     if lines:
         raise ConfigError([f"{path}: {line}" for line in lines])
     return plan
 
 
-def beyond(plan: Plan, memory: float, most_sockets: int) -> list[str]:
+def plan_errors(plan: Plan, memory: float, most_sockets: int) -> list[str]:
     """What a plan asks that this machine may not give, and what contradicts itself."""
     lines = []
     if not plan.rungs:
@@ -139,34 +142,34 @@
         lines.append("warmup_s: less than seconds")
     if plan.users.teams > 999:
         lines.append("users.teams: at most 999")
-    for number, trouble in enumerate(plan.troubles):
-        if trouble.kind not in KINDS:
-            lines.append(f"troubles[{number}].kind: one of {', '.join(KINDS)}")
-        if trouble.at_s >= plan.seconds:
+    for number, fault in enumerate(plan.faults):
+        if fault.kind not in FAULT_KINDS:
+            lines.append(f"troubles[{number}].kind: one of {', '.join(FAULT_KINDS)}")
+        if fault.at_s >= plan.seconds:
             lines.append(f"troubles[{number}].at_s: less than seconds")
     for number, rung in enumerate(plan.rungs):
-        found = rung_beyond(plan, rung, memory, most_sockets)
+        found = rung_errors(plan, rung, memory, most_sockets)
         lines += [f"rungs[{number}]: {line}" for line in found]
     return lines
 
 
-def rung_beyond(plan: Plan, rung: Rung, memory: float, most_sockets: int) -> list[str]:
+def rung_errors(plan: Plan, rung: Rung, memory: float, most_sockets: int) -> list[str]:
     """What one rung asks that this machine may not give."""
     lines = []
-    wanted = needed_mb(plan, rung)
+    wanted = estimated_memory_mb(plan, rung)
     if wanted > memory * MEMORY_SHARE:
         lines.append(f"about {wanted:.0f} MB, over half of {memory:.0f} MB")
-    per_host = min(rung.workers, plan.per_process) * HOST_WORKER_SOCKETS + SPARE_SOCKETS
-    reporting = CONTROLLER_WORKER_SOCKETS * rung.workers + SPARE_SOCKETS
+    per_host = min(rung.workers, plan.per_process) * HOST_WORKER_SOCKETS + SOCKET_HEADROOM
+    reporting = CONTROLLER_WORKER_SOCKETS * rung.workers + SOCKET_HEADROOM
     need = max(per_host, reporting)
     if need > most_sockets:
         lines.append(f"about {need} sockets in a process, over {most_sockets}")
-    if processes(plan, rung) > MOST_PROCESSES:
-        lines.append(f"{processes(plan, rung)} processes, over {MOST_PROCESSES}")
+    if process_count(plan, rung) > MAX_PROCESSES:
+        lines.append(f"{process_count(plan, rung)} processes, over {MAX_PROCESSES}")
     return lines
 
 
-def tuning_faults(plan: Plan) -> list[str]:
+def tuning_errors(plan: Plan) -> list[str]:
     """What is wrong with the controllers' tuning file."""
     if not plan.tuning:
         return []
@@ -177,24 +180,24 @@
     return []
 
 
-def hosts(plan: Plan, rung: Rung) -> int:
+def worker_host_count(plan: Plan, rung: Rung) -> int:
     """Processes of hollow workers."""
     return -(-rung.workers // plan.per_process)
 
 
-def processes(plan: Plan, rung: Rung) -> int:
+def process_count(plan: Plan, rung: Rung) -> int:
     """Processes that a rung starts."""
-    return rung.controllers + hosts(plan, rung) + 3
+    return rung.controllers + worker_host_count(plan, rung) + 3
 
 
-def needed_mb(plan: Plan, rung: Rung) -> float:
+def estimated_memory_mb(plan: Plan, rung: Rung) -> float:
     """An estimate of the memory that a rung needs, in MB."""
     controllers = rung.controllers * (CONTROLLER_MB + CONTROLLER_WORKER_MB * rung.workers)
-    workers = hosts(plan, rung) * HOST_MB + HOST_WORKER_MB * rung.workers
+    workers = worker_host_count(plan, rung) * HOST_MB + HOST_WORKER_MB * rung.workers
     return controllers + workers + OTHERS_MB
 
 
-def memory_mb() -> float:
+def machine_memory_mb() -> float:
     """The machine's memory."""
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemTotal:"):
@@ -202,6 +205,6 @@
     raise OSError("no MemTotal in /proc/meminfo")
 
 
-def sockets() -> int:
+def max_sockets() -> int:
     """Sockets that one process may open."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from standins.scale.troubles import Recovery
+from standins.scale.faults import Recovery
 
-BUSY = 0.9  # of a core: a process that uses more is what limits
-LATE_TICKS = 0.05  # share of late ticks from which the hollow workers are the limit
+BUSY_CORE_SHARE = 0.9  # of a core: a process that uses more is what limits
+MAX_LATE_TICK_SHARE = 0.05  # share of late ticks from which the hollow workers are the limit
 
 
 class Waits(msgspec.Struct):
@@ -74,18 +74,18 @@
     rows: list[Row] = []
 
 
-def limits_of(row: Row, write_rps: float) -> list[str]:
+def limiting_components(row: Row, write_rps: float) -> list[str]:
     """What had no more to give in a rung; `write_rps` is the state service's limit."""
     found = []
-    if max(row.controller_cores) > BUSY:
+    if max(row.controller_cores) > BUSY_CORE_SHARE:
         found.append("controllers")
-    if row.over_rate or row.state_changes >= BUSY * write_rps:
+    if row.over_rate or row.state_changes >= BUSY_CORE_SHARE * write_rps:
         found.append("changes of the state service")
-    if row.late_ticks > LATE_TICKS or max(row.host_cores) > BUSY:
+    if row.late_ticks > MAX_LATE_TICK_SHARE or max(row.host_cores) > BUSY_CORE_SHARE:
         found.append("hollow workers (generator)")
-    if row.users_cores > BUSY:
+    if row.users_cores > BUSY_CORE_SHARE:
         found.append("users and checker (generator)")
-    if row.state_cores > BUSY:
+    if row.state_cores > BUSY_CORE_SHARE:
         found.append("the stand-in of the state service (generator)")
     return found
 
@@ -98,13 +98,13 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-HEAD = (
+ROW_HEADER = (
     "workers ctl  starts/s reports/s  ctl cores (max)  MB  state req/s chg/s chg/start"
     "  urgent p99 s normal p50/p99 s  limited by"
 )
 
 
-def line(row: Row) -> str:
+def format_row(row: Row) -> str:
     """A rung as one line under `HEAD`."""
     cores = row.controller_cores
     urgent, normal = row.waits.get("urgent"), row.waits.get("normal")
--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -8,19 +8,19 @@
 
 import curio
 
-from standins.hollow import HostStats
-from standins.scale.checker import HELD_BACK_S, Checker
-from standins.scale.measure import Traffic, traffic, usage
+from standins.scale.checker import EVENT_DELAY_S, Checker
+from standins.scale.faults import FaultInjector
+from standins.scale.measure import Traffic, port_traffic, process_usage
 from standins.scale.plan import Plan, Rung
-from standins.scale.report import Row, Waits, limits_of, percentile
+from standins.scale.report import Row, Waits, limiting_components, percentile
 from standins.scale.site import Site
-from standins.scale.troubles import Troubles
-from standins.scale.users import ANSWER_S, FORGOTTEN_S, Load
-from standins.state import Stats
+from standins.scale.users import ANSWER_DEADLINE_S, SUBMIT_TIMEOUT_S, WorkloadGenerator
+from standins.simulated_workers import HostStats
+from standins.state import StateStats
 from starlingdeck.protocol.config import split_address
 
-PROGRESS_S = 10.0
-JUDGE_S = 0.2
+PROGRESS_INTERVAL_S = 10.0
+EVALUATION_INTERVAL_S = 0.2
 
 
 class PortsTakenError(Exception):
@@ -32,12 +32,12 @@
 
 
 @dataclass
-class Snapshot:
+class CounterSnapshot:
     """Everything that is counted, at one moment."""
 
     at: float
     cpu: dict[str, float]
-    state: Stats
+    state: StateStats
     hosts: list[HostStats]
     starts: int
     submissions: int
@@ -45,32 +45,32 @@
     traffic: dict[int, Traffic] | None
 
 
-class Play:
+class RungRunner:
     """One rung."""
 
     def __init__(self, plan: Plan, rung: Rung, folder: Path, say: Callable[[str], None]) -> None:
-        self.plan, self.rung, self.say = plan, rung, say
+        self.plan, self.rung, self.print_line = plan, rung, say
         self.site = Site(plan, rung, folder)
         self.checker = Checker(plan.limits.cancel_s, plan.users.team_cpus_max)
-        self.load = Load(plan.users, self.site.public, self.checker, plan.seed)
-        self.troubles = Troubles(self.site, self.checker, plan.seed)
+        self.users = WorkloadGenerator(plan.users, self.site.public, self.checker, plan.seed)
+        self.fault_injector = FaultInjector(self.site, self.checker, plan.seed)
         self.own_pid = Path("/proc/self").resolve().name
 
     # --- what workers tell
 
-    async def hear(self, sock: curio.io.Socket, _address: object) -> None:
+    async def receive_events(self, sock: curio.io.Socket, _address: object) -> None:
         """Reads the events of one process of workers."""
         rest = b""
         while data := await sock.recv(64 * 1024):
             *lines, rest = (rest + data).split(b"\n")
             for line in lines:
-                self.checker.hear(line.decode())
+                self.checker.receive_event(line.decode())
 
-    async def judge_loop(self) -> None:
+    async def evaluate_loop(self) -> None:
         """Judges events every JUDGE_S seconds until a rule is broken."""
-        while not self.checker.broken:
-            await curio.sleep(JUDGE_S)
-            self.checker.judge(time.monotonic() - HELD_BACK_S)
+        while not self.checker.violations:
+            await curio.sleep(EVALUATION_INTERVAL_S)
+            self.checker.evaluate(time.monotonic() - EVENT_DELAY_S)
             self.site.check_alive()
 
     # --- the run
@@ -78,21 +78,21 @@
     async def run(self) -> Row:
         """Plays the rung and returns its figures."""
         address = split_address(self.site.checker)
-        listener = await curio.spawn(curio.tcp_server, *address, self.hear, daemon=True)
+        listener = await curio.spawn(curio.tcp_server, *address, self.receive_events, daemon=True)
         tasks = [listener]
         try:
             await self.site.start_all()
             began = time.monotonic()
-            judge = await curio.spawn(self.judge_loop)
-            tasks.append(await curio.spawn(self.troubles.sample_loop, daemon=True))
+            judge = await curio.spawn(self.evaluate_loop)
+            tasks.append(await curio.spawn(self.fault_injector.sample_loop, daemon=True))
             tasks.append(await curio.spawn(self.progress_loop, daemon=True))
-            starts = self.plan.starts(self.rung)
-            tasks.append(await curio.spawn(self.load.run, starts, daemon=True))
-            for trouble in self.plan.troubles:
-                tasks.append(await curio.spawn(self.troubles.run, trouble, began, daemon=True))
-            await self.until(judge, began + self.plan.warmup_s)
+            starts = self.plan.requested_starts_per_s(self.rung)
+            tasks.append(await curio.spawn(self.users.run, starts, daemon=True))
+            for fault in self.plan.faults:
+                tasks.append(await curio.spawn(self.fault_injector.run, fault, began, daemon=True))
+            await self.wait_until(judge, began + self.plan.warmup_s)
             first = await self.snapshot()
-            await self.until(judge, began + self.plan.seconds)
+            await self.wait_until(judge, began + self.plan.seconds)
             last = await self.snapshot()
             row = self.row(first, last, began)
             await self.finish(row)
@@ -102,7 +102,7 @@
                 await task.cancel()
             self.site.stop()
 
-    async def until(self, judge: curio.Task, at: float) -> None:
+    async def wait_until(self, judge: curio.Task, at: float) -> None:
         """Waits; a broken rule or a process that ended by itself ends the wait."""
         while time.monotonic() < at and not judge.terminated:
             await curio.sleep(0.1)
@@ -111,46 +111,46 @@
 
     async def finish(self, row: Row) -> None:
         """No more is submitted; every job is answered for, and what was told is judged."""
-        self.load.stopped = True
-        if not self.checker.broken:
-            row.unanswered_jobs = await self.load.ask_all_once(FORGOTTEN_S)
-        await curio.sleep(HELD_BACK_S)
-        self.checker.judge(time.monotonic() - HELD_BACK_S / 2)
-        row.broken = [str(one) for one in self.checker.broken]
-        row.late_starts = len(self.checker.late)
+        self.users.stopped = True
+        if not self.checker.violations:
+            row.unanswered_jobs = await self.users.query_unfinished(ANSWER_DEADLINE_S)
+        await curio.sleep(EVENT_DELAY_S)
+        self.checker.evaluate(time.monotonic() - EVENT_DELAY_S / 2)
+        row.broken = [str(one) for one in self.checker.violations]
+        row.late_starts = len(self.checker.late_starts)
         row.malformed = (await self.site.state_stats()).malformed
 
     async def progress_loop(self) -> None:
         """Prints the progress of the rung every PROGRESS_S seconds."""
         began, before = time.monotonic(), 0
         while True:
-            await curio.sleep(PROGRESS_S)
-            rate = (self.checker.starts - before) / PROGRESS_S
+            await curio.sleep(PROGRESS_INTERVAL_S)
+            rate = (self.checker.starts - before) / PROGRESS_INTERVAL_S
             before = self.checker.starts
-            self.say(
+            self.print_line(
                 f"  {time.monotonic() - began:4.0f} s: {rate:.0f} starts a second,"
-                f" {len(self.checker.running)} tasks running, {len(self.load.live)} jobs"
+                f" {len(self.checker.running)} tasks running, {len(self.users.unfinished)} jobs"
             )
 
     # --- measuring
 
-    async def snapshot(self) -> Snapshot:
+    async def snapshot(self) -> CounterSnapshot:
         """Reads every counter once."""
-        own = usage(int(self.own_pid))
+        own = process_usage(int(self.own_pid))
         cpu = {name: self.site.cpu_s(name) for name in self.site.processes}
         cpu["users"] = own.cpu_s if own is not None else 0.0
-        return Snapshot(
+        return CounterSnapshot(
             time.monotonic(),
             cpu,
             await self.site.state_stats(),
             await self.site.host_stats(),
             self.checker.starts,
-            self.load.submissions,
-            self.load.polls,
-            traffic(self.site.ports()),
+            self.users.submissions,
+            self.users.polls,
+            port_traffic(self.site.ports()),
         )
 
-    def row(self, first: Snapshot, last: Snapshot, began: float) -> Row:
+    def row(self, first: CounterSnapshot, last: CounterSnapshot, began: float) -> Row:
         """The rung's figures between two snapshots."""
         seconds = last.at - first.at
         workers = self.rung.workers
@@ -173,7 +173,7 @@
             name=self.rung.name,
             workers=workers,
             controllers=self.rung.controllers,
-            asked_starts=self.plan.starts(self.rung),
+            asked_starts=self.plan.requested_starts_per_s(self.rung),
             seconds=round(seconds, 2),
             starts=(last.starts - first.starts) / seconds,
             reports=hosts("reports") / seconds,
@@ -201,21 +201,21 @@
             worker_bytes=self.bytes_at(self.site.public, first, last, workers),
             between_bytes=self.bytes_at(self.site.cluster, first, last, 1),
             unanswered_reports=hosts("unanswered") / seconds,
-            submit_p95_s=percentile(self.load.answers, 0.95),
+            submit_p95_s=percentile(self.users.accept_latencies, 0.95),
             waits=self.waits(began + self.plan.warmup_s / 2),
             late_ticks=hosts("late_ticks") / max(1.0, hosts("ticks")),
             late_starts=0,
             out_of_order=self.checker.out_of_order,
             unanswered_jobs=[],
             broken=[],
-            recoveries=self.troubles.recoveries(began),
+            recoveries=self.fault_injector.recoveries(began),
             limited_by=[],
         )
-        row.limited_by = limits_of(row, self.plan.limits.write_rps)
+        row.limited_by = limiting_components(row, self.plan.limits.write_rps)
         return row
 
     def bytes_at(
-        self, addresses: list[str], first: Snapshot, last: Snapshot, share: int
+        self, addresses: list[str], first: CounterSnapshot, last: CounterSnapshot, share: int
     ) -> float | None:
         """A second and share; connections closed meanwhile are missing from it."""
         if first.traffic is None or last.traffic is None:
@@ -232,13 +232,13 @@
         that a user waits for an answer."""
         found: dict[str, list[float]] = {}
         now = time.monotonic()
-        for job in list(self.load.jobs.values()):
-            if job.accepted < since or job.cancelling:
+        for job in list(self.users.jobs.values()):
+            if job.accepted_at < since or job.cancelling:
                 continue
             for number in range(job.tasks):
                 began = self.checker.first_start.get(f"{job.id}/{number}")
-                waited = (began or now) - job.accepted
-                if began is not None or waited > ANSWER_S:
+                waited = (began or now) - job.accepted_at
+                if began is not None or waited > SUBMIT_TIMEOUT_S:
                     found.setdefault(job.rank, []).append(waited)
         return {
             rank: Waits(len(waited), percentile(waited, 0.5), percentile(waited, 0.99))
@@ -246,12 +246,12 @@
         }
 
 
-def play(plan: Plan, rung: Rung, keep: Path | None, say: Callable[[str], None]) -> Row:
+def play_rung(plan: Plan, rung: Rung, keep: Path | None, say: Callable[[str], None]) -> Row:
     """Plays one rung in a folder of its own, or in one that is kept."""
     with TemporaryDirectory() as scratch:
         folder = keep or Path(scratch)
         folder.mkdir(exist_ok=True)
-        one = Play(plan, rung, folder, say)
+        one = RungRunner(plan, rung, folder, say)
         if taken := one.site.taken_ports():
             raise PortsTakenError(taken)
         try:
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -12,21 +12,21 @@
 import curio
 import msgspec
 
-from standins.hollow import HostConfig, HostStats
-from standins.hollow_cloud import CloudConfig
-from standins.scale.measure import Usage, usage
-from standins.scale.plan import Plan, Rung, hosts
-from standins.state import Stats
+from standins.scale.measure import Usage, process_usage
+from standins.scale.plan import Plan, Rung, worker_host_count
+from standins.simulated_cloud import CloudConfig
+from standins.simulated_workers import HostConfig, HostStats
+from standins.state import StateStats
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import split_address
 from starlingdeck.transport.client import HttpClient, NoResponseError, Reply
 
 ROOT = Path(__file__).resolve().parents[2]
-READY_S = 60.0
+READY_TIMEOUT_S = 60.0
 FETCH_S = 0.3  # mean time until a hollow worker has an image
 LIST_LAG_S = 3.0
 FIRST_NETWORK = 20  # of the hollow workers' addresses
-SPARE_MACHINES = 0.3  # more than at the start that the cloud has
+SPARE_MACHINE_SHARE = 0.3  # more than at the start that the cloud has
 T = TypeVar("T")
 
 
@@ -39,11 +39,11 @@
         self.state = f"127.0.0.1:{port}"
         self.cloud = f"127.0.0.1:{port + 1}"
         self.checker = f"127.0.0.1:{port + 2}"
-        self.hosts = [f"127.0.0.1:{port + 10 + i}" for i in range(hosts(plan, rung))]
+        self.hosts = [f"127.0.0.1:{port + 10 + i}" for i in range(worker_host_count(plan, rung))]
         self.public = [f"127.0.0.1:{port + 400 + i}" for i in range(rung.controllers)]
         self.cluster = [f"127.0.0.1:{port + 500 + i}" for i in range(rung.controllers)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.spent: dict[str, float] = {}  # processor time of earlier lives
+        self.earlier_cpu_s: dict[str, float] = {}  # processor time of earlier lives
         self.http = HttpClient()
         self.environment = os.environ | {
             "PYTHONPATH": os.pathsep.join([str(ROOT), str(ROOT / "target" / "deps"), *sys.path])
@@ -105,7 +105,7 @@
             },
         }
 
-    def write(self, name: str, value: Any) -> str:
+    def write_json(self, name: str, value: Any) -> str:
         """Writes a JSON file into the folder and returns its path."""
         path = self.folder / name
         path.write_bytes(msgspec.json.encode(value))
@@ -139,7 +139,7 @@
             hosts=self.hosts,
             rps=self.plan.limits.cloud_rps,
             list_lag_s=LIST_LAG_S,
-            capacity=workers + max(10, int(SPARE_MACHINES * workers)),
+            capacity=workers + max(10, int(SPARE_MACHINE_SHARE * workers)),
             initial=workers,
         )
 
@@ -159,17 +159,17 @@
         options += [f"--value-kb={limits.value_kb}", f"--txn-ops={limits.txn_ops}"]
         self.start("state", "-m", "standins.state", self.state, *options)
         for number in range(len(self.hosts)):
-            path = self.write(f"host-{number}.json", self.host_config(number))
-            self.start(f"host-{number}", "-m", "standins.hollow", path)
+            path = self.write_json(f"host-{number}.json", self.host_config(number))
+            self.start(f"host-{number}", "-m", "standins.simulated_workers", path)
         for address in (self.state, *self.hosts):
-            await self.ready(address, "/stats")
-        path = self.write("cloud.json", self.cloud_config())
-        self.start("cloud", "-m", "standins.hollow_cloud", path)
+            await self.wait_ready(address, "/stats")
+        path = self.write_json("cloud.json", self.cloud_config())
+        self.start("cloud", "-m", "standins.simulated_cloud", path)
         for number in range(self.rung.controllers):
-            self.write(f"n-{number}.json", self.controller_settings(number))
+            self.write_json(f"n-{number}.json", self.controller_settings(number))
             self.start_controller(number)
         for address in self.public:
-            await self.ready(address, api.HEALTH)
+            await self.wait_ready(address, api.HEALTH)
 
     def start_controller(self, number: int) -> None:
         """Starts one controller."""
@@ -186,14 +186,14 @@
         process.kill()
         process.wait()
         if before is not None:
-            self.spent[name] = self.spent.get(name, 0.0) + before.cpu_s
+            self.earlier_cpu_s[name] = self.earlier_cpu_s.get(name, 0.0) + before.cpu_s
 
-    async def ready(self, address: str, path: str) -> None:
+    async def wait_ready(self, address: str, path: str) -> None:
         """Waits until an address answers 200; raises RuntimeError after READY_S seconds."""
-        until = time.monotonic() + READY_S
+        until = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until:
             self.check_alive()
-            reply = await self.ask(address, "GET", path)
+            reply = await self.request(address, "GET", path)
             if reply is not None and reply.status == 200:
                 return
             await curio.sleep(0.1)
@@ -214,7 +214,7 @@
 
     # --- questions
 
-    async def ask(
+    async def request(
         self, address: str, method: str, path: str, body: bytes | None = None
     ) -> Reply | None:
         """One HTTP request; None when there is no response."""
@@ -223,32 +223,32 @@
         except NoResponseError:
             return None
 
-    async def told(self, address: str, kind: type[T]) -> T:
+    async def fetch_stats(self, address: str, kind: type[T]) -> T:
         """The statistics of a process; raises RuntimeError when it does not answer."""
-        reply = await self.ask(address, "GET", "/stats")
+        reply = await self.request(address, "GET", "/stats")
         if reply is None:
             raise RuntimeError(f"{address} does not answer")
         return msgspec.json.decode(reply.body, type=kind)
 
-    async def state_stats(self) -> Stats:
+    async def state_stats(self) -> StateStats:
         """The statistics of the state service."""
-        return await self.told(self.state, Stats)
+        return await self.fetch_stats(self.state, StateStats)
 
     async def host_stats(self) -> list[HostStats]:
         """The statistics of each process of hollow workers."""
-        return [await self.told(address, HostStats) for address in self.hosts]
+        return [await self.fetch_stats(address, HostStats) for address in self.hosts]
 
     def usage(self, name: str) -> Usage | None:
         """What a process has used so far; None when it has ended."""
         process = self.processes.get(name)
         if process is None or process.poll() is not None:
             return None
-        return usage(process.pid)
+        return process_usage(process.pid)
 
     def cpu_s(self, name: str) -> float:
         """Processor time of a process and of those before it under the same name."""
         now = self.usage(name)
-        return self.spent.get(name, 0.0) + (now.cpu_s if now is not None else 0.0)
+        return self.earlier_cpu_s.get(name, 0.0) + (now.cpu_s if now is not None else 0.0)
 
     def ports(self) -> set[int]:
         """The ports whose traffic is measured."""
--- a/standins/scale/users.py
+++ b/standins/scale/users.py
@@ -11,54 +11,56 @@
 
 from standins import workload
 from standins.scale.checker import Checker
-from standins.scale.plan import Users
+from standins.scale.plan import UserSettings
 from starlingdeck.protocol import api
 from starlingdeck.transport.client import HttpClient, NoResponseError, Reply
 
-ANSWER_S = 5.0
-POLL_ANSWER_S = 2.0
+SUBMIT_TIMEOUT_S = 5.0
+POLL_TIMEOUT_S = 2.0
 RETRY_S = 1.0
-FORGOTTEN_S = 75.0
+ANSWER_DEADLINE_S = 75.0
 SERVICE_REPLICAS = 2
-ENDED = (api.DONE, api.CANCELLED)
+TERMINAL_STATES = (api.DONE, api.CANCELLED)
 
 
 @dataclass
-class Submitted:
+class SubmittedJob:
     """A job as its user knows it. Times are seconds of the steady clock; 0: not yet."""
 
     id: str
     kind: int
     tasks: int
     rank: str
-    asked: float
-    accepted: float = 0.0
-    heard: float = 0.0  # when a question about it was last answered
+    submitted_at: float
+    accepted_at: float = 0.0
+    last_answered_at: float = 0.0  # when a question about it was last answered
     done: int = 0
     state: str = ""
     cancelling: bool = False
 
 
-class Load:
+class WorkloadGenerator:
     """All users of a site; `addresses` are the controllers' public ones."""
 
-    def __init__(self, plan: Users, addresses: list[str], checker: Checker, seed: int) -> None:
+    def __init__(
+        self, plan: UserSettings, addresses: list[str], checker: Checker, seed: int
+    ) -> None:
         self.plan = plan
         self.addresses = addresses
         self.checker = checker
         self.rng = random.Random(seed)
         self.http = HttpClient(max_idle=50, max_open=400)
-        self.jobs: dict[str, Submitted] = {}
-        self.live: dict[str, Submitted] = {}
-        self.number = 0
+        self.jobs: dict[str, SubmittedJob] = {}
+        self.unfinished: dict[str, SubmittedJob] = {}
+        self.job_sequence = 0
         self.submissions = self.polls = self.refused = self.unanswered = 0
-        self.answers: list[float] = []  # seconds until a submission was accepted
+        self.accept_latencies: list[float] = []  # seconds until a submission was accepted
         self.stopped = False
 
     async def run(self, starts_per_s: float) -> None:
         """Submits at a rate of task starts a second until told to stop."""
         for _ in range(self.plan.services):
-            await self.spawn(self.submit, self.draw(workload.SERVICE))
+            await self.spawn_for_job(self.submit, self.random_job(workload.SERVICE))
         owed, at = 0.0, time.monotonic()
         while not self.stopped:
             await curio.sleep(0.05)
@@ -66,33 +68,33 @@
             owed += (now - at) * starts_per_s
             at = now
             while owed > 0:
-                one = self.rng.random() < self.share_of_one()
-                job = self.draw(workload.ONE_TASK if one else workload.ARRAY)
+                one = self.rng.random() < self.one_task_job_share()
+                job = self.random_job(workload.ONE_TASK if one else workload.ARRAY)
                 owed -= job.tasks
-                await self.spawn(self.submit, job)
+                await self.spawn_for_job(self.submit, job)
 
-    def share_of_one(self) -> float:
+    def one_task_job_share(self) -> float:
         """Which share of the jobs has one task, so that their starts have the share asked for."""
         ones = self.plan.one_task
         arrays = (1 - ones) / self.plan.array_tasks
         return ones / (ones + arrays) if ones + arrays else 0.0
 
-    def draw(self, kind: int) -> Submitted:
+    def random_job(self, kind: int) -> SubmittedJob:
         """A random job of a kind."""
-        self.number += 1
+        self.job_sequence += 1
         rng, plan = self.rng, self.plan
         tasks = 1 if kind == workload.ONE_TASK else SERVICE_REPLICAS
         if kind == workload.ARRAY:
             tasks = max(2, min(2000, round(rng.expovariate(1 / plan.array_tasks))))
         run_s = plan.run_s * rng.uniform(0.5, 1.5)
         rank = "urgent" if rng.random() < plan.urgent else "normal"
-        name = workload.job_id(kind, rng.randrange(plan.teams), run_s, self.number)
+        name = workload.job_id(kind, rng.randrange(plan.teams), run_s, self.job_sequence)
         rank = "prod" if kind == workload.SERVICE else rank
-        return Submitted(name, kind, tasks, rank, time.monotonic())
+        return SubmittedJob(name, kind, tasks, rank, time.monotonic())
 
-    def body(self, job: Submitted) -> bytes:
+    def submission_body(self, job: SubmittedJob) -> bytes:
         """The job's submission."""
-        described = workload.describe(job.id)
+        described = workload.parse_job_id(job.id)
         service = described.service
         return msgspec.json.encode(
             {
@@ -106,11 +108,11 @@
             }
         )  # fmt: skip
 
-    async def spawn(self, do: Callable[[Submitted], object], job: Submitted) -> None:
+    async def spawn_for_job(self, do: Callable[[SubmittedJob], object], job: SubmittedJob) -> None:
         """Starts a task for one job."""
         await curio.spawn(do, job, daemon=True)
 
-    async def ask(
+    async def request(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> Reply | None:
         """One request to a random controller; None when there is no response."""
@@ -123,33 +125,33 @@
         self.refused += reply.status not in (200, 201)
         return reply
 
-    async def submit(self, job: Submitted) -> None:
+    async def submit(self, job: SubmittedJob) -> None:
         """Submits a job until it is accepted, then follows it."""
-        body = self.body(job)
-        while not job.accepted and not self.stopped:
+        body = self.submission_body(job)
+        while not job.accepted_at and not self.stopped:
             self.submissions += 1
-            reply = await self.ask("POST", api.JOBS, body, ANSWER_S)
+            reply = await self.request("POST", api.JOBS, body, SUBMIT_TIMEOUT_S)
             if reply is not None and reply.status in (200, 201):
-                job.accepted = job.heard = time.monotonic()
-                self.answers.append(job.accepted - job.asked)
-                self.jobs[job.id] = self.live[job.id] = job
+                job.accepted_at = job.last_answered_at = time.monotonic()
+                self.accept_latencies.append(job.accepted_at - job.submitted_at)
+                self.jobs[job.id] = self.unfinished[job.id] = job
             elif reply is not None and reply.status in (400, 404, 422):
-                self.fail("refused for ever", job, reply)
+                self.record_violation("refused for ever", job, reply)
                 return
             else:
                 await curio.sleep(max(RETRY_S, (reply.retry_after or 0.0) if reply else 0.0))
-        if not job.accepted:
+        if not job.accepted_at:
             return
         if self.rng.random() < self.plan.repeated:
-            await self.ask("POST", api.JOBS, body, ANSWER_S)
+            await self.request("POST", api.JOBS, body, SUBMIT_TIMEOUT_S)
         cancel_at = 0.0
         if job.kind != workload.SERVICE and self.rng.random() < self.plan.cancelled:
-            cancel_at = job.accepted + self.rng.uniform(0.0, 1.5 * self.plan.run_s)
+            cancel_at = job.accepted_at + self.rng.uniform(0.0, 1.5 * self.plan.run_s)
         await self.follow(job, cancel_at)
 
-    async def follow(self, job: Submitted, cancel_at: float) -> None:
+    async def follow(self, job: SubmittedJob, cancel_at: float) -> None:
         """Polls until the job has ended."""
-        while job.state not in ENDED and not self.stopped:
+        while job.state not in TERMINAL_STATES and not self.stopped:
             wait = self.plan.poll_s * self.rng.uniform(0.8, 1.2)
             if cancel_at and not job.cancelling:
                 wait = min(wait, max(0.0, cancel_at - time.monotonic()))
@@ -157,58 +159,60 @@
             if cancel_at and time.monotonic() >= cancel_at:
                 job.cancelling = True
                 path = f"{api.JOBS}/{job.id}/{api.CANCEL}"
-                reply = await self.ask("POST", path, b"", ANSWER_S)
-                self.hear(job, reply)
-                cancel_at = 0.0 if job.state in ENDED else time.monotonic() + RETRY_S
+                reply = await self.request("POST", path, b"", SUBMIT_TIMEOUT_S)
+                self.check_status(job, reply)
+                cancel_at = 0.0 if job.state in TERMINAL_STATES else time.monotonic() + RETRY_S
             else:
                 await self.poll(job)
 
-    async def poll(self, job: Submitted) -> None:
+    async def poll(self, job: SubmittedJob) -> None:
         """Queries the job's status once."""
         self.polls += 1
-        self.hear(job, await self.ask("GET", f"{api.JOBS}/{job.id}", None, POLL_ANSWER_S))
+        self.check_status(
+            job, await self.request("GET", f"{api.JOBS}/{job.id}", None, POLL_TIMEOUT_S)
+        )
 
-    def hear(self, job: Submitted, reply: Reply | None) -> None:
+    def check_status(self, job: SubmittedJob, reply: Reply | None) -> None:
         """Holds an answer against those before."""
         now = time.monotonic()
         if reply is None or reply.status in (429, 503):
-            if now - job.heard > FORGOTTEN_S:
-                self.fail("forgotten", job, reply)
+            if now - job.last_answered_at > ANSWER_DEADLINE_S:
+                self.record_violation("forgotten", job, reply)
             return
         if reply.status != 200:
-            self.fail("forgotten", job, reply)
+            self.record_violation("forgotten", job, reply)
             return
         told = msgspec.json.decode(reply.body, type=api.JobStatus)
-        job.heard = now
-        if job.state in ENDED and told.state != job.state:
-            self.fail("went_back", job, reply)
+        job.last_answered_at = now
+        if job.state in TERMINAL_STATES and told.state != job.state:
+            self.record_violation("went_back", job, reply)
         if told.state == api.CANCELLED and not job.cancelling:
-            self.fail("went_back", job, reply)
-        if told.state not in ENDED and (told.done or 0) < job.done:
-            self.fail("went_back", job, reply)
+            self.record_violation("went_back", job, reply)
+        if told.state not in TERMINAL_STATES and (told.done or 0) < job.done:
+            self.record_violation("went_back", job, reply)
         job.done = max(job.done, told.done or 0)
-        if told.state in ENDED and job.state not in ENDED:
+        if told.state in TERMINAL_STATES and job.state not in TERMINAL_STATES:
             if told.state == api.DONE:
-                self.checker.told_done(job.id, job.tasks, now)
+                self.checker.report_done(job.id, job.tasks, now)
             else:
-                self.checker.told_cancelled(job.id, now)
-            self.live.pop(job.id, None)
+                self.checker.report_cancelled(job.id, now)
+            self.unfinished.pop(job.id, None)
         job.state = told.state
 
-    def fail(self, rule: str, job: Submitted, reply: Reply | None) -> None:
+    def record_violation(self, rule: str, job: SubmittedJob, reply: Reply | None) -> None:
         """Records a broken rule with the answer that broke it."""
         said = f"answered {reply.status} {reply.body[:120]!r}" if reply else "no answer"
-        self.checker.fail(time.monotonic(), rule, job.id, said)
+        self.checker.record_violation(time.monotonic(), rule, job.id, said)
 
-    async def ask_all_once(self, seconds: float) -> list[str]:
+    async def query_unfinished(self, seconds: float) -> list[str]:
         """Every job that has not ended is asked about until it is answered; who isn't in time."""
         until = time.monotonic() + seconds
-        left = {job.id: job for job in self.live.values()}
+        left = {job.id: job for job in self.unfinished.values()}
         while left and time.monotonic() < until:
             for job in list(left.values()):
-                before = job.heard
+                before = job.last_answered_at
                 await self.poll(job)
-                if job.heard > before:
+                if job.last_answered_at > before:
                     del left[job.id]
             await curio.sleep(0.2)
         return sorted(left)
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -9,17 +9,17 @@
 from starlingdeck.transport.server import HttpServer, Request, Response
 
 
-def answer(body: object = None, status: int = 200) -> Response:
+def json_response(body: object = None, status: int = 200) -> Response:
     """A JSON response."""
     return Response(status, msgspec.json.encode({} if body is None else body))
 
 
-def error(status: int, text: str) -> Response:
+def error_response(status: int, text: str) -> Response:
     """A JSON error response."""
-    return answer({"error": text}, status)
+    return json_response({"error": text}, status)
 
 
-def query(request: Request) -> dict[str, str]:
+def query_parameters(request: Request) -> dict[str, str]:
     """The query parameters of a request."""
     return dict(part.split("=", 1) for part in request.query.split("&") if "=" in part)
 
--- a/standins/hollow_cloud.py
+++ b/standins/simulated_cloud.py
@@ -1,6 +1,6 @@
 """A cloud whose machines are hollow workers, shared out over their processes.
 
-python -m standins.hollow_cloud CONFIG.json
+python -m standins.simulated_cloud CONFIG.json
 """
 
 import sys
@@ -9,12 +9,12 @@
 import msgspec
 
 from standins.cloud import Cloud
-from standins.hollow import Start
 from standins.serve import serve
+from standins.simulated_workers import StartRequest
 from starlingdeck.protocol import api
 from starlingdeck.transport.client import HttpClient
 
-CALL_S = 20.0
+CALL_TIMEOUT_S = 20.0
 
 
 class CloudConfig(msgspec.Struct, forbid_unknown_fields=True):
@@ -29,31 +29,33 @@
     initial: int  # machines that are up at the start
 
 
-class HollowLauncher:
+class SimulatedWorkerLauncher:
     """Starts machines in the processes in turn."""
 
     def __init__(self, hosts: list[str]) -> None:
         self.hosts = hosts
-        self.started = 0
-        self.place: dict[str, str] = {}  # machine -> control address
+        self.started_count = 0
+        self.host_by_machine: dict[str, str] = {}  # machine -> control address
         self.http = HttpClient()
 
     async def start(self, kind: api.MachineType, machine: api.MachineInfo) -> None:
         """Starts the machine in the next process."""
-        host = self.hosts[self.started % len(self.hosts)]
-        self.started += 1
-        self.place[machine.id] = host
-        asked = Start(machine.id, kind.name, machine.zone, machine.spot, int(kind.cpus))
-        reply = await self.http.call(host, "POST", "/start", msgspec.json.encode([asked]), CALL_S)
+        host = self.hosts[self.started_count % len(self.hosts)]
+        self.started_count += 1
+        self.host_by_machine[machine.id] = host
+        asked = StartRequest(machine.id, kind.name, machine.zone, machine.spot, int(kind.cpus))
+        reply = await self.http.call(
+            host, "POST", "/start", msgspec.json.encode([asked]), CALL_TIMEOUT_S
+        )
         machine.addr = msgspec.json.decode(reply.body, type=list[str])[0]
 
     async def kill(self, name: str) -> None:
         """Kills the machine in its process."""
-        host = self.place.get(name)
+        host = self.host_by_machine.get(name)
         if host is not None:
-            await self.http.call(host, "POST", "/kill", msgspec.json.encode([name]), CALL_S)
+            await self.http.call(host, "POST", "/kill", msgspec.json.encode([name]), CALL_TIMEOUT_S)
 
-    async def cut(self, machine: api.MachineInfo, seconds: float) -> None:
+    async def isolate(self, machine: api.MachineInfo, seconds: float) -> None:
         """Not supported."""
         raise NotImplementedError("hollow machines are killed or restarted, not cut off")
 
@@ -61,13 +63,13 @@
 def main() -> None:
     """Runs the cloud of a configuration file."""
     config = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=CloudConfig)
-    launcher = HollowLauncher(config.hosts)
+    launcher = SimulatedWorkerLauncher(config.hosts)
     cloud = Cloud(config.types, launcher, config.rps, config.list_lag_s, config.capacity)
 
     async def start_initial() -> None:
         kind = config.types[0]
         for number in range(config.initial):
-            await cloud.start(kind, kind.zones[number % len(kind.zones)], False)
+            await cloud.start_machine(kind, kind.zones[number % len(kind.zones)], False)
 
     serve(config.address, cloud.handle, start_initial)
 
--- /dev/null
+++ b/standins/simulated_workers.py
@@ -0,0 +1,347 @@
+"""Simulated workers: many machines in one process that follow the whole protocol; tasks are timers.
+
+python -m standins.simulated_workers CONFIG.json. Each machine listens on a loopback address of its
+own and keeps one connection to the controller that it reports to. Starts and ends of tasks are sent
+to the checker, one line each. A job's id encodes what a real worker would fetch for it
+(standins.workload).
+"""
+
+import heapq
+import random
+import sys
+import time
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+import curio
+import msgspec
+
+from standins import workload
+from standins.agent import (
+    CONTROLLER_RETRY_S,
+    FETCHING,
+    MIN_REPORT_INTERVAL_S,
+    REPORT_TIMEOUT_S,
+    RUNNING,
+    Actions,
+    Agent,
+    Identity,
+    advance_controller,
+)
+from standins.serve import error_response, json_response, serve
+from starlingdeck.protocol import api
+from starlingdeck.protocol.config import split_address
+from starlingdeck.transport.client import HttpClient, NoResponseError
+from starlingdeck.transport.server import HttpServer, Request, Response
+
+TICK_INTERVAL_S = 0.02
+LEASE_CHECK_INTERVAL_S = 0.25  # how often all leases are looked at
+MAX_REDIRECT_DELAY_S = 0.5  # a redirected worker reports anew within this
+MACHINES_PER_SUBNET = 250  # machines that share the third number of their addresses
+LATE_TICK_THRESHOLD_S = 0.1  # a tick later than this says that the process has too much to do
+
+
+class HostConfig(msgspec.Struct, forbid_unknown_fields=True):
+    """One process of hollow workers."""
+
+    control: str
+    checker: str
+    network: int  # second number of its machines' addresses
+    port: int
+    controllers: dict[str, str]
+    report_s: float
+    lease_s: float
+    fetch_s: float
+    seed: int
+    broken: bool = False  # runs each task twice: to see that the checker sees it
+
+
+class StartRequest(msgspec.Struct):
+    """A request to start one machine."""
+
+    name: str
+    type: str
+    zone: str
+    spot: bool
+    slots: int
+
+
+class HostStats(msgspec.Struct):
+    """Counted since the start; bytes are those of bodies."""
+
+    machines: int = 0
+    reports: int = 0
+    report_bytes: int = 0
+    reply_bytes: int = 0
+    unanswered: int = 0
+    redirected: int = 0
+    refused: int = 0
+    commands: int = 0
+    command_bytes: int = 0
+    started: int = 0
+    ticks: int = 0
+    late_ticks: int = 0
+
+
+class SimulatedWorker:
+    """One hollow worker."""
+
+    def __init__(self, host: "WorkerHost", asked: StartRequest, address: str) -> None:
+        self.host = host
+        self.name = asked.name
+        self.slots = asked.slots
+        self.address = address
+        identity = Identity(asked.name, address, asked.type, asked.zone, asked.spot)
+        self.agent = Agent(identity, time.monotonic(), self.fits)
+        self.controller_order = list(host.config.controllers)
+        host.rng.shuffle(self.controller_order)
+        self.http = HttpClient(max_idle=1, max_open=2)
+        self.powered_off = self.heartbeat_in_flight = self.change_pending = False
+        self.next_report_at = 0.0
+        self.last_report_at = 0.0
+
+    def fits(self, _task: str, live: int) -> bool:
+        """Whether one more task fits beside the live ones."""
+        return live < self.slots
+
+    async def handle(self, request: Request) -> Response:
+        """Handles a direct command or a status query."""
+        while self.powered_off:
+            await curio.sleep(1.0)  # a machine without power is silent
+        stats = self.host.stats
+        if request.path == api.WORKER_STATUS:
+            return json_response(self.agent.build_report())
+        stats.commands += 1
+        stats.command_bytes += len(request.body)
+        actions = self.agent.handle_commands(msgspec.json.decode(request.body, type=api.Commands))
+        if actions is None:
+            return json_response(self.agent.build_report(), 409)
+        self.apply_actions(actions)
+        return json_response(self.agent.build_report())
+
+    def apply_actions(self, actions: Actions) -> None:
+        """Begins and stops the tasks that commands named."""
+        for task in actions.to_stop:
+            self.host.record_event("off", task, self)
+        now = time.monotonic()
+        for task in actions.to_start:
+            self.host.stats.started += 1
+            at = now + self.host.config.fetch_s * self.host.rng.uniform(0.5, 1.5)
+            self.host.schedule(at, lambda task=task: self.image_fetched(task))  # type: ignore[misc]
+        if actions.to_start or actions.to_stop:
+            self.report_soon(now)
+
+    def image_fetched(self, name: str) -> None:
+        """The image is there; a stopped or restarted task has another state or is gone."""
+        task = self.agent.tasks.get(name)
+        if self.powered_off or task is None or task.state != FETCHING:
+            return
+        self.agent.task_running(name)
+        self.host.task_started(name, self)
+        attempt, now = task.attempt, time.monotonic()
+        if name in self.host.completed:
+            self.task_completed(name, attempt)
+        elif not workload.parse_job_id(name.split("/", maxsplit=1)[0]).service:
+            self.host.schedule(
+                now + workload.task_run_s(name), lambda: self.task_completed(name, attempt)
+            )
+        self.report_soon(now)
+
+    def task_completed(self, name: str, attempt: int) -> None:
+        """A task has run for its whole time, unless it was stopped or restarted meanwhile."""
+        task = self.agent.tasks.get(name)
+        if self.powered_off or task is None or task.attempt != attempt or task.state != RUNNING:
+            return
+        self.agent.task_ended(name, "done")
+        self.host.completed.add(name)
+        self.host.record_event("done", name, self)
+        self.report_soon(time.monotonic())
+
+    def report_soon(self, now: float) -> None:
+        """Something has changed: a report goes out, no sooner than the protocol allows."""
+        self.change_pending = True
+        if not self.heartbeat_in_flight:
+            self.schedule_report(max(now, self.last_report_at + MIN_REPORT_INTERVAL_S))
+
+    def schedule_report(self, due: float) -> None:
+        """Schedules the next heartbeat."""
+        self.next_report_at = due
+        self.host.schedule(due, lambda: self.start_report(due))
+
+    def start_report(self, due: float) -> None:
+        """Only the latest time set for the next report counts; one is under way at a time."""
+        if not self.powered_off and not self.heartbeat_in_flight and self.next_report_at == due:
+            self.heartbeat_in_flight, self.change_pending = True, False
+            self.host.schedule_coroutine(self.send_heartbeat)
+
+    async def send_heartbeat(self) -> None:
+        """Sends one heartbeat and executes the commands of its answer."""
+        config, stats = self.host.config, self.host.stats
+        sent = self.last_report_at = time.monotonic()
+        body, session = msgspec.json.encode(self.agent.build_report()), self.agent.session
+        stats.reports += 1
+        stats.report_bytes += len(body)
+        status, wait_s = 0, CONTROLLER_RETRY_S
+        try:
+            address = config.controllers[self.controller_order[0]]
+            reply = await self.http.call(address, "POST", api.REPORT, body, REPORT_TIMEOUT_S)
+            status = reply.status
+            stats.reply_bytes += len(reply.body)
+        except NoResponseError:
+            stats.unanswered += 1
+            self.controller_order.append(self.controller_order.pop(0))
+        self.heartbeat_in_flight = False
+        if self.powered_off:
+            return
+        if status == 200:
+            wait_s = config.report_s * self.host.rng.uniform(0.75, 1.25)
+            told = msgspec.json.decode(reply.body, type=api.ReportReply)
+            actions = self.agent.handle_report_reply(told, session, sent)
+            if actions is not None:
+                self.apply_actions(actions)
+        elif status:
+            wait_s = self.handle_refusal(status, reply.body)
+        due = time.monotonic() + wait_s
+        self.schedule_report(
+            max(sent + MIN_REPORT_INTERVAL_S, time.monotonic()) if self.change_pending else due
+        )
+
+    def handle_refusal(self, status: int, body: bytes) -> float:
+        """A refusal: which controller is next, and how long until then."""
+        to = None
+        if status == 421:
+            to = msgspec.json.decode(body, type=api.Redirect).report_to
+            self.host.stats.redirected += 1
+        else:
+            self.host.stats.refused += 1
+        wait = advance_controller(self.controller_order, to)
+        return CONTROLLER_RETRY_S if wait else self.host.rng.uniform(0.0, MAX_REDIRECT_DELAY_S)
+
+    def expire_lease(self, now: float) -> None:
+        """Ends the session if its lease has expired."""
+        for task in self.agent.expire_lease(now, self.host.config.lease_s):
+            self.host.record_event("off", task, self)
+            self.report_soon(now)
+
+    def power_off(self) -> None:
+        """Without power: all that is on it is gone, and it says nothing any more."""
+        if not self.powered_off:
+            self.powered_off = True
+            self.host.record_event("gone", "-", self)
+
+    def restart(self) -> None:
+        """Back at once with nothing on it; one without power stays as it is."""
+        if self.powered_off:
+            return
+        self.host.record_event("gone", "-", self)
+        now = time.monotonic()
+        self.agent.restart(now)
+        self.report_soon(now)
+
+
+class WorkerHost:
+    """The machines of one process, and their timers."""
+
+    def __init__(self, config: HostConfig) -> None:
+        self.config = config
+        self.rng = random.Random(config.seed)
+        self.machines: dict[str, SimulatedWorker] = {}
+        self.completed: set[str] = set()  # results are kept outside the machines
+        self.stats = HostStats()
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []
+        self.timer_sequence = 0
+        self.pending_coroutines: list[Callable[[], Awaitable[None]]] = []
+        self.event_lines: list[str] = []
+
+    # --- timers
+
+    def schedule(self, due: float, do: Callable[[], None]) -> None:
+        """Schedules a callback for a time of the steady clock, in seconds."""
+        self.timer_sequence += 1
+        heapq.heappush(self.timers, (due, self.timer_sequence, do))
+
+    def schedule_coroutine(self, do: Callable[[], Awaitable[None]]) -> None:
+        """Schedules a coroutine for the end of the present tick."""
+        self.pending_coroutines.append(do)
+
+    async def tick_loop(self) -> None:
+        """Runs due timers, expires leases and spawns coroutines, every TICK_S seconds."""
+        looked = 0.0
+        while True:
+            began = time.monotonic()
+            while self.timers and self.timers[0][0] <= began:
+                heapq.heappop(self.timers)[2]()
+            if began - looked > LEASE_CHECK_INTERVAL_S:
+                looked = began
+                for machine in self.machines.values():
+                    if not machine.powered_off:
+                        machine.expire_lease(began)
+            spawning, self.pending_coroutines = self.pending_coroutines, []
+            for do in spawning:
+                await curio.spawn(do, daemon=True)
+            await curio.sleep(TICK_INTERVAL_S)
+            self.stats.ticks += 1
+            self.stats.late_ticks += (
+                time.monotonic() - began > TICK_INTERVAL_S + LATE_TICK_THRESHOLD_S
+            )
+
+    # --- what the checker is told
+
+    def record_event(self, what: str, task: str, machine: SimulatedWorker) -> None:
+        """Queues one event for the checker."""
+        self.event_lines.append(f"{time.monotonic():.6f} {what} {task} {machine.name}\n")
+
+    def task_started(self, task: str, machine: SimulatedWorker) -> None:
+        """A task has begun. A host configured as broken reports it on a second machine too."""
+        self.record_event("on", task, machine)
+        if self.config.broken and len(self.machines) > 1:
+            other = next(m for m in self.machines.values() if m is not machine)
+            self.record_event("on", task, other)
+
+    async def send_events_loop(self) -> None:
+        """Sends queued events to the checker."""
+        sock = await curio.open_connection(*split_address(self.config.checker))
+        while True:
+            await curio.sleep(0.05)
+            if self.event_lines:
+                lines, self.event_lines = self.event_lines, []
+                await sock.sendall("".join(lines).encode())
+
+    # --- control
+
+    async def handle(self, request: Request) -> Response:
+        """Handles a control request: statistics, start, kill or restart."""
+        if request.path == "/stats":
+            self.stats.machines = sum(not m.powered_off for m in self.machines.values())
+            return json_response(self.stats)
+        if request.path == "/start":
+            asked = msgspec.json.decode(request.body, type=list[StartRequest])
+            return json_response([await self.start_machine(one) for one in asked])
+        names = msgspec.json.decode(request.body, type=list[str])
+        known = [self.machines[name] for name in names if name in self.machines]
+        if request.path == "/kill":
+            for machine in known:
+                machine.power_off()
+            return json_response(len(known))
+        if request.path == "/restart":
+            for machine in known:
+                machine.restart()
+            return json_response(len(known))
+        return error_response(400, "no such path")
+
+    async def start_machine(self, asked: StartRequest) -> str:
+        """Starts a machine; its address."""
+        number = len(self.machines)
+        subnet, host = divmod(number, MACHINES_PER_SUBNET)
+        address = f"127.{self.config.network}.{subnet}.{host + 1}"
+        machine = SimulatedWorker(self, asked, f"{address}:{self.config.port}")
+        self.machines[asked.name] = machine
+        server = HttpServer((address, self.config.port), machine.handle, 16, 60.0)
+        await curio.spawn(server.run, daemon=True)
+        machine.schedule_report(time.monotonic() + self.rng.uniform(0.0, self.config.report_s))
+        return machine.address
+
+
+if __name__ == "__main__":
+    host = WorkerHost(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HostConfig))
+    serve(host.config.control, host.handle, host.tick_loop, host.send_events_loop)
--- a/standins/state.py
+++ b/standins/state.py
@@ -13,19 +13,19 @@
 import curio
 import msgspec
 
-from standins.limits import Rate, StateLimits
-from standins.serve import answer, error, query, serve
+from standins.limits import RateLimiter, StateLimits
+from standins.serve import error_response, json_response, query_parameters, serve
 from starlingdeck.protocol import api
 from starlingdeck.transport.server import Request, Response
 
-KEPT = 10_000  # changes that a watch may still ask for
-MOST_ITEMS = 1000
-MOST_PAGE = 512 * 1024  # bytes of a list
-MOST_TXN = 64 * 1024  # bytes of a transaction
-CONDITIONS = 4  # times the changes that a transaction may hold
+RETAINED_CHANGES = 10_000  # changes that a watch may still ask for
+MAX_PAGE_ITEMS = 1000
+MAX_PAGE_BYTES = 512 * 1024  # bytes of a list
+MAX_TRANSACTION_BYTES = 64 * 1024  # bytes of a transaction
+CONDITIONS_PER_CHANGE = 4  # times the changes that a transaction may hold
 
 
-class Stats(msgspec.Struct):
+class StateStats(msgspec.Struct):
     """Counted since the start; `bytes` are those of the values written."""
 
     requests: int = 0
@@ -40,43 +40,43 @@
     put: dict[str, int] = {}  # by the first part of the key
 
 
-class State:
+class StateService:
     """The store, its leases and its HTTP interface."""
 
     def __init__(self, limits: StateLimits) -> None:
         self.limits = limits
-        self.requests = Rate(limits.rps)
-        self.changing = Rate(limits.write_rps)
-        self.keys: dict[str, api.Entry] = {}
-        self.names: list[str] = []  # of the keys, in order
-        self.epoch = 1
-        self.changes: list[api.Event] = []
+        self.request_limiter = RateLimiter(limits.rps)
+        self.change_limiter = RateLimiter(limits.write_rps)
+        self.entries: dict[str, api.Entry] = {}
+        self.sorted_keys: list[str] = []  # of the keys, in order
+        self.revision = 1
+        self.change_log: list[api.Event] = []
         self.leases: dict[int, tuple[float, float]] = {}  # end, length in seconds
-        self.leased: dict[str, int] = {}  # key -> lease
-        self.out_until = 0.0
-        self.stats = Stats()
-        self.changed = curio.Event()
+        self.lease_by_key: dict[str, int] = {}  # key -> lease
+        self.outage_until = 0.0
+        self.stats = StateStats()
+        self.change_event = curio.Event()
 
     @property
-    def out(self) -> bool:
+    def in_outage(self) -> bool:
         """Whether an outage is in progress."""
-        return time.monotonic() < self.out_until
+        return time.monotonic() < self.outage_until
 
     async def handle(self, request: Request) -> Response:
         """Handles one request, within the limit of requests."""
         path, post = request.path, request.method == "POST"
         if path == "/out" and post:
             self.begin_outage(msgspec.json.decode(request.body)["seconds"])
-            return answer()
+            return json_response()
         if path == "/stats":
-            self.stats.keys = len(self.keys)
-            return answer(self.stats)
-        if self.out:
-            return error(503, "out")
+            self.stats.keys = len(self.entries)
+            return json_response(self.stats)
+        if self.in_outage:
+            return error_response(503, "out")
         self.stats.requests += 1
-        if not self.requests.take():
+        if not self.request_limiter.take():
             self.stats.over_rate += 1
-            return error(429, "too many requests")
+            return error_response(429, "too many requests")
         if self.limits.latency_ms:
             await curio.sleep(self.limits.latency_ms / 1000)
         return await self.route(request, path, post)
@@ -84,49 +84,49 @@
     async def route(self, request: Request, path: str, post: bool) -> Response:
         """Handles a request that the limits and the outage let through."""
         if path == api.TXN and post:
-            return await self.txn(request.body)
+            return await self.execute_transaction(request.body)
         if path == api.KV:
-            return self.listed(query(request))
+            return self.list_page(query_parameters(request))
         if path.startswith(api.KV + "/"):
-            found = self.keys.get(path[len(api.KV) + 1 :])
-            return answer(found) if found else answer({"epoch": self.epoch}, 404)
+            found = self.entries.get(path[len(api.KV) + 1 :])
+            return json_response(found) if found else json_response({"epoch": self.revision}, 404)
         if path == api.WATCH:
-            return await self.watch(query(request))
+            return await self.watch(query_parameters(request))
         if path == api.LEASES and post:
-            return self.lease(msgspec.json.decode(request.body, type=api.LeaseRequest))
+            return self.grant_lease(msgspec.json.decode(request.body, type=api.LeaseRequest))
         if path.startswith(api.LEASES + "/"):
-            return self.renew(int(path.split("/")[2]), post)
-        return error(400, "no such path")
+            return self.renew_or_end_lease(int(path.split("/")[2]), post)
+        return error_response(400, "no such path")
 
     def begin_outage(self, seconds: float) -> None:
         """Answers every request with 503 for `seconds`."""
-        self.out_until = time.monotonic() + seconds
+        self.outage_until = time.monotonic() + seconds
         # After an outage every lease has its full time again.
-        self.leases = {k: (self.out_until + ttl, ttl) for k, (_, ttl) in self.leases.items()}
+        self.leases = {k: (self.outage_until + ttl, ttl) for k, (_, ttl) in self.leases.items()}
 
-    def lease(self, asked: api.LeaseRequest) -> Response:
+    def grant_lease(self, asked: api.LeaseRequest) -> Response:
         """Grants a lease."""
         ttl = asked.ttl_ms / 1000
-        lease = max(self.leases, default=0) + 1 + self.epoch
+        lease = max(self.leases, default=0) + 1 + self.revision
         self.leases[lease] = (time.monotonic() + ttl, ttl)
-        return answer(api.LeaseGrant(lease))
+        return json_response(api.LeaseGrant(lease))
 
-    def renew(self, lease: int, post: bool) -> Response:
+    def renew_or_end_lease(self, lease: int, post: bool) -> Response:
         """Renews a lease; with `post` false, ends it."""
         if lease not in self.leases:
-            return error(404, "no such lease")
+            return error_response(404, "no such lease")
         ttl = self.leases[lease][1] if post else 0.0
         self.leases[lease] = (time.monotonic() + ttl, ttl)
-        return answer()
+        return json_response()
 
-    def malformed(self, body: bytes, txn: api.Transaction) -> str:
+    def transaction_error(self, body: bytes, txn: api.Transaction) -> str:
         """Which limit of the protocol a transaction breaks, or nothing."""
         limits = self.limits
-        if len(body) > MOST_TXN:
+        if len(body) > MAX_TRANSACTION_BYTES:
             return "transaction too large"
         if limits.txn_ops and len(txn.changes) > limits.txn_ops:
             return "too many changes"
-        if limits.txn_ops and len(txn.conditions) > CONDITIONS * limits.txn_ops:
+        if limits.txn_ops and len(txn.conditions) > CONDITIONS_PER_CHANGE * limits.txn_ops:
             return "too many conditions"
         if limits.value_kb:
             limit = limits.value_kb * 1024
@@ -135,118 +135,125 @@
                     return f"value of {change.put} too large"
         return ""
 
-    async def txn(self, body: bytes) -> Response:
+    async def execute_transaction(self, body: bytes) -> Response:
         """Executes a transaction if all its conditions hold."""
         txn = msgspec.json.decode(body, type=api.Transaction)
-        fault = self.malformed(body, txn)
+        fault = self.transaction_error(body, txn)
         if fault:
             self.stats.malformed += 1
-            return error(400, fault)
-        if not self.changing.take(len(txn.changes)):
+            return error_response(400, fault)
+        if not self.change_limiter.take(len(txn.changes)):
             self.stats.over_rate += 1
-            return error(429, "too many changes")
+            return error_response(429, "too many changes")
         if any(c.lease is not None and c.lease not in self.leases for c in txn.changes):
-            return error(400, "no such lease")
-        failed = [c.key for c in txn.conditions if self.version(c.key) != c.version]
+            return error_response(400, "no such lease")
+        failed = [c.key for c in txn.conditions if self.key_version(c.key) != c.version]
         self.stats.writes += bool(txn.changes)
         self.stats.refused += bool(failed)
         if failed:
-            return answer({"failed": failed, "epoch": self.epoch}, 409)
+            return json_response({"failed": failed, "epoch": self.revision}, 409)
         if txn.changes:
             self.stats.changes += len(txn.changes)
-            await self.apply(txn.changes)
-        return answer(api.TransactionResult(self.epoch))
+            await self.apply_changes(txn.changes)
+        return json_response(api.TransactionResult(self.revision))
 
-    def version(self, key: str) -> int:
+    def key_version(self, key: str) -> int:
         """The revision of a key's last change; 0 when it does not exist."""
-        found = self.keys.get(key)
+        found = self.entries.get(key)
         return found.version if found is not None else 0
 
-    async def apply(self, changes: list[api.Change]) -> None:
+    async def apply_changes(self, changes: list[api.Change]) -> None:
         """Applies changes under one new revision and wakes the watches."""
-        self.epoch += 1
+        self.revision += 1
         for change in changes:
             if change.put is not None:
-                self.put(change)
+                self.put_key(change)
             elif change.delete is not None:
-                self.drop(change.delete)
-        del self.changes[:-KEPT]
-        event, self.changed = self.changed, curio.Event()
+                self.delete_key(change.delete)
+        del self.change_log[:-RETAINED_CHANGES]
+        event, self.change_event = self.change_event, curio.Event()
         await event.set()
 
-    def put(self, change: api.Change) -> None:
+    def put_key(self, change: api.Change) -> None:
         """Sets a key."""
         key = change.put or ""
         value = msgspec.Raw(msgspec.json.encode(change.value))
         self.stats.bytes += len(bytes(value))
         kind = key.split("/")[0]
         self.stats.put[kind] = self.stats.put.get(kind, 0) + 1
-        if key not in self.keys:
-            bisect.insort(self.names, key)
-        self.keys[key] = api.Entry(key, value, self.epoch, change.lease)
-        self.leased.pop(key, None)
+        if key not in self.entries:
+            bisect.insort(self.sorted_keys, key)
+        self.entries[key] = api.Entry(key, value, self.revision, change.lease)
+        self.lease_by_key.pop(key, None)
         if change.lease is not None:
-            self.leased[key] = change.lease
-        self.changes.append(api.Event(self.epoch, key, value))
+            self.lease_by_key[key] = change.lease
+        self.change_log.append(api.Event(self.revision, key, value))
 
-    def drop(self, key: str) -> None:
+    def delete_key(self, key: str) -> None:
         """Deletes a key if it exists."""
-        if self.keys.pop(key, None) is None:
+        if self.entries.pop(key, None) is None:
             return
-        del self.names[bisect.bisect_left(self.names, key)]
-        self.leased.pop(key, None)
-        self.changes.append(api.Event(self.epoch, delete=key))
+        del self.sorted_keys[bisect.bisect_left(self.sorted_keys, key)]
+        self.lease_by_key.pop(key, None)
+        self.change_log.append(api.Event(self.revision, delete=key))
 
-    def listed(self, asked: dict[str, str]) -> Response:
+    def list_page(self, asked: dict[str, str]) -> Response:
         """One page of the keys with a prefix, in key order."""
         prefix, after = asked.get("prefix", ""), asked.get("after", "")
-        limit = min(MOST_ITEMS, int(asked.get("limit", MOST_ITEMS)))
+        limit = min(MAX_PAGE_ITEMS, int(asked.get("limit", MAX_PAGE_ITEMS)))
         found: list[api.Entry] = []
         size, more = 0, False
-        first = max(bisect.bisect_left(self.names, prefix), bisect.bisect_right(self.names, after))
-        for name in self.names[first:]:
+        first = max(
+            bisect.bisect_left(self.sorted_keys, prefix),
+            bisect.bisect_right(self.sorted_keys, after),
+        )
+        for name in self.sorted_keys[first:]:
             if not name.startswith(prefix):
                 break
-            size += len(bytes(self.keys[name].value)) + len(name)
-            if len(found) >= limit or (found and size > MOST_PAGE):
+            size += len(bytes(self.entries[name].value)) + len(name)
+            if len(found) >= limit or (found and size > MAX_PAGE_BYTES):
                 more = True
                 break
-            found.append(self.keys[name])
+            found.append(self.entries[name])
         self.stats.read_bytes += size
-        return answer(api.Entries(found, self.epoch, more))
+        return json_response(api.Entries(found, self.revision, more))
 
     async def watch(self, asked: dict[str, str]) -> Response:
         """Waits for changes of keys with a prefix after a revision."""
         prefix, after = asked.get("prefix", ""), int(asked.get("after", 0))
         until = time.monotonic() + int(asked.get("block_ms", 0)) / 1000
         while True:
-            if self.changes and after < self.changes[0].version - 1 and len(self.changes) == KEPT:
-                return error(410, "too old")
-            first = bisect.bisect_right(self.changes, after, key=lambda e: e.version)
+            if (
+                self.change_log
+                and after < self.change_log[0].version - 1
+                and len(self.change_log) == RETAINED_CHANGES
+            ):
+                return error_response(410, "too old")
+            first = bisect.bisect_right(self.change_log, after, key=lambda e: e.version)
             found = [
-                e for e in self.changes[first:] if (e.put or e.delete or "").startswith(prefix)
+                e for e in self.change_log[first:] if (e.put or e.delete or "").startswith(prefix)
             ]
             left = until - time.monotonic()
-            if not self.out and (found or left <= 0):
-                return answer(api.Events(found, self.epoch))
+            if not self.in_outage and (found or left <= 0):
+                return json_response(api.Events(found, self.revision))
             if not found:
-                after = max(after, self.epoch)  # nothing up to here concerns this watch
+                after = max(after, self.revision)  # nothing up to here concerns this watch
             async with curio.ignore_after(max(0.05, left)):
-                await self.changed.wait()
+                await self.change_event.wait()
 
-    async def lapse(self) -> None:
+    async def expire_leases(self) -> None:
         """Leases end, and the keys that hang on them go."""
         while True:
             await curio.sleep(0.02)
-            if self.out:
+            if self.in_outage:
                 continue
             now = time.monotonic()
             over = {k for k, (end, _) in self.leases.items() if now > end}
-            gone: list[Any] = [k for k, lease in self.leased.items() if lease in over]
+            gone: list[Any] = [k for k, lease in self.lease_by_key.items() if lease in over]
             for lease in over:
                 del self.leases[lease]
             if gone:
-                await self.apply([api.Change(delete=key) for key in gone])
+                await self.apply_changes([api.Change(delete=key) for key in gone])
 
 
 def main() -> None:
@@ -258,8 +265,8 @@
     parser.add_argument("--txn-ops", type=int, default=0)
     asked = vars(parser.parse_args())
     address = asked.pop("address")
-    state = State(StateLimits(**asked))
-    serve(address, state.handle, state.lapse)
+    state = StateService(StateLimits(**asked))
+    serve(address, state.handle, state.expire_leases)
 
 
 if __name__ == "__main__":
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -15,8 +15,16 @@
 import curio
 import msgspec
 
-from standins.agent import ANSWER_S, CHANGES_S, MOVE_S, Actions, Agent, Identity, next_controller
-from standins.serve import answer, serve
+from standins.agent import (
+    CONTROLLER_RETRY_S,
+    MIN_REPORT_INTERVAL_S,
+    REPORT_TIMEOUT_S,
+    Actions,
+    Agent,
+    Identity,
+    advance_controller,
+)
+from standins.serve import json_response, serve
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import split_address
 from starlingdeck.transport.client import HttpClient, NoResponseError, Reply
@@ -29,14 +37,14 @@
     def __init__(self, args: argparse.Namespace) -> None:
         self.args = args
         self.controllers = dict(part.split("=") for part in args.controllers.split(","))
-        self.names = list(self.controllers)
-        random.shuffle(self.names)
+        self.controller_order = list(self.controllers)
+        random.shuffle(self.controller_order)
         self.agent = Agent(
             Identity(args.name, args.address, args.type, args.zone), time.monotonic(), self.fits
         )
-        self.cut_until = 0.0
-        self.runs: dict[str, curio.Task] = {}
-        self.news = curio.Event()
+        self.isolated_until = 0.0
+        self.running_tasks: dict[str, curio.Task] = {}
+        self.report_due = curio.Event()
         self.http = HttpClient()
 
     def fits(self, _task: str, live: int) -> bool:
@@ -44,41 +52,41 @@
         return bool((live + 1) * self.args.task_cpus <= self.args.cpus)
 
     @property
-    def cut(self) -> bool:
+    def isolated(self) -> bool:
         """Whether the machine is cut off."""
-        return time.monotonic() < self.cut_until
+        return time.monotonic() < self.isolated_until
 
     async def handle(self, request: Request) -> Response:
         """Handles a direct command, a status query or a request to be cut off."""
         if request.path == "/cut":
-            self.cut_until = time.monotonic() + msgspec.json.decode(request.body)["seconds"]
-            return answer()
-        while self.cut:
+            self.isolated_until = time.monotonic() + msgspec.json.decode(request.body)["seconds"]
+            return json_response()
+        while self.isolated:
             await curio.sleep(0.1)  # packets are held back, not lost
         if request.path == api.WORKER_STATUS:
-            return answer(self.agent.report())
-        actions = self.agent.command(msgspec.json.decode(request.body, type=api.Commands))
+            return json_response(self.agent.build_report())
+        actions = self.agent.handle_commands(msgspec.json.decode(request.body, type=api.Commands))
         if actions is None:
-            return answer(self.agent.report(), 409)
-        await self.act(actions)
-        return answer(self.agent.report())
+            return json_response(self.agent.build_report(), 409)
+        await self.apply_actions(actions)
+        return json_response(self.agent.build_report())
 
-    async def act(self, actions: Actions) -> None:
+    async def apply_actions(self, actions: Actions) -> None:
         """Begins and stops the tasks that commands named."""
-        for name in actions.begin:
-            self.runs[name] = await curio.spawn(self.work, name, daemon=True)
-        for name in actions.end:
-            await self.stop(name)
-        if actions.begin or actions.end:
-            await self.news.set()
-
-    async def stop(self, name: str) -> None:
+        for name in actions.to_start:
+            self.running_tasks[name] = await curio.spawn(self.run_task, name, daemon=True)
+        for name in actions.to_stop:
+            await self.stop_task(name)
+        if actions.to_start or actions.to_stop:
+            await self.report_due.set()
+
+    async def stop_task(self, name: str) -> None:
         """Cancels a running task."""
-        run = self.runs.pop(name, None)
+        run = self.running_tasks.pop(name, None)
         if run is not None:
             await run.cancel()
 
-    async def work(self, name: str) -> None:
+    async def run_task(self, name: str) -> None:
         """Hold a session to the engine; say `done` when the work is complete."""
         result = Path(self.args.results) / name.replace("/", "_")
         error = "done"
@@ -88,63 +96,63 @@
                 async with sock:
                     attempt = self.agent.tasks[name].attempt
                     await sock.sendall(f"{name} {attempt} {self.args.name}\n".encode())
-                    self.agent.running(name)
-                    await self.news.set()
+                    self.agent.task_running(name)
+                    await self.report_due.set()
                     await curio.sleep(self.args.session_s)
                     result.write_text(f"{attempt}")
                     await sock.sendall(b"done\n")
                     await sock.recv(1)  # the engine has closed the session
             except OSError:
                 error = "error"
-        self.runs.pop(name, None)
-        self.agent.ended(name, error)
-        await self.news.set()
+        self.running_tasks.pop(name, None)
+        self.agent.task_ended(name, error)
+        await self.report_due.set()
 
-    async def reports(self) -> None:
+    async def heartbeat_loop(self) -> None:
         """Sends heartbeats periodically and after every change."""
         a = self.args
         last = 0.0
         while True:
             wait = random.uniform(0.75, 1.25) * a.report_s
             async with curio.ignore_after(wait):
-                await self.news.wait()
-            await curio.sleep(max(0.0, last + CHANGES_S - time.monotonic()))
-            self.news.clear()
+                await self.report_due.wait()
+            await curio.sleep(max(0.0, last + MIN_REPORT_INTERVAL_S - time.monotonic()))
+            self.report_due.clear()
             last = time.monotonic()
-            if self.cut:
+            if self.isolated:
                 continue
-            await self.tell(last)
+            await self.send_heartbeat(last)
 
-    async def tell(self, sent: float) -> None:
+    async def send_heartbeat(self, sent: float) -> None:
         """Sends one heartbeat and executes the commands of its answer."""
-        body, session = msgspec.json.encode(self.agent.report()), self.agent.session
-        name = self.names[0]
+        body, session = msgspec.json.encode(self.agent.build_report()), self.agent.session
+        name = self.controller_order[0]
         try:
             address = self.controllers[name]
-            reply = await self.http.call(address, "POST", api.REPORT, body, ANSWER_S)
+            reply = await self.http.call(address, "POST", api.REPORT, body, REPORT_TIMEOUT_S)
         except NoResponseError:
             reply = Reply(0, b"", None)
-        if self.cut:
+        if self.isolated:
             return
         if reply.status == 200:
             told = msgspec.json.decode(reply.body, type=api.ReportReply)
-            actions = self.agent.answered_report(told, session, sent)
+            actions = self.agent.handle_report_reply(told, session, sent)
             if actions is not None:
-                await self.act(actions)
+                await self.apply_actions(actions)
             return
         to = None
         if reply.status == 421:
             to = msgspec.json.decode(reply.body, type=api.Redirect).report_to
-        if next_controller(self.names, to):
-            await curio.sleep(MOVE_S)
-        await self.news.set()
+        if advance_controller(self.controller_order, to):
+            await curio.sleep(CONTROLLER_RETRY_S)
+        await self.report_due.set()
 
-    async def lease(self) -> None:
+    async def lease_loop(self) -> None:
         """Stops all tasks when the lease expires."""
         while True:
             await curio.sleep(0.05)
-            for name in self.agent.expire(time.monotonic(), self.args.lease_s):
-                await self.stop(name)
+            for name in self.agent.expire_lease(time.monotonic(), self.args.lease_s):
+                await self.stop_task(name)
 
 
 if __name__ == "__main__":
@@ -159,4 +167,4 @@
         parser.add_argument(name, type=float, required=True)
     parser.add_argument("--task-cpus", type=float, default=1.0)
     worker = Worker(parser.parse_args())
-    serve(worker.args.address, worker.handle, worker.reports, worker.lease)
+    serve(worker.args.address, worker.handle, worker.heartbeat_loop, worker.lease_loop)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,14 +12,20 @@
 
 from standins import workload
 from standins.agent import Agent, Identity
-from standins.hollow import Host, HostConfig, Machine, Start
-from standins.limits import Rate, StateLimits
+from standins.limits import RateLimiter, StateLimits
 from standins.scale import report as reports
 from standins.scale.checker import Checker
-from standins.scale.plan import DEFAULT, Plan, Rung, Trouble, beyond, load
+from standins.scale.faults import (
+    FaultInjector,
+    InjectedFault,
+    Sample,
+    longest_gap,
+    measure_recovery,
+)
+from standins.scale.plan import DEFAULT_PLAN, Fault, Plan, Rung, load_plan, plan_errors
 from standins.scale.site import ROOT, Site
-from standins.scale.troubles import Sample, Troubles, longest_gap, recovery
-from standins.state import State
+from standins.simulated_workers import HostConfig, SimulatedWorker, StartRequest, WorkerHost
+from standins.state import StateService
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import ConfigError
 from starlingdeck.transport.server import Request
@@ -51,11 +57,11 @@
     names = {"T": TASK, "U": f"{JOB}/1", "V": f"{JOB}/2", "-": "-"}
     for line in lines:
         at, what, task, machine = line.split()
-        checked.hear(f"{at} {what} {names[task]} {machine}")
-    checked.judge(100.0)
-    assert [one.rule for one in checked.broken] == ([rule] if rule else [])
+        checked.receive_event(f"{at} {what} {names[task]} {machine}")
+    checked.evaluate(100.0)
+    assert [one.rule for one in checked.violations] == ([rule] if rule else [])
     if rule:
-        text = str(checked.broken[0])
+        text = str(checked.violations[0])
         assert JOB in text
         assert "vm-" in text
 
@@ -73,37 +79,37 @@
     gone_at: float, starts_at: float | None, rules: list[str], late: int
 ) -> None:
     checked = checker()
-    checked.hear(f"1 on {TASK} vm-1")
-    checked.told_cancelled(JOB, 10.0)
-    checked.hear(f"{gone_at} off {TASK} vm-1")
+    checked.receive_event(f"1 on {TASK} vm-1")
+    checked.report_cancelled(JOB, 10.0)
+    checked.receive_event(f"{gone_at} off {TASK} vm-1")
     if starts_at is not None:
-        checked.hear(f"{starts_at} on {TASK} vm-2")
-    checked.judge(100.0)
-    assert [one.rule for one in checked.broken] == rules
-    assert len(checked.late) == late
+        checked.receive_event(f"{starts_at} on {TASK} vm-2")
+    checked.evaluate(100.0)
+    assert [one.rule for one in checked.violations] == rules
+    assert len(checked.late_starts) == late
 
 
 @pytest.mark.parametrize(("done_at", "rules"), [(9.0, []), (11.0, ["not_done"])])
 def test_a_job_is_called_done_after_its_tasks(done_at: float, rules: list[str]) -> None:
     """What the user heard may come to the checker before what the worker tells."""
     checked = checker()
-    checked.told_done(JOB, 1, 10.0)
-    checked.hear(f"1 on {TASK} vm-1")
-    checked.hear(f"{done_at} done {TASK} vm-1")
-    checked.judge(100.0)
-    assert [one.rule for one in checked.broken] == rules
+    checked.report_done(JOB, 1, 10.0)
+    checked.receive_event(f"1 on {TASK} vm-1")
+    checked.receive_event(f"{done_at} done {TASK} vm-1")
+    checked.evaluate(100.0)
+    assert [one.rule for one in checked.violations] == rules
 
 
-def host(broken: bool = False) -> Host:
+def host(broken: bool = False) -> WorkerHost:
     config = HostConfig("", "", 20, 9000, {"n-0": "127.0.0.1:1"}, 1.0, 10.0, 0.1, 1, broken)
-    made = Host(config)
+    made = WorkerHost(config)
     for number in range(2):
-        asked = Start(f"vm-{number}", "hollow", "a", False, 2)
-        made.machines[asked.name] = Machine(made, asked, "127.0.0.1:2")
+        asked = StartRequest(f"vm-{number}", "hollow", "a", False, 2)
+        made.machines[asked.name] = SimulatedWorker(made, asked, "127.0.0.1:2")
     return made
 
 
-def go_on(made: Host) -> None:
+def go_on(made: WorkerHost) -> None:
     """All timers, however far off."""
     while made.timers:
         made.timers.sort()
@@ -116,15 +122,15 @@
     made = host(broken)
     machine = made.machines["vm-0"]
     orders = api.Commands(3, 1, [api.Command(api.START, TASK, 1)])
-    actions = machine.agent.command(orders)
+    actions = machine.agent.handle_commands(orders)
     assert actions is not None
-    machine.act(actions)
+    machine.apply_actions(actions)
     go_on(made)
     checked = checker()
-    for line in made.lines:
-        checked.hear(line)
-    checked.judge(1e12)
-    assert [one.rule for one in checked.broken] == (["ran_twice"] if broken else [])
+    for line in made.event_lines:
+        checked.receive_event(line)
+    checked.evaluate(1e12)
+    assert [one.rule for one in checked.violations] == (["ran_twice"] if broken else [])
     assert checked.starts == 1
     assert checked.finished == {TASK}
 
@@ -134,10 +140,10 @@
     rightly begun elsewhere."""
     made = host()
     machine = made.machines["vm-0"]
-    machine.end()
+    machine.power_off()
     machine.restart()
-    assert machine.dead
-    assert [line.split()[1] for line in made.lines] == ["gone"]
+    assert machine.powered_off
+    assert [line.split()[1] for line in made.event_lines] == ["gone"]
 
 
 # --- hollow workers follow the protocol
@@ -165,14 +171,14 @@
 def test_commands(commands: list[tuple[str, int]], left: list[tuple[int, str, str | None]]) -> None:
     one = agent()
     one.execute([api.Command(op, TASK, attempt) for op, attempt in commands])
-    assert [(t.attempt, t.state, t.why) for t in one.tasks.values()] == left
+    assert [(t.attempt, t.state, t.exit_cause) for t in one.tasks.values()] == left
 
 
 def test_a_full_machine_refuses_and_says_so() -> None:
     one = agent()
     other = f"{JOB}/1"
     one.execute([api.Command(START, TASK, 1), api.Command(START, other, 1)])
-    assert one.tasks[other].why == "full"
+    assert one.tasks[other].exit_cause == "full"
 
 
 @pytest.mark.parametrize(
@@ -182,24 +188,26 @@
     one = agent()
     one.token = 5
     start = [api.Command(START, TASK, 1)]
-    assert (one.command(api.Commands(token, session, start)) is not None) == taken
+    assert (one.handle_commands(api.Commands(token, session, start)) is not None) == taken
     assert bool(one.tasks) == taken
     two = agent()
     two.token = 5
-    assert (two.answered_report(api.ReportReply(token, start), session, 9.0) is not None) == taken
-    assert two.answered == (9.0 if taken else 0.0)
+    assert (
+        two.handle_report_reply(api.ReportReply(token, start), session, 9.0) is not None
+    ) == taken
+    assert two.last_answered_at == (9.0 if taken else 0.0)
 
 
 def test_a_lease_that_is_over_ends_the_session_and_all_tasks() -> None:
     one = agent()
     one.execute([api.Command(START, TASK, 1)])
-    assert one.expire(10.0, 10.0) == []
+    assert one.expire_lease(10.0, 10.0) == []
     assert one.session == 1
-    assert one.expire(10.1, 10.0) == [TASK]
+    assert one.expire_lease(10.1, 10.0) == [TASK]
     assert one.session == 2
     assert not one.tasks
-    tally = one.report().seq
-    assert one.report().seq == tally + 1
+    tally = one.build_report().seq
+    assert one.build_report().seq == tally + 1
 
 
 # --- plans
@@ -225,18 +233,18 @@
     path = tmp_path / "plan.toml"
     path.write_text(text)
     with pytest.raises(ConfigError) as error:
-        load(path)
+        load_plan(path)
     told = "\n".join(error.value.lines)
     assert all(one in told for one in faults), told
 
 
 def test_the_plans_that_are_there_can_be_played() -> None:
-    assert load(None) is DEFAULT
+    assert load_plan(None) is DEFAULT_PLAN
     plans = sorted(Path(__file__).parent.parent.joinpath("deploy", "scale").glob("*.toml"))
     assert plans
     for path in plans:
         plan = msgspec.toml.decode(path.read_bytes(), type=Plan)
-        assert not beyond(plan, 24 * 1024.0, 20_000), path
+        assert not plan_errors(plan, 24 * 1024.0, 20_000), path
 
 
 # --- what is measured
@@ -246,20 +254,23 @@
     starts = [0, 1, 2, 3, 3, 3, 3, 4, 5, 6]
     running = [10, 10, 10, 5, 5, 6, 8, 9, 10, 10]
     samples = [Sample(float(i), r, s) for i, (r, s) in enumerate(zip(running, starts, strict=True))]
-    found = recovery(Trouble(3.0, "rack"), 3.0, 0.0, samples)
+    found = measure_recovery(Fault(3.0, "rack"), 3.0, 0.0, samples)
     assert (found.running_before, found.running_least, found.again_s, found.gap_s) == (10, 5, 5, 3)
-    assert recovery(Trouble(8.5, "rack"), 8.5, 0.0, samples).again_s == 0.0
+    assert measure_recovery(Fault(8.5, "rack"), 8.5, 0.0, samples).again_s == 0.0
     assert longest_gap(samples, 5.0) == 2.0
 
 
-def test_each_trouble_is_read_up_to_the_next() -> None:
+def test_each_fault_is_read_up_to_the_next() -> None:
     plan = Plan([Rung(5)])
-    troubles = Troubles(Site(plan, plan.rungs[0], Path("unused")), checker(), 1)
-    assert troubles.recoveries(0.0) == []
+    injector = FaultInjector(Site(plan, plan.rungs[0], Path("unused")), checker(), 1)
+    assert injector.recoveries(0.0) == []
     running = [10, 10, 4, 10, 10, 0, 0, 10]
-    troubles.samples = [Sample(float(i), r, i) for i, r in enumerate(running)]
-    troubles.began = [(Trouble(2.0, "rack"), 2.0), (Trouble(5.0, "state"), 5.0)]
-    found = troubles.recoveries(0.0)
+    injector.samples = [Sample(float(i), r, i) for i, r in enumerate(running)]
+    injector.injected = [
+        InjectedFault(Fault(2.0, "rack"), 2.0),
+        InjectedFault(Fault(5.0, "state"), 5.0),
+    ]
+    found = injector.recoveries(0.0)
     assert [(one.running_least, one.again_s) for one in found] == [(4, 1.0), (0, 2.0)]
 
 
@@ -282,7 +293,7 @@
     ],
 )
 def test_what_limits_is_named(fields: dict[str, Any], limits: list[str]) -> None:
-    assert reports.limits_of(row(**fields), 150.0) == limits
+    assert reports.limiting_components(row(**fields), 150.0) == limits
 
 
 @pytest.mark.parametrize(
@@ -299,7 +310,7 @@
 # --- the state service refuses what the protocol refuses
 
 
-def post(state: State, conditions: dict[str, int], changes: list[dict[str, Any]]) -> int:
+def post(state: StateService, conditions: dict[str, int], changes: list[dict[str, Any]]) -> int:
     when = [{"k": key, "stamp": version} for key, version in conditions.items()]
     body = msgspec.json.encode({"when": when, "apply": changes})
     reply = curio.run(state.handle, Request("POST", api.TXN, body))
@@ -328,25 +339,25 @@
 def test_limits_of_a_transaction(
     limits: StateLimits, conditions: int, changes: list[dict[str, Any]], status: int
 ) -> None:
-    state = State(limits)
+    state = StateService(limits)
     assert post(state, {f"c/{i}": 0 for i in range(conditions)}, changes) == status
-    assert bool(state.keys) == (status == 200)
+    assert bool(state.entries) == (status == 200)
 
 
 def test_requests_over_the_rate_are_refused_and_counted() -> None:
-    state = State(StateLimits(rps=3))
+    state = StateService(StateLimits(rps=3))
     found = [curio.run(state.handle, Request("GET", f"{api.KV}/a", b"")).status for _ in range(5)]
     assert found == [404, 404, 404, 429, 429]
     assert state.stats.over_rate == 2
 
 
 def test_a_rate_allows_a_burst_worth_its_seconds() -> None:
-    rate = Rate(5.0, 2.0)
+    rate = RateLimiter(5.0, 2.0)
     assert [rate.take() for _ in range(11)] == [True] * 10 + [False]
 
 
 def test_lists_come_in_pages_by_count_and_by_bytes() -> None:
-    state = State(StateLimits())
+    state = StateService(StateLimits())
     for first in range(0, 1500, 50):
         changes = [{"set": f"a/{first + i:05d}", "value": 1} for i in range(50)]
         assert post(state, {}, changes) == 200
@@ -371,15 +382,15 @@
 
 
 def test_a_condition_that_fails_changes_nothing() -> None:
-    state = State(StateLimits())
+    state = StateService(StateLimits())
     assert post(state, {"a/00000": 0}, puts(1)) == 200
     assert post(state, {"a/00000": 0}, puts(2)) == 409
-    assert len(state.keys) == 1
+    assert len(state.entries) == 1
     assert state.stats.refused == 1
 
 
 def test_keys_go_with_their_lease_and_watchers_hear_of_it() -> None:
-    state = State(StateLimits())
+    state = StateService(StateLimits())
 
     async def drive() -> tuple[int, list[str | None]]:
         ask = Request("POST", api.LEASES, msgspec.json.encode({"life_ms": 100}))
@@ -387,11 +398,11 @@
         changes = [{"set": "c/n", "value": 1, "permit": lease}]
         body = msgspec.json.encode({"when": [], "apply": changes})
         await state.handle(Request("POST", api.TXN, body))
-        lapse = await curio.spawn(state.lapse, daemon=True)
-        query = f"{api.WATCH}?prefix=c/&after={state.epoch}&block_ms=3000"
+        lapse = await curio.spawn(state.expire_leases, daemon=True)
+        query = f"{api.WATCH}?prefix=c/&after={state.revision}&block_ms=3000"
         told = msgspec.json.decode((await state.handle(Request("GET", query, b""))).body)
         await lapse.cancel()
-        return len(state.keys), [e.get("delete") for e in told["events"]]
+        return len(state.entries), [e.get("delete") for e in told["events"]]
 
     assert curio.run(drive) == (0, ["c/n"])
 
@@ -403,17 +414,17 @@
 def test_an_id_says_what_its_job_is(kind: int) -> None:
     name = workload.job_id(kind, 339, 12.5, 42)
     assert api.JOB_ID.fullmatch(name)
-    told = workload.describe(name)
+    told = workload.parse_job_id(name)
     assert (told.kind, told.team, told.service) == (kind, 339, kind == workload.SERVICE)
     if not told.service:
-        runs = [workload.run_s(f"{name}/{i}") for i in range(200)]
+        runs = [workload.task_run_s(f"{name}/{i}") for i in range(200)]
         assert 12.5 * 0.7 <= min(runs) < max(runs) <= 12.5 * 1.3
-        assert runs == [workload.run_s(f"{name}/{i}") for i in range(200)]
+        assert runs == [workload.task_run_s(f"{name}/{i}") for i in range(200)]
 
 
 def test_rungs_ask_for_as_much_as_their_workers_hold() -> None:
     plan = Plan([Rung(100), Rung(100, starts_per_s=7.0)])
-    assert [plan.starts(rung) for rung in plan.rungs] == [30.0, 7.0]
+    assert [plan.requested_starts_per_s(rung) for rung in plan.rungs] == [30.0, 7.0]
 
 
 def bind_below(sock: socket.socket, limit: int) -> int:
@@ -454,6 +465,6 @@
 ) -> None:
     path = tmp_path / "plan.toml"
     path.write_text(f"[limits]\n{line}\n[[rungs]]\nworkers = 100\n")
-    plan = load(path)
+    plan = load_plan(path)
     settings = Site(plan, plan.rungs[0], tmp_path).controller_settings(0)
     assert settings["settings"]["machine_limits"]["max_connections"] == limit
