--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a deployment has beside the controllers: real processes on loopback.
+"""Test doubles for what a deployment has beside the controllers: processes on loopback.
 
-They follow PROTOCOL and are small: enough to run real controllers against, on one machine.
+They implement PROTOCOL as far as real controllers need it to run on one machine.
 """
--- a/standins/agent.py
+++ b/standins/agent.py
@@ -1,7 +1,7 @@
-"""The worker's side of the protocol: sessions, leases, tokens, tallies and commands.
+"""The worker's side of the protocol: sessions, leases, tokens, sequence numbers, commands.
 
-Pure state: sockets and timers belong to whoever drives it. `execute` says which tasks are to be
-begun and which ended; their driver says with `running` and `ended` what became of them.
+State only: sockets and timers belong to the driver. `execute` returns the tasks to start and to
+stop; the driver reports their progress with `task_running` and `task_ended`.
 """
 
 from collections.abc import Callable
@@ -10,9 +10,9 @@
 from starlingdeck.protocol import api
 
 FETCHING, RUNNING, EXITED = "fetching", "running", "exited"
-REPORT_TIMEOUT_S = 4.0  # how long a worker waits for an answer to a report
-CONTROLLER_RETRY_S = 1.0  # and before it tries the next controller
-MIN_REPORT_INTERVAL_S = 0.5  # the least time between two reports
+REPORT_TIMEOUT_S = 4.0  # until a heartbeat counts as unanswered
+CONTROLLER_RETRY_S = 1.0  # before a worker tries the next controller
+MIN_REPORT_INTERVAL_S = 0.5  # between two heartbeats
 
 
 @dataclass
@@ -26,7 +26,7 @@
 
 @dataclass
 class Actions:
-    """What a batch of commands asks of the driver, in order of the commands."""
+    """The tasks that a batch of commands starts and stops, in order of the commands."""
 
     to_start: list[str] = field(default_factory=list)
     to_stop: list[str] = field(default_factory=list)
@@ -34,7 +34,7 @@
 
 @dataclass
 class Identity:
-    """What a machine says of itself in every report."""
+    """The properties of a machine that each heartbeat carries."""
 
     name: str
     address: str
@@ -44,7 +44,10 @@
 
 
 class Agent:
-    """One worker. `fits` says whether one more task, given those that live, has room."""
+    """One worker's protocol state.
+
+    `fits(task, live)` returns whether one more task fits beside `live` unfinished ones.
+    """
 
     def __init__(self, identity: Identity, now: float, fits: Callable[[str, int], bool]) -> None:
         self.identity = identity
@@ -53,33 +56,39 @@
         self.restart(now)
 
     def restart(self, now: float) -> None:
-        """A machine that is new or comes back with nothing on it."""
+        """Resets the state to that of a machine that has just started, without tasks."""
         self.tasks.clear()
         self.session = 1
         self.sequence = self.token = 0
-        self.last_answered_at = now  # when the last answered report was sent
+        self.last_answered_at = now  # when the last answered heartbeat was sent
 
     def build_report(self) -> api.Report:
-        """The next message about this machine; each has a higher tally."""
+        """The next heartbeat; each has a higher sequence number."""
         self.sequence += 1
-        me = self.identity
-        tasks = [api.ReportTask(n, t.attempt, t.state, t.exit_cause) for n, t in self.tasks.items()]
+        identity = self.identity
+        tasks = [
+            api.ReportTask(name, task.attempt, task.state, task.exit_cause)
+            for name, task in self.tasks.items()
+        ]
         return api.Report(
-            me.name, me.address, me.type, me.zone, self.session, self.sequence, self.token,
-            me.spot, None, tasks,
+            identity.name, identity.address, identity.type, identity.zone, self.session,
+            self.sequence, self.token, identity.spot, None, tasks,
         )  # fmt: skip
 
-    def handle_commands(self, orders: api.Commands) -> Actions | None:
-        """Direct commands; None when token or session don't match and nothing was executed."""
-        if orders.token < self.token or orders.session != self.session:
+    def handle_commands(self, batch: api.Commands) -> Actions | None:
+        """Executes direct commands; None, without effect, on a lower token or another session."""
+        if batch.token < self.token or batch.session != self.session:
             return None
-        self.token = orders.token
-        return self.execute(orders.commands)
+        self.token = batch.token
+        return self.execute(batch.commands)
 
     def handle_report_reply(
         self, reply: api.ReportReply, session: int, sent: float
     ) -> Actions | None:
-        """An answer to the report sent then; None when it has to be dropped."""
+        """Executes the commands of a heartbeat's reply; None when the reply is outdated.
+
+        `session` and `sent` (seconds) are those of the heartbeat.
+        """
         if session != self.session or reply.token < self.token:
             return None
         self.token = reply.token
@@ -114,16 +123,16 @@
             self.task_ended(command.task, "full")
 
     def task_running(self, name: str) -> None:
-        """A task has its image and is on the machine."""
+        """Records that a task has its image and runs."""
         self.tasks[name].state = RUNNING
 
     def task_ended(self, name: str, error: str) -> None:
-        """A task has ended, with the cause that reports give."""
+        """Records that a task has exited, with the cause that heartbeats carry."""
         task = self.tasks[name]
         task.state, task.exit_cause = EXITED, error
 
     def expire_lease(self, now: float, lease_s: float) -> list[str]:
-        """Ends the session when the lease is over; the tasks that were killed by that."""
+        """Ends the session if the lease has expired; returns the tasks killed by that."""
         if now - self.last_answered_at <= lease_s:
             return []
         killed = [name for name, task in self.tasks.items() if task.state != EXITED]
@@ -134,9 +143,9 @@
 
 
 def advance_controller(names: list[str], named: str | None) -> bool:
-    """Puts the controller to report to first, after a refusal that may have named one.
+    """Moves the controller to report to next to the front, after a refused heartbeat.
 
-    True when the worker has to wait before it tries that.
+    `named` is the controller that the refusal named. True when the worker has to wait first.
     """
     if named in names and named != names[0]:
         names.remove(named)
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -1,10 +1,10 @@
-"""A cloud: rentals, deletions and the lagging list, with the protocol's limits.
+"""Test double of the cloud: rentals, deletions and a lagging machine list, with rate limits.
 
 python -m standins.cloud ADDRESS TYPES.json FIRST_PORT -- WORKER ARGUMENTS...
-starts a worker process a machine; the arguments are passed on to each. What runs a machine is a
-`Launcher`, so that hollow machines can share processes (standins.simulated_cloud).
-POST /kill with {"host": "vm-000001"} kills one; POST /cut with {"host": ..., "seconds": 8} cuts
-one off from the controllers.
+starts one worker process per machine and passes the arguments on to each. A `Launcher` runs the
+machines, so that simulated workers can share processes (standins.simulated_cloud).
+POST /kill with {"host": "vm-000001"} kills a machine; POST /cut with {"host": ..., "seconds": 8}
+isolates one from the controllers.
 """
 
 import signal
@@ -23,27 +23,27 @@
 from starlingdeck.transport.client import HttpClient
 from starlingdeck.transport.server import Request, Response
 
-MAX_RENTED_PER_CALL = 50  # machines a call
+MAX_RENTED_PER_CALL = 50  # machines
 MAX_PAGE_ITEMS = 500
-RATE_BURST_S = 2.0  # of the limit of calls
-FAILURE_VISIBLE_AFTER_S = 30.0  # a machine that died still shows as running for so long
+RATE_BURST_S = 2.0  # burst of the rate limit, in seconds' worth of requests
+FAILURE_VISIBLE_AFTER_S = 30.0  # until a dead machine is listed as failed
 
 
 class Launcher(Protocol):
-    """Runs machines, wherever that is."""
+    """Starts and ends the machines of a cloud."""
 
-    async def start(self, kind: api.MachineType, machine: api.MachineInfo) -> None:
+    async def start(self, machine_type: api.MachineType, machine: api.MachineInfo) -> None:
         """Starts a machine and sets its address."""
 
     async def kill(self, name: str) -> None:
-        """Ends a machine with all that is on it."""
+        """Ends a machine and all its tasks."""
 
     async def isolate(self, machine: api.MachineInfo, seconds: float) -> None:
-        """Cuts a machine off from the controllers."""
+        """Isolates a machine from the controllers."""
 
 
 class ProcessLauncher:
-    """A worker process a machine."""
+    """Runs one worker process per machine."""
 
     def __init__(self, port: int, arguments: list[str]) -> None:
         self.first_port = port
@@ -52,12 +52,24 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.http = HttpClient()
 
-    async def start(self, kind: api.MachineType, machine: api.MachineInfo) -> None:
+    async def start(self, machine_type: api.MachineType, machine: api.MachineInfo) -> None:
         """Starts the machine's worker process on a port of its own."""
         machine.addr = f"127.0.0.1:{self.first_port + self.started_count}"
         self.started_count += 1
-        command = [sys.executable, "-m", "standins.worker", machine.id, machine.addr, kind.name]
-        command += [machine.zone, f"{kind.cpus}", f"{kind.memory_gb}", *self.arguments]
+        command = [
+            sys.executable,
+            "-m",
+            "standins.worker",
+            machine.id,
+            machine.addr,
+            machine_type.name,
+        ]
+        command += [
+            machine.zone,
+            f"{machine_type.cpus}",
+            f"{machine_type.memory_gb}",
+            *self.arguments,
+        ]
         self.processes[machine.id] = subprocess.Popen(command)
 
     async def kill(self, name: str) -> None:
@@ -68,12 +80,12 @@
             process.wait()
 
     async def isolate(self, machine: api.MachineInfo, seconds: float) -> None:
-        """Asks the worker to hold back all traffic for `seconds`."""
+        """Makes the worker delay all traffic for `seconds`."""
         body = msgspec.json.encode({"seconds": seconds})
         await self.http.call(machine.addr, "POST", "/cut", body, 2.0)
 
     async def run(self) -> None:
-        """Workers end with the cloud's process."""
+        """Ends the workers when the cloud's process ends."""
         try:
             while True:
                 await curio.sleep(1.0)
@@ -93,20 +105,20 @@
         list_lag_s: float = 0.0,
         capacity: int = 0,
     ) -> None:
-        """`rps` and `capacity` (machines in all): 0 for no limit."""
+        """`rps` (requests a second) and `capacity` (machines): 0 for no limit."""
         self.types = types
         self.launcher = launcher
         self.rate_limiter = RateLimiter(rps, RATE_BURST_S)
         self.list_lag_s = list_lag_s
         self.capacity = capacity
         self.machines: dict[str, api.MachineInfo] = {}
-        self.rented_by_request: dict[str, list[str]] = {}  # by request
+        self.rented_by_request: dict[str, list[str]] = {}  # machine names by request id
         self.started_at: dict[str, float] = {}
         self.died_at: dict[str, float] = {}
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
     async def handle(self, request: Request) -> Response:
-        """Handles one request, within the limit of calls."""
+        """Handles one request, within the rate limit."""
         post = request.method == "POST"
         if request.path in ("/kill", "/cut"):
             return await self.inject_fault(request)
@@ -126,7 +138,7 @@
         return error_response(400, "no such path")
 
     async def inject_fault(self, request: Request) -> Response:
-        """Kills or cuts off the machine that the request names."""
+        """Kills or isolates the machine that the request names."""
         body = msgspec.json.decode(request.body)
         info = self.machines.get(body["host"])
         if info is None:
@@ -138,47 +150,48 @@
             await self.launcher.isolate(info, body["seconds"])
         return json_response()
 
-    async def rent(self, asked: api.RentRequest) -> Response:
+    async def rent(self, request: api.RentRequest) -> Response:
         """Rents machines. A repeated request gets the same answer and rents nothing."""
-        kind = next((t for t in self.types if t.name == asked.type), None)
-        if kind is None or asked.zone not in kind.zones:
+        machine_type = next((known for known in self.types if known.name == request.type), None)
+        if machine_type is None or request.zone not in machine_type.zones:
             return error_response(400, "no such type there")
-        if asked.request not in self.rented_by_request:
-            count = min(MAX_RENTED_PER_CALL, asked.count)
+        if request.request not in self.rented_by_request:
+            count = min(MAX_RENTED_PER_CALL, request.count)
             if self.capacity:
                 count = min(count, self.capacity - len(self.machines) + len(self.died_at))
             if count <= 0:
                 return error_response(503, "no capacity")
-            self.rented_by_request[asked.request] = [
-                await self.start_machine(kind, asked.zone, asked.spot) for _ in range(count)
+            self.rented_by_request[request.request] = [
+                await self.start_machine(machine_type, request.zone, request.spot)
+                for _ in range(count)
             ]
-        return json_response(api.MachineNames(self.rented_by_request[asked.request]))
+        return json_response(api.MachineNames(self.rented_by_request[request.request]))
 
-    async def start_machine(self, kind: api.MachineType, zone: str, spot: bool) -> str:
+    async def start_machine(self, machine_type: api.MachineType, zone: str, spot: bool) -> str:
         """Starts one machine and returns its name."""
         name = f"vm-{len(self.started_at) + 1:06d}"
         self.started_at[name] = time.monotonic()
-        machine = api.MachineInfo(name, kind.name, zone, spot, api.RUNNING)
+        machine = api.MachineInfo(name, machine_type.name, zone, spot, api.RUNNING)
         self.machines[name] = machine
-        await self.launcher.start(kind, machine)
+        await self.launcher.start(machine_type, machine)
         return name
 
-    def list_page(self, asked: dict[str, str]) -> Response:
+    def list_page(self, parameters: dict[str, str]) -> Response:
         """One page of the machine list, `list_lag_s` seconds late."""
         now = time.monotonic()
         for name in list(self.died_at):
             if now - self.died_at[name] > FAILURE_VISIBLE_AFTER_S and name in self.machines:
                 self.machines[name].state = api.FAILED
-        shown = [n for n in self.machines if now - self.started_at[n] >= self.list_lag_s]
-        names = sorted(n for n in shown if n > asked.get("after", ""))
-        limit = min(MAX_PAGE_ITEMS, int(asked.get("limit", MAX_PAGE_ITEMS)))
+        visible = [name for name in self.machines if now - self.started_at[name] >= self.list_lag_s]
+        names = sorted(name for name in visible if name > parameters.get("after", ""))
+        limit = min(MAX_PAGE_ITEMS, int(parameters.get("limit", MAX_PAGE_ITEMS)))
         for name in names[:limit]:
             self.machines[name].age_s = now - self.started_at[name]
-        found = [self.machines[n] for n in names[:limit]]
-        return json_response(api.MachineList(found, len(names) > limit))
+        page = [self.machines[name] for name in names[:limit]]
+        return json_response(api.MachineList(page, len(names) > limit))
 
 
 if __name__ == "__main__":
-    kinds = msgspec.json.decode(Path(sys.argv[2]).read_bytes(), type=list[api.MachineType])
+    machine_types = msgspec.json.decode(Path(sys.argv[2]).read_bytes(), type=list[api.MachineType])
     processes = ProcessLauncher(int(sys.argv[3]), sys.argv[sys.argv.index("--") + 1 :])
-    serve(sys.argv[1], Cloud(kinds, processes).handle, processes.run)
+    serve(sys.argv[1], Cloud(machine_types, processes).handle, processes.run)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""The stand-in of a tariff engine: takes sessions and writes down how many are open.
+"""Test double of a tariff engine: accepts sessions and logs how many are open.
 
 python -m standins.engine ADDRESS LOG
 A line of the log: seconds, "open", "close" or "done", task, attempt, machine, sessions then open.
@@ -20,22 +20,22 @@
         self.log = path.open("a", buffering=1)
         self.open_sessions = 0
 
-    def log_event(self, what: str, who: str) -> None:
+    def log_event(self, event: str, client: str) -> None:
         """Appends one line to the log."""
-        self.log.write(f"{time.time():.3f} {what} {who} {self.open_sessions}\n")
+        self.log.write(f"{time.time():.3f} {event} {client} {self.open_sessions}\n")
 
     async def serve_session(self, sock: curio.io.Socket, _: object) -> None:
         """Serves one session, from its first line until the connection closes."""
         stream = sock.as_stream()
-        who = (await stream.readline()).decode().strip()
+        client = (await stream.readline()).decode().strip()
         self.open_sessions += 1
-        self.log_event("open", who)
+        self.log_event("open", client)
         try:
             if await stream.readline() == b"done\n":
-                self.log_event("done", who)
+                self.log_event("done", client)
         finally:
             self.open_sessions -= 1
-            self.log_event("close", who)
+            self.log_event("close", client)
 
 
 if __name__ == "__main__":
--- a/standins/limits.py
+++ b/standins/limits.py
@@ -1,4 +1,4 @@
-"""Limits that the protocol sets its services: rates with a burst, and sizes."""
+"""The protocol's limits of requests: rates with a burst, and sizes."""
 
 import time
 
@@ -6,7 +6,7 @@
 
 
 class RateLimiter:
-    """`per_s` a second with a burst worth `burst_s` seconds; 0: no limit."""
+    """A token bucket: `per_s` tokens a second, at most `burst_s` seconds' worth; 0: no limit."""
 
     def __init__(self, per_s: float, burst_s: float = 1.0) -> None:
         self.rate_per_s = per_s
@@ -15,7 +15,7 @@
         self.refilled_at = time.monotonic()
 
     def take(self, amount: float = 1.0) -> bool:
-        """Takes it if there is as much; what is refused costs nothing."""
+        """Takes tokens if there are enough; a refusal takes none."""
         if not self.rate_per_s:
             return True
         now = time.monotonic()
@@ -30,7 +30,7 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the state service takes; 0: no limit."""
+    """Limits of the state service; 0: no limit."""
 
     rps: float = 0.0
     write_rps: float = 0.0
--- a/standins/scale/checker.py
+++ b/standins/scale/checker.py
@@ -1,15 +1,38 @@
-"""The rules of the protocol, held against what workers and users report while a run goes on."""
+"""Checks the protocol's rules against the events of workers and users during a run."""
 
 import heapq
 from collections import defaultdict
 from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import NamedTuple
 
 from standins import workload
 
-EVENT_DELAY_S = 1.0  # processes tell at different times: what they tell is put in order first
+EVENT_DELAY_S = 1.0  # events of different processes arrive out of order: they are sorted first
 EPSILON = 1e-6
 
 
+class EventKind(StrEnum):
+    """What happened; the first four are the words of the lines that worker hosts send."""
+
+    STARTED = "on"
+    STOPPED = "off"
+    COMPLETED = "done"
+    MACHINE_GONE = "gone"
+    JOB_REPORTED_DONE = "reported done"
+
+
+class Event(NamedTuple):
+    """An event in the order of its time, then of its arrival."""
+
+    at: float
+    sequence: int
+    kind: EventKind
+    task: str  # the job where it was reported done
+    machine: str = ""
+    task_count: int = 0  # of a job that was reported done
+
+
 @dataclass
 class RunningTask:
     """A task that is on a machine."""
@@ -20,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A broken rule: when, which, and who took part."""
+    """A broken rule: when, which, by which task, and details."""
 
     at: float
     rule: str
@@ -33,7 +56,7 @@
 
 @dataclass
 class Checker:
-    """Seconds are those of one steady clock that all processes share."""
+    """Follows every task; times are seconds of the monotonic clock that all processes share."""
 
     cancel_s: float
     team_cpus_max: float
@@ -44,59 +67,68 @@
     first_start: dict[str, float] = field(default_factory=dict)
     violations: list[Violation] = field(default_factory=list)
     late_starts: list[str] = field(default_factory=list)  # starts after a confirmed cancellation
-    cancelled: dict[str, float] = field(default_factory=dict)  # job -> when its user was told
-    cancel_deadlines: list[tuple[float, str]] = field(
-        default_factory=list
-    )  # when cancelled jobs must be gone
+    cancelled: dict[str, float] = field(default_factory=dict)  # job -> time of the confirmation
+    # When no task of a cancelled job may run any more, and the job; a heap.
+    cancel_deadlines: list[tuple[float, str]] = field(default_factory=list)
     starts: int = 0
     out_of_order: int = 0
-    pending_events: list[tuple[float, int, str, str, str]] = field(default_factory=list)
+    pending_events: list[Event] = field(default_factory=list)
     event_sequence: int = 0
-    evaluated_until: float = 0.0  # up to when all was judged
+    evaluated_until: float = 0.0  # up to when all events were evaluated
 
-    # --- what is told
+    # --- events
 
     def receive_event(self, line: str) -> None:
-        """A line of a process of workers: seconds, what, task, machine."""
-        at, what, task, machine = line.split()
+        """Queues an event line of a worker host: seconds, kind, task, machine."""
+        at, kind, task, machine = line.split()
         self.event_sequence += 1
         self.out_of_order += float(at) < self.evaluated_until
-        heapq.heappush(self.pending_events, (float(at), self.event_sequence, what, task, machine))
+        event = Event(float(at), self.event_sequence, EventKind(kind), task, machine)
+        heapq.heappush(self.pending_events, event)
 
     def report_cancelled(self, job: str, at: float) -> None:
-        """A user was told that a job is cancelled."""
+        """Records that a job's cancellation was confirmed to its user."""
         if job not in self.cancelled:
             self.cancelled[job] = at
             heapq.heappush(self.cancel_deadlines, (at + self.cancel_s, job))
 
     def report_done(self, job: str, tasks: int, at: float) -> None:
-        """A user heard that a job is done. Judged in its turn: workers tell a little later."""
+        """Queues that a user was told that a job is done.
+
+        It is evaluated in order of time, as workers' events arrive a little later.
+        """
         self.event_sequence += 1
-        heapq.heappush(self.pending_events, (at, self.event_sequence, "told", job, str(tasks)))
+        kind = EventKind.JOB_REPORTED_DONE
+        event = Event(at, self.event_sequence, kind, job, task_count=tasks)
+        heapq.heappush(self.pending_events, event)
 
-    # --- judging
+    # --- evaluation
 
     def evaluate(self, up_to: float) -> None:
-        """Judges what happened up to then, in the order in which it happened."""
-        while self.pending_events and self.pending_events[0][0] <= up_to:
-            at, _, what, task, machine = heapq.heappop(self.pending_events)
-            self.check_gone(at)
-            if what == "on":
-                self.task_started(at, task, machine)
-            elif what == "told":
-                self.check_done(at, task, int(machine))
-            elif what == "gone":
-                for lost in list(self.tasks_by_machine[machine]):
-                    self.task_ended(lost, machine)
-            else:
-                if what == "done":
-                    self.finished.add(task)
-                self.task_ended(task, machine)
-        self.check_gone(up_to)
+        """Evaluates all events up to a time, in order of time."""
+        while self.pending_events and self.pending_events[0].at <= up_to:
+            event = heapq.heappop(self.pending_events)
+            self.check_cancelled(event.at)
+            self.evaluate_event(event)
+        self.check_cancelled(up_to)
         self.evaluated_until = max(self.evaluated_until, up_to)
 
+    def evaluate_event(self, event: Event) -> None:
+        """Applies one event and checks the rules that it may break."""
+        if event.kind == EventKind.STARTED:
+            self.task_started(event.at, event.task, event.machine)
+        elif event.kind == EventKind.JOB_REPORTED_DONE:
+            self.check_done(event.at, event.task, event.task_count)
+        elif event.kind == EventKind.MACHINE_GONE:
+            for lost in list(self.tasks_by_machine[event.machine]):
+                self.task_ended(lost, event.machine)
+        else:
+            if event.kind == EventKind.COMPLETED:
+                self.finished.add(event.task)
+            self.task_ended(event.task, event.machine)
+
     def task_started(self, at: float, task: str, machine: str) -> None:
-        """A task began on a machine: checks ran_twice, quota and ran_cancelled."""
+        """Records a started task; checks ran_twice, quota and ran_cancelled."""
         job = task.split("/", maxsplit=1)[0]
         other = self.running.get(task)
         if other is not None and other.machine != machine:
@@ -117,35 +149,35 @@
         self.running[task] = RunningTask(machine, at)
         self.tasks_by_machine[machine].add(task)
         self.first_start.setdefault(task, at)
-        told = self.cancelled.get(job)
-        if told is not None and at > told:
+        cancelled_at = self.cancelled.get(job)
+        if cancelled_at is not None and at > cancelled_at:
             self.late_starts.append(task)
-            if at > told + self.cancel_s:
+            if at > cancelled_at + self.cancel_s:
                 self.record_violation(at, "ran_cancelled", task, f"begins on {machine}")
 
     def task_ended(self, task: str, machine: str) -> None:
-        """A task is no longer on a machine."""
+        """Records that a task is no longer on a machine."""
         self.tasks_by_machine[machine].discard(task)
-        place = self.running.get(task)
-        if place is not None and place.machine == machine:
+        running = self.running.get(task)
+        if running is not None and running.machine == machine:
             del self.running[task]
             self.used_by_team[workload.parse_job_id(task.split("/", maxsplit=1)[0]).team] -= 1
 
     def check_done(self, at: float, job: str, tasks: int) -> None:
-        """A user was told that a job is done: checks not_done."""
+        """Checks that all tasks of a job that was reported done have completed."""
         missing = [i for i in range(tasks) if f"{job}/{i}" not in self.finished]
         if missing:
             self.record_violation(
                 at, "not_done", f"{job}/{missing[0]}", f"{len(missing)} tasks not completed"
             )
 
-    def check_gone(self, now: float) -> None:
-        """Checks that tasks of cancelled jobs whose time is over are gone."""
+    def check_cancelled(self, now: float) -> None:
+        """Checks that no task runs of a cancelled job whose deadline is over."""
         while self.cancel_deadlines and self.cancel_deadlines[0][0] < now:
             at, job = heapq.heappop(self.cancel_deadlines)
-            for task, place in self.running.items():
+            for task, running in self.running.items():
                 if task.split("/")[0] == job:
-                    self.record_violation(at, "ran_cancelled", task, f"still on {place.machine}")
+                    self.record_violation(at, "ran_cancelled", task, f"still on {running.machine}")
 
     def record_violation(self, at: float, rule: str, task: str, detail: str) -> None:
         """Records a broken rule."""
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: answers, and a process that serves one address."""
+"""HTTP helpers of all test doubles: responses, and a process that serves one address."""
 
 from collections.abc import Awaitable, Callable
 
@@ -29,7 +29,7 @@
     handler: Callable[[Request], Awaitable[Response]],
     *loops: Callable[[], Awaitable[None]],
 ) -> None:
-    """Serve until killed."""
+    """Serves an address and runs the loops beside it, until killed."""
 
     async def main() -> None:
         async with curio.TaskGroup() as group:
--- a/standins/simulated_cloud.py
+++ b/standins/simulated_cloud.py
@@ -1,4 +1,4 @@
-"""A cloud whose machines are hollow workers, shared out over their processes.
+"""A cloud whose machines are simulated workers, distributed over their host processes.
 
 python -m standins.simulated_cloud CONFIG.json
 """
@@ -22,15 +22,15 @@
 
     address: str
     types: list[api.MachineType]
-    hosts: list[str]  # control addresses of the processes of hollow workers
+    hosts: list[str]  # control addresses of the simulated worker hosts
     rps: float
     list_lag_s: float
     capacity: int
-    initial: int  # machines that are up at the start
+    initial: int  # machines that run from the start
 
 
 class SimulatedWorkerLauncher:
-    """Starts machines in the processes in turn."""
+    """Distributes machines over the host processes, round robin."""
 
     def __init__(self, hosts: list[str]) -> None:
         self.hosts = hosts
@@ -38,26 +38,28 @@
         self.host_by_machine: dict[str, str] = {}  # machine -> control address
         self.http = HttpClient()
 
-    async def start(self, kind: api.MachineType, machine: api.MachineInfo) -> None:
-        """Starts the machine in the next process."""
+    async def start(self, machine_type: api.MachineType, machine: api.MachineInfo) -> None:
+        """Starts the machine in the next host process."""
         host = self.hosts[self.started_count % len(self.hosts)]
         self.started_count += 1
         self.host_by_machine[machine.id] = host
-        asked = StartRequest(machine.id, kind.name, machine.zone, machine.spot, int(kind.cpus))
+        request = StartRequest(
+            machine.id, machine_type.name, machine.zone, machine.spot, int(machine_type.cpus)
+        )
         reply = await self.http.call(
-            host, "POST", "/start", msgspec.json.encode([asked]), CALL_TIMEOUT_S
+            host, "POST", "/start", msgspec.json.encode([request]), CALL_TIMEOUT_S
         )
         machine.addr = msgspec.json.decode(reply.body, type=list[str])[0]
 
     async def kill(self, name: str) -> None:
-        """Kills the machine in its process."""
+        """Kills the machine in its host process."""
         host = self.host_by_machine.get(name)
         if host is not None:
             await self.http.call(host, "POST", "/kill", msgspec.json.encode([name]), CALL_TIMEOUT_S)
 
     async def isolate(self, machine: api.MachineInfo, seconds: float) -> None:
         """Not supported."""
-        raise NotImplementedError("hollow machines are killed or restarted, not cut off")
+        raise NotImplementedError("simulated workers can be killed or restarted, not isolated")
 
 
 def main() -> None:
@@ -67,9 +69,11 @@
     cloud = Cloud(config.types, launcher, config.rps, config.list_lag_s, config.capacity)
 
     async def start_initial() -> None:
-        kind = config.types[0]
+        machine_type = config.types[0]
         for number in range(config.initial):
-            await cloud.start_machine(kind, kind.zones[number % len(kind.zones)], False)
+            await cloud.start_machine(
+                machine_type, machine_type.zones[number % len(machine_type.zones)], False
+            )
 
     serve(config.address, cloud.handle, start_initial)
 
--- a/standins/state.py
+++ b/standins/state.py
@@ -1,14 +1,14 @@
-"""A state service: compare-and-set transactions, leases, watches, limits, outages on request.
+"""Test double of the state service: compare-and-swap, leases, watches, limits, outages.
 
 python -m standins.state ADDRESS [--rps N] [--write-rps N] [--value-kb N] [--txn-ops N]
-Without options nothing is limited. POST /out with {"seconds": 5} starts an outage; GET /stats tells
-what was asked for, what was changed, and what was refused.
+Without options nothing is limited. POST /out with {"seconds": 5} starts an outage; GET /stats
+returns counts of requests, changes and refusals.
 """
 
 import argparse
 import bisect
 import time
-from typing import Any
+from typing import NamedTuple
 
 import curio
 import msgspec
@@ -18,11 +18,11 @@
 from starlingdeck.protocol import api
 from starlingdeck.transport.server import Request, Response
 
-RETAINED_CHANGES = 10_000  # changes that a watch may still ask for
+RETAINED_CHANGES = 10_000  # changes that a watch can still start from
 MAX_PAGE_ITEMS = 1000
-MAX_PAGE_BYTES = 512 * 1024  # bytes of a list
-MAX_TRANSACTION_BYTES = 64 * 1024  # bytes of a transaction
-CONDITIONS_PER_CHANGE = 4  # times the changes that a transaction may hold
+MAX_PAGE_BYTES = 512 * 1024  # of a page of keys and values
+MAX_TRANSACTION_BYTES = 64 * 1024
+CONDITIONS_PER_CHANGE = 4  # conditions allowed per allowed change
 
 
 class StateStats(msgspec.Struct):
@@ -31,13 +31,20 @@
     requests: int = 0
     changes: int = 0
     writes: int = 0
-    refused: int = 0  # for a condition
-    over_rate: int = 0  # 429
-    malformed: int = 0  # 400, expired leases aside
+    refused: int = 0  # a condition failed
+    over_rate: int = 0  # answered 429
+    malformed: int = 0  # answered 400, but for expired leases
     bytes: int = 0
     read_bytes: int = 0
     keys: int = 0
-    put: dict[str, int] = {}  # by the first part of the key
+    put: dict[str, int] = {}  # values written, by the first part of the key
+
+
+class Lease(NamedTuple):
+    """A lease: when it expires (monotonic clock) and its length, in seconds."""
+
+    expires_at: float
+    ttl_s: float
 
 
 class StateService:
@@ -48,10 +55,10 @@
         self.request_limiter = RateLimiter(limits.rps)
         self.change_limiter = RateLimiter(limits.write_rps)
         self.entries: dict[str, api.Entry] = {}
-        self.sorted_keys: list[str] = []  # of the keys, in order
+        self.sorted_keys: list[str] = []
         self.revision = 1
         self.change_log: list[api.Event] = []
-        self.leases: dict[int, tuple[float, float]] = {}  # end, length in seconds
+        self.leases: dict[int, Lease] = {}
         self.lease_by_key: dict[str, int] = {}  # key -> lease
         self.outage_until = 0.0
         self.stats = StateStats()
@@ -101,26 +108,29 @@
     def begin_outage(self, seconds: float) -> None:
         """Answers every request with 503 for `seconds`."""
         self.outage_until = time.monotonic() + seconds
-        # After an outage every lease has its full time again.
-        self.leases = {k: (self.outage_until + ttl, ttl) for k, (_, ttl) in self.leases.items()}
+        # After an outage every lease has its full length again.
+        self.leases = {
+            lease_id: Lease(self.outage_until + lease.ttl_s, lease.ttl_s)
+            for lease_id, lease in self.leases.items()
+        }
 
-    def grant_lease(self, asked: api.LeaseRequest) -> Response:
+    def grant_lease(self, request: api.LeaseRequest) -> Response:
         """Grants a lease."""
-        ttl = asked.ttl_ms / 1000
-        lease = max(self.leases, default=0) + 1 + self.revision
-        self.leases[lease] = (time.monotonic() + ttl, ttl)
-        return json_response(api.LeaseGrant(lease))
+        ttl_s = request.ttl_ms / 1000
+        lease_id = max(self.leases, default=0) + 1 + self.revision
+        self.leases[lease_id] = Lease(time.monotonic() + ttl_s, ttl_s)
+        return json_response(api.LeaseGrant(lease_id))
 
-    def renew_or_end_lease(self, lease: int, post: bool) -> Response:
+    def renew_or_end_lease(self, lease_id: int, post: bool) -> Response:
         """Renews a lease; with `post` false, ends it."""
-        if lease not in self.leases:
+        if lease_id not in self.leases:
             return error_response(404, "no such lease")
-        ttl = self.leases[lease][1] if post else 0.0
-        self.leases[lease] = (time.monotonic() + ttl, ttl)
+        ttl_s = self.leases[lease_id].ttl_s if post else 0.0
+        self.leases[lease_id] = Lease(time.monotonic() + ttl_s, ttl_s)
         return json_response()
 
     def transaction_error(self, body: bytes, txn: api.Transaction) -> str:
-        """Which limit of the protocol a transaction breaks, or nothing."""
+        """Which limit of the protocol a transaction breaks; empty if none."""
         limits = self.limits
         if len(body) > MAX_TRANSACTION_BYTES:
             return "transaction too large"
@@ -138,10 +148,10 @@
     async def execute_transaction(self, body: bytes) -> Response:
         """Executes a transaction if all its conditions hold."""
         txn = msgspec.json.decode(body, type=api.Transaction)
-        fault = self.transaction_error(body, txn)
-        if fault:
+        limit_error = self.transaction_error(body, txn)
+        if limit_error:
             self.stats.malformed += 1
-            return error_response(400, fault)
+            return error_response(400, limit_error)
         if not self.change_limiter.take(len(txn.changes)):
             self.stats.over_rate += 1
             return error_response(429, "too many changes")
@@ -197,10 +207,10 @@
         self.lease_by_key.pop(key, None)
         self.change_log.append(api.Event(self.revision, delete=key))
 
-    def list_page(self, asked: dict[str, str]) -> Response:
+    def list_page(self, parameters: dict[str, str]) -> Response:
         """One page of the keys with a prefix, in key order."""
-        prefix, after = asked.get("prefix", ""), asked.get("after", "")
-        limit = min(MAX_PAGE_ITEMS, int(asked.get("limit", MAX_PAGE_ITEMS)))
+        prefix, after = parameters.get("prefix", ""), parameters.get("after", "")
+        limit = min(MAX_PAGE_ITEMS, int(parameters.get("limit", MAX_PAGE_ITEMS)))
         found: list[api.Entry] = []
         size, more = 0, False
         first = max(
@@ -218,10 +228,10 @@
         self.stats.read_bytes += size
         return json_response(api.Entries(found, self.revision, more))
 
-    async def watch(self, asked: dict[str, str]) -> Response:
+    async def watch(self, parameters: dict[str, str]) -> Response:
         """Waits for changes of keys with a prefix after a revision."""
-        prefix, after = asked.get("prefix", ""), int(asked.get("after", 0))
-        until = time.monotonic() + int(asked.get("block_ms", 0)) / 1000
+        prefix, after = parameters.get("prefix", ""), int(parameters.get("after", 0))
+        deadline = time.monotonic() + int(parameters.get("block_ms", 0)) / 1000
         while True:
             if (
                 self.change_log
@@ -229,31 +239,35 @@
                 and len(self.change_log) == RETAINED_CHANGES
             ):
                 return error_response(410, "too old")
-            first = bisect.bisect_right(self.change_log, after, key=lambda e: e.version)
+            first = bisect.bisect_right(self.change_log, after, key=lambda event: event.version)
             found = [
-                e for e in self.change_log[first:] if (e.put or e.delete or "").startswith(prefix)
+                event
+                for event in self.change_log[first:]
+                if (event.put or event.delete or "").startswith(prefix)
             ]
-            left = until - time.monotonic()
-            if not self.in_outage and (found or left <= 0):
+            remaining_s = deadline - time.monotonic()
+            if not self.in_outage and (found or remaining_s <= 0):
                 return json_response(api.Events(found, self.revision))
             if not found:
-                after = max(after, self.revision)  # nothing up to here concerns this watch
-            async with curio.ignore_after(max(0.05, left)):
+                after = max(after, self.revision)  # no change up to here has the prefix
+            async with curio.ignore_after(max(0.05, remaining_s)):
                 await self.change_event.wait()
 
     async def expire_leases(self) -> None:
-        """Leases end, and the keys that hang on them go."""
+        """Ends expired leases and deletes the keys attached to them."""
         while True:
             await curio.sleep(0.02)
             if self.in_outage:
                 continue
             now = time.monotonic()
-            over = {k for k, (end, _) in self.leases.items() if now > end}
-            gone: list[Any] = [k for k, lease in self.lease_by_key.items() if lease in over]
-            for lease in over:
-                del self.leases[lease]
-            if gone:
-                await self.apply_changes([api.Change(delete=key) for key in gone])
+            expired = {
+                lease_id for lease_id, lease in self.leases.items() if now > lease.expires_at
+            }
+            keys = [key for key, lease_id in self.lease_by_key.items() if lease_id in expired]
+            for lease_id in expired:
+                del self.leases[lease_id]
+            if keys:
+                await self.apply_changes([api.Change(delete=key) for key in keys])
 
 
 def main() -> None:
@@ -263,10 +277,10 @@
     for name in ("rps", "write-rps", "value-kb", "latency-ms"):
         parser.add_argument(f"--{name}", type=float, default=0.0)
     parser.add_argument("--txn-ops", type=int, default=0)
-    asked = vars(parser.parse_args())
-    address = asked.pop("address")
-    state = StateService(StateLimits(**asked))
-    serve(address, state.handle, state.expire_leases)
+    options = vars(parser.parse_args())
+    address = options.pop("address")
+    service = StateService(StateLimits(**options))
+    serve(address, service.handle, service.expire_leases)
 
 
 if __name__ == "__main__":
