--- a/standins/simulated_workers.py
+++ b/standins/simulated_workers.py
@@ -11,6 +11,7 @@
 import sys
 import time
 from collections.abc import Awaitable, Callable
+from functools import partial
 from pathlib import Path
 
 import curio
@@ -35,25 +36,25 @@
 from starlingdeck.transport.server import HttpServer, Request, Response
 
 TICK_INTERVAL_S = 0.02
-LEASE_CHECK_INTERVAL_S = 0.25  # how often all leases are looked at
-MAX_REDIRECT_DELAY_S = 0.5  # a redirected worker reports anew within this
-MACHINES_PER_SUBNET = 250  # machines that share the third number of their addresses
-LATE_TICK_THRESHOLD_S = 0.1  # a tick later than this says that the process has too much to do
+LEASE_CHECK_INTERVAL_S = 0.25  # between two checks of all leases
+MAX_REDIRECT_DELAY_S = 0.5  # until a redirected worker sends its next heartbeat
+MACHINES_PER_SUBNET = 250  # machines that share the third byte of their addresses
+LATE_TICK_THRESHOLD_S = 0.1  # a later tick shows that the process is overloaded
 
 
 class HostConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """One process of hollow workers."""
+    """Settings of one process of simulated workers."""
 
     control: str
     checker: str
-    network: int  # second number of its machines' addresses
+    network: int  # second byte of its machines' addresses
     port: int
     controllers: dict[str, str]
     report_s: float
     lease_s: float
     fetch_s: float
     seed: int
-    broken: bool = False  # runs each task twice: to see that the checker sees it
+    broken: bool = False  # reports each start on two machines, to test the checker
 
 
 class StartRequest(msgspec.Struct):
@@ -67,7 +68,7 @@
 
 
 class HostStats(msgspec.Struct):
-    """Counted since the start; bytes are those of bodies."""
+    """Counters since the start of the process; bytes are those of HTTP bodies."""
 
     machines: int = 0
     reports: int = 0
@@ -84,14 +85,14 @@
 
 
 class SimulatedWorker:
-    """One hollow worker."""
+    """One simulated worker."""
 
-    def __init__(self, host: "WorkerHost", asked: StartRequest, address: str) -> None:
+    def __init__(self, host: "WorkerHost", request: StartRequest, address: str) -> None:
         self.host = host
-        self.name = asked.name
-        self.slots = asked.slots
+        self.name = request.name
+        self.slots = request.slots
         self.address = address
-        identity = Identity(asked.name, address, asked.type, asked.zone, asked.spot)
+        identity = Identity(request.name, address, request.type, request.zone, request.spot)
         self.agent = Agent(identity, time.monotonic(), self.fits)
         self.controller_order = list(host.config.controllers)
         host.rng.shuffle(self.controller_order)
@@ -107,7 +108,7 @@
     async def handle(self, request: Request) -> Response:
         """Handles a direct command or a status query."""
         while self.powered_off:
-            await curio.sleep(1.0)  # a machine without power is silent
+            await curio.sleep(1.0)  # a powered-off machine does not answer
         stats = self.host.stats
         if request.path == api.WORKER_STATUS:
             return json_response(self.agent.build_report())
@@ -120,19 +121,19 @@
         return json_response(self.agent.build_report())
 
     def apply_actions(self, actions: Actions) -> None:
-        """Begins and stops the tasks that commands named."""
+        """Starts and stops the tasks that commands named."""
         for task in actions.to_stop:
             self.host.record_event("off", task, self)
         now = time.monotonic()
         for task in actions.to_start:
             self.host.stats.started += 1
-            at = now + self.host.config.fetch_s * self.host.rng.uniform(0.5, 1.5)
-            self.host.schedule(at, lambda task=task: self.image_fetched(task))  # type: ignore[misc]
+            fetched_at = now + self.host.config.fetch_s * self.host.rng.uniform(0.5, 1.5)
+            self.host.schedule(fetched_at, partial(self.image_fetched, task))
         if actions.to_start or actions.to_stop:
             self.report_soon(now)
 
     def image_fetched(self, name: str) -> None:
-        """The image is there; a stopped or restarted task has another state or is gone."""
+        """Runs a task whose image has arrived, unless it was stopped or restarted meanwhile."""
         task = self.agent.tasks.get(name)
         if self.powered_off or task is None or task.state != FETCHING:
             return
@@ -148,7 +149,7 @@
         self.report_soon(now)
 
     def task_completed(self, name: str, attempt: int) -> None:
-        """A task has run for its whole time, unless it was stopped or restarted meanwhile."""
+        """Completes a task, unless it was stopped or restarted meanwhile."""
         task = self.agent.tasks.get(name)
         if self.powered_off or task is None or task.attempt != attempt or task.state != RUNNING:
             return
@@ -158,7 +159,7 @@
         self.report_soon(time.monotonic())
 
     def report_soon(self, now: float) -> None:
-        """Something has changed: a report goes out, no sooner than the protocol allows."""
+        """Schedules a heartbeat after a change, as soon as the protocol allows."""
         self.change_pending = True
         if not self.heartbeat_in_flight:
             self.schedule_report(max(now, self.last_report_at + MIN_REPORT_INTERVAL_S))
@@ -169,7 +170,7 @@
         self.host.schedule(due, lambda: self.start_report(due))
 
     def start_report(self, due: float) -> None:
-        """Only the latest time set for the next report counts; one is under way at a time."""
+        """Sends a heartbeat if `due` is the latest time set and none is in flight."""
         if not self.powered_off and not self.heartbeat_in_flight and self.next_report_at == due:
             self.heartbeat_in_flight, self.change_pending = True, False
             self.host.schedule_coroutine(self.send_heartbeat)
@@ -195,8 +196,8 @@
             return
         if status == 200:
             wait_s = config.report_s * self.host.rng.uniform(0.75, 1.25)
-            told = msgspec.json.decode(reply.body, type=api.ReportReply)
-            actions = self.agent.handle_report_reply(told, session, sent)
+            decoded = msgspec.json.decode(reply.body, type=api.ReportReply)
+            actions = self.agent.handle_report_reply(decoded, session, sent)
             if actions is not None:
                 self.apply_actions(actions)
         elif status:
@@ -207,15 +208,15 @@
         )
 
     def handle_refusal(self, status: int, body: bytes) -> float:
-        """A refusal: which controller is next, and how long until then."""
-        to = None
+        """Chooses the next controller after a refusal; seconds until the next heartbeat."""
+        named = None
         if status == 421:
-            to = msgspec.json.decode(body, type=api.Redirect).report_to
+            named = msgspec.json.decode(body, type=api.Redirect).report_to
             self.host.stats.redirected += 1
         else:
             self.host.stats.refused += 1
-        wait = advance_controller(self.controller_order, to)
-        return CONTROLLER_RETRY_S if wait else self.host.rng.uniform(0.0, MAX_REDIRECT_DELAY_S)
+        must_wait = advance_controller(self.controller_order, named)
+        return CONTROLLER_RETRY_S if must_wait else self.host.rng.uniform(0.0, MAX_REDIRECT_DELAY_S)
 
     def expire_lease(self, now: float) -> None:
         """Ends the session if its lease has expired."""
@@ -224,13 +225,13 @@
             self.report_soon(now)
 
     def power_off(self) -> None:
-        """Without power: all that is on it is gone, and it says nothing any more."""
+        """Ends all tasks; the machine no longer answers or sends heartbeats."""
         if not self.powered_off:
             self.powered_off = True
             self.host.record_event("gone", "-", self)
 
     def restart(self) -> None:
-        """Back at once with nothing on it; one without power stays as it is."""
+        """Restarts the machine at once, without its tasks; no effect on a powered-off one."""
         if self.powered_off:
             return
         self.host.record_event("gone", "-", self)
@@ -255,47 +256,47 @@
 
     # --- timers
 
-    def schedule(self, due: float, do: Callable[[], None]) -> None:
+    def schedule(self, due: float, callback: Callable[[], None]) -> None:
         """Schedules a callback for a time of the steady clock, in seconds."""
         self.timer_sequence += 1
-        heapq.heappush(self.timers, (due, self.timer_sequence, do))
+        heapq.heappush(self.timers, (due, self.timer_sequence, callback))
 
-    def schedule_coroutine(self, do: Callable[[], Awaitable[None]]) -> None:
+    def schedule_coroutine(self, function: Callable[[], Awaitable[None]]) -> None:
         """Schedules a coroutine for the end of the present tick."""
-        self.pending_coroutines.append(do)
+        self.pending_coroutines.append(function)
 
     async def tick_loop(self) -> None:
         """Runs due timers, expires leases and spawns coroutines, every TICK_S seconds."""
-        looked = 0.0
+        leases_checked_at = 0.0
         while True:
             began = time.monotonic()
             while self.timers and self.timers[0][0] <= began:
                 heapq.heappop(self.timers)[2]()
-            if began - looked > LEASE_CHECK_INTERVAL_S:
-                looked = began
+            if began - leases_checked_at > LEASE_CHECK_INTERVAL_S:
+                leases_checked_at = began
                 for machine in self.machines.values():
                     if not machine.powered_off:
                         machine.expire_lease(began)
-            spawning, self.pending_coroutines = self.pending_coroutines, []
-            for do in spawning:
-                await curio.spawn(do, daemon=True)
+            pending, self.pending_coroutines = self.pending_coroutines, []
+            for function in pending:
+                await curio.spawn(function, daemon=True)
             await curio.sleep(TICK_INTERVAL_S)
             self.stats.ticks += 1
             self.stats.late_ticks += (
                 time.monotonic() - began > TICK_INTERVAL_S + LATE_TICK_THRESHOLD_S
             )
 
-    # --- what the checker is told
+    # --- events for the checker
 
-    def record_event(self, what: str, task: str, machine: SimulatedWorker) -> None:
+    def record_event(self, kind: str, task: str, machine: SimulatedWorker) -> None:
         """Queues one event for the checker."""
-        self.event_lines.append(f"{time.monotonic():.6f} {what} {task} {machine.name}\n")
+        self.event_lines.append(f"{time.monotonic():.6f} {kind} {task} {machine.name}\n")
 
     def task_started(self, task: str, machine: SimulatedWorker) -> None:
-        """A task has begun. A host configured as broken reports it on a second machine too."""
+        """Records a started task; a host configured as broken reports a second machine too."""
         self.record_event("on", task, machine)
         if self.config.broken and len(self.machines) > 1:
-            other = next(m for m in self.machines.values() if m is not machine)
+            other = next(known for known in self.machines.values() if known is not machine)
             self.record_event("on", task, other)
 
     async def send_events_loop(self) -> None:
@@ -312,11 +313,11 @@
     async def handle(self, request: Request) -> Response:
         """Handles a control request: statistics, start, kill or restart."""
         if request.path == "/stats":
-            self.stats.machines = sum(not m.powered_off for m in self.machines.values())
+            self.stats.machines = sum(not machine.powered_off for machine in self.machines.values())
             return json_response(self.stats)
         if request.path == "/start":
-            asked = msgspec.json.decode(request.body, type=list[StartRequest])
-            return json_response([await self.start_machine(one) for one in asked])
+            starts = msgspec.json.decode(request.body, type=list[StartRequest])
+            return json_response([await self.start_machine(start) for start in starts])
         names = msgspec.json.decode(request.body, type=list[str])
         known = [self.machines[name] for name in names if name in self.machines]
         if request.path == "/kill":
@@ -329,13 +330,13 @@
             return json_response(len(known))
         return error_response(400, "no such path")
 
-    async def start_machine(self, asked: StartRequest) -> str:
-        """Starts a machine; its address."""
+    async def start_machine(self, request: StartRequest) -> str:
+        """Starts a machine and returns its address."""
         number = len(self.machines)
         subnet, host = divmod(number, MACHINES_PER_SUBNET)
         address = f"127.{self.config.network}.{subnet}.{host + 1}"
-        machine = SimulatedWorker(self, asked, f"{address}:{self.config.port}")
-        self.machines[asked.name] = machine
+        machine = SimulatedWorker(self, request, f"{address}:{self.config.port}")
+        self.machines[request.name] = machine
         server = HttpServer((address, self.config.port), machine.handle, 16, 60.0)
         await curio.spawn(server.run, daemon=True)
         machine.schedule_report(time.monotonic() + self.rng.uniform(0.0, self.config.report_s))
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,10 +1,10 @@
-"""A worker whose tasks each hold a session to the engine for a while.
+"""Test double of a worker: each task keeps a session to the engine open for a while.
 
 python -m standins.worker NAME ADDRESS TYPE ZONE CPUS MEMORY_GB
     --controllers NAME=ADDRESS,... --engine ADDRESS --session-s S --results FOLDER
     --report-s S --lease-s S [--task-cpus N]
-A task that has completed leaves a file in the results' folder, outside the machine: started
-again, it exits at once.
+A completed task leaves a file in the results folder, outside the machine; when it is started again,
+it exits at once.
 """
 
 import argparse
@@ -53,16 +53,16 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether the machine is cut off."""
+        """Whether the machine is isolated from the controllers."""
         return time.monotonic() < self.isolated_until
 
     async def handle(self, request: Request) -> Response:
-        """Handles a direct command, a status query or a request to be cut off."""
+        """Handles a direct command, a status query or a request to be isolated."""
         if request.path == "/cut":
             self.isolated_until = time.monotonic() + msgspec.json.decode(request.body)["seconds"]
             return json_response()
         while self.isolated:
-            await curio.sleep(0.1)  # packets are held back, not lost
+            await curio.sleep(0.1)  # packets are delayed, not lost
         if request.path == api.WORKER_STATUS:
             return json_response(self.agent.build_report())
         actions = self.agent.handle_commands(msgspec.json.decode(request.body, type=api.Commands))
@@ -72,7 +72,7 @@
         return json_response(self.agent.build_report())
 
     async def apply_actions(self, actions: Actions) -> None:
-        """Begins and stops the tasks that commands named."""
+        """Starts and stops the tasks that commands named."""
         for name in actions.to_start:
             self.running_tasks[name] = await curio.spawn(self.run_task, name, daemon=True)
         for name in actions.to_stop:
@@ -87,9 +87,9 @@
             await run.cancel()
 
     async def run_task(self, name: str) -> None:
-        """Hold a session to the engine; say `done` when the work is complete."""
+        """Keeps a session to the engine open; sends `done` when the work is complete."""
         result = Path(self.args.results) / name.replace("/", "_")
-        error = "done"
+        exit_cause = "done"
         if not result.exists():
             try:
                 sock = await curio.open_connection(*split_address(self.args.engine))
@@ -103,25 +103,24 @@
                     await sock.sendall(b"done\n")
                     await sock.recv(1)  # the engine has closed the session
             except OSError:
-                error = "error"
+                exit_cause = "error"
         self.running_tasks.pop(name, None)
-        self.agent.task_ended(name, error)
+        self.agent.task_ended(name, exit_cause)
         await self.report_due.set()
 
     async def heartbeat_loop(self) -> None:
         """Sends heartbeats periodically and after every change."""
-        a = self.args
-        last = 0.0
+        last_sent_at = 0.0
         while True:
-            wait = random.uniform(0.75, 1.25) * a.report_s
+            wait = random.uniform(0.75, 1.25) * self.args.report_s
             async with curio.ignore_after(wait):
                 await self.report_due.wait()
-            await curio.sleep(max(0.0, last + MIN_REPORT_INTERVAL_S - time.monotonic()))
+            await curio.sleep(max(0.0, last_sent_at + MIN_REPORT_INTERVAL_S - time.monotonic()))
             self.report_due.clear()
-            last = time.monotonic()
+            last_sent_at = time.monotonic()
             if self.isolated:
                 continue
-            await self.send_heartbeat(last)
+            await self.send_heartbeat(last_sent_at)
 
     async def send_heartbeat(self, sent: float) -> None:
         """Sends one heartbeat and executes the commands of its answer."""
@@ -135,15 +134,15 @@
         if self.isolated:
             return
         if reply.status == 200:
-            told = msgspec.json.decode(reply.body, type=api.ReportReply)
-            actions = self.agent.handle_report_reply(told, session, sent)
+            decoded = msgspec.json.decode(reply.body, type=api.ReportReply)
+            actions = self.agent.handle_report_reply(decoded, session, sent)
             if actions is not None:
                 await self.apply_actions(actions)
             return
-        to = None
+        named = None
         if reply.status == 421:
-            to = msgspec.json.decode(reply.body, type=api.Redirect).report_to
-        if advance_controller(self.controller_order, to):
+            named = msgspec.json.decode(reply.body, type=api.Redirect).report_to
+        if advance_controller(self.controller_order, named):
             await curio.sleep(CONTROLLER_RETRY_S)
         await self.report_due.set()
 
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -1,6 +1,6 @@
-"""Jobs whose ids tell hollow workers what a real one would fetch: how long their tasks run.
+"""Job ids that encode what a real worker would fetch for a job: how long its tasks run.
 
-An id is j- and 16 digits: kind, team, run time in tenths of a second, number.
+An id is j- and 16 digits: kind (1), team (3), run time in tenths of a second (5), number (7).
 """
 
 import random
@@ -8,11 +8,11 @@
 
 ARRAY, SERVICE, ONE_TASK = 1, 2, 3
 UNLIMITED_RUN_DS = 99_999  # tenths of a second: the task runs until it is stopped
-RUN_TIME_SPREAD = 0.3  # how far tasks of one job differ in length, either way
+RUN_TIME_SPREAD = 0.3  # tasks of a job run this share shorter or longer than its run time
 
 
 class JobDescription(NamedTuple):
-    """What a job's id says of it."""
+    """The properties that a job's id encodes; `run_ds` in tenths of a second."""
 
     kind: int
     team: int
@@ -35,18 +35,18 @@
 
 
 def parse_job_id(job: str) -> JobDescription:
-    """What an id made by `job_id` says; ValueError for any other."""
+    """The properties in an id made by `job_id`; raises ValueError for any other."""
     digits = job.removeprefix("j-")
     if len(digits) != 16:
-        raise ValueError(f"not of this workload: {job}")
+        raise ValueError(f"{job}: expected j- and 16 digits, as job_id makes them")
     return JobDescription(int(digits[0]), int(digits[1:4]), int(digits[4:9]))
 
 
 def task_run_s(task: str) -> float:
-    """How long one task of a job runs; the same wherever it is started."""
-    described = parse_job_id(task.split("/", maxsplit=1)[0])
+    """The run time of one task in seconds; the same for every start."""
+    description = parse_job_id(task.split("/", maxsplit=1)[0])
     return (
-        described.run_ds
+        description.run_ds
         / 10
         * random.Random(task).uniform(1 - RUN_TIME_SPREAD, 1 + RUN_TIME_SPREAD)
     )
