--- /dev/null
+++ b/standins/scale/measurement.py
@@ -0,0 +1,162 @@
+"""Measures a rung: the difference of all counters between its warm-up and its end."""
+
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+
+from standins.scale.checker import Checker
+from standins.scale.faults import FaultInjector
+from standins.scale.measure import Traffic, port_traffic, process_usage
+from standins.scale.report import Row, Waits, limiting_components, percentile
+from standins.scale.site import Site
+from standins.scale.users import SUBMIT_TIMEOUT_S, WorkloadGenerator
+from standins.simulated_workers import HostStats
+from standins.state import StateStats
+from starlingdeck.protocol.config import split_address
+
+
+@dataclass
+class CounterSnapshot:
+    """All counters at one moment; `cpu` in seconds by process."""
+
+    at: float
+    cpu: dict[str, float]
+    state: StateStats
+    hosts: list[HostStats]
+    starts: int
+    submissions: int
+    polls: int
+    traffic: dict[int, Traffic] | None
+
+
+class RungMeasurement:
+    """Reads the counters of a rung's processes and parts."""
+
+    def __init__(
+        self,
+        site: Site,
+        checker: Checker,
+        users: WorkloadGenerator,
+        fault_injector: FaultInjector,
+    ) -> None:
+        self.site = site
+        self.checker = checker
+        self.users = users
+        self.fault_injector = fault_injector
+        self.own_pid = int(Path("/proc/self").resolve().name)
+
+    async def snapshot(self) -> CounterSnapshot:
+        """Reads every counter once."""
+        own = process_usage(self.own_pid)
+        cpu = {name: self.site.cpu_s(name) for name in self.site.processes}
+        cpu["users"] = own.cpu_s if own is not None else 0.0
+        return CounterSnapshot(
+            time.monotonic(),
+            cpu,
+            await self.site.state_stats(),
+            await self.site.host_stats(),
+            self.checker.starts,
+            self.users.submissions,
+            self.users.polls,
+            port_traffic(self.site.ports()),
+        )
+
+    def row(self, first: CounterSnapshot, last: CounterSnapshot, run_started_at: float) -> Row:
+        """The rung's figures between two snapshots."""
+        seconds = last.at - first.at
+        workers = self.site.rung.workers
+
+        def cores(name: str) -> float:
+            return round((last.cpu[name] - first.cpu.get(name, 0.0)) / seconds, 4)
+
+        def hosts(counter: Callable[[HostStats], int]) -> float:
+            return float(sum(map(counter, last.hosts)) - sum(map(counter, first.hosts)))
+
+        def state(counter: Callable[[StateStats], int]) -> float:
+            return float(counter(last.state) - counter(first.state)) / seconds
+
+        numbers = range(self.site.rung.controllers)
+        usages = [usage for i in numbers if (usage := self.site.usage(f"n-{i}")) is not None]
+        row = Row(
+            name=self.site.rung.name,
+            workers=workers,
+            controllers=self.site.rung.controllers,
+            asked_starts=self.site.plan.requested_starts_per_s(self.site.rung),
+            seconds=round(seconds, 2),
+            starts=(last.starts - first.starts) / seconds,
+            reports=hosts(lambda stats: stats.reports) / seconds,
+            submissions=(last.submissions - first.submissions) / seconds,
+            polls=(last.polls - first.polls) / seconds,
+            running=len(self.checker.running),
+            controller_cores=[cores(f"n-{i}") for i in numbers],
+            controller_mb=max((usage.memory for usage in usages), default=0) / 2**20,
+            controller_descriptors=max((usage.descriptors for usage in usages), default=0),
+            state_cores=cores("state"),
+            host_cores=[cores(f"host-{i}") for i in range(len(self.site.hosts))],
+            users_cores=cores("users"),
+            state_requests=state(lambda stats: stats.requests),
+            state_changes=state(lambda stats: stats.changes),
+            state_bytes=state(lambda stats: stats.bytes),
+            state_read_bytes=state(lambda stats: stats.read_bytes),
+            state_keys=last.state.keys,
+            state_puts={
+                kind: count - first.state.put.get(kind, 0) for kind, count in last.state.put.items()
+            },
+            over_rate=last.state.over_rate - first.state.over_rate,
+            malformed=last.state.malformed,
+            report_bytes=(
+                hosts(lambda stats: stats.report_bytes) + hosts(lambda stats: stats.reply_bytes)
+            )
+            / seconds
+            / workers,
+            command_bytes=hosts(lambda stats: stats.command_bytes) / seconds / workers,
+            worker_bytes=self.bytes_at(self.site.public, first, last, workers),
+            between_bytes=self.bytes_at(self.site.cluster, first, last, 1),
+            unanswered_reports=hosts(lambda stats: stats.unanswered) / seconds,
+            submit_p95_s=percentile(self.users.accept_latencies, 0.95),
+            waits=self.waits(run_started_at + self.site.plan.warmup_s / 2),
+            late_ticks=hosts(lambda stats: stats.late_ticks)
+            / max(1.0, hosts(lambda stats: stats.ticks)),
+            late_starts=0,
+            out_of_order=self.checker.out_of_order,
+            unanswered_jobs=[],
+            broken=[],
+            recoveries=self.fault_injector.recoveries(run_started_at),
+            limited_by=[],
+        )
+        row.limited_by = limiting_components(row, self.site.plan.limits.write_rps)
+        return row
+
+    def bytes_at(
+        self, addresses: list[str], first: CounterSnapshot, last: CounterSnapshot, share: int
+    ) -> float | None:
+        """Bytes a second at ports, divided by `share`; without connections closed meanwhile."""
+        if first.traffic is None or last.traffic is None:
+            return None
+        total = 0
+        for address in addresses:
+            port = split_address(address)[1]
+            before, after = first.traffic[port], last.traffic[port]
+            total += max(0, after.received - before.received) + max(0, after.sent - before.sent)
+        return total / (last.at - first.at) / share
+
+    def waits(self, since: float) -> dict[str, Waits]:
+        """Seconds from acceptance to first start by rank, of jobs accepted since then.
+
+        A task that has not started counts once it has waited for SUBMIT_TIMEOUT_S seconds.
+        """
+        found: dict[str, list[float]] = {}
+        now = time.monotonic()
+        for job in list(self.users.jobs.values()):
+            if job.accepted_at < since or job.cancelling:
+                continue
+            for number in range(job.tasks):
+                started_at = self.checker.first_start.get(f"{job.id}/{number}")
+                waited = (started_at or now) - job.accepted_at
+                if started_at is not None or waited > SUBMIT_TIMEOUT_S:
+                    found.setdefault(job.rank, []).append(waited)
+        return {
+            rank: Waits(len(waited), percentile(waited, 0.5), percentile(waited, 0.99))
+            for rank, waited in found.items()
+        }
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,10 +22,19 @@
     longest_gap,
     measure_recovery,
 )
+from standins.scale.measure import Traffic
+from standins.scale.measurement import CounterSnapshot, RungMeasurement
 from standins.scale.plan import DEFAULT_PLAN, Fault, Plan, Rung, load_plan, plan_errors
 from standins.scale.site import ROOT, Site
-from standins.simulated_workers import HostConfig, SimulatedWorker, StartRequest, WorkerHost
-from standins.state import StateService
+from standins.scale.users import WorkloadGenerator
+from standins.simulated_workers import (
+    HostConfig,
+    HostStats,
+    SimulatedWorker,
+    StartRequest,
+    WorkerHost,
+)
+from standins.state import StateService, StateStats
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import ConfigError
 from starlingdeck.transport.server import Request
@@ -274,6 +283,29 @@
     assert [(one.running_least, one.again_s) for one in found] == [(4, 1.0), (0, 2.0)]
 
 
+def test_a_row_is_the_difference_of_two_snapshots(tmp_path: Path) -> None:
+    plan = Plan([Rung(5, 1, name="small")])
+    site = Site(plan, plan.rungs[0], tmp_path)
+    checked = checker()
+    users = WorkloadGenerator(plan.users, site.public, checked, 1)
+    measurement = RungMeasurement(site, checked, users, FaultInjector(site, checked, 1))
+    cpu = {"n-0": 1.0, "state": 0.0, "host-0": 0.0, "users": 0.0}
+    ports = {port: Traffic(100, 100, 1) for port in site.ports()}
+    first = CounterSnapshot(10.0, cpu, StateStats(put={"c": 1}), [HostStats()], 0, 0, 0, ports)
+    state = StateStats(requests=40, changes=20, malformed=1, put={"c": 3, "w": 2})
+    hosts = [HostStats(reports=30, report_bytes=500, reply_bytes=500, ticks=100, late_ticks=10)]
+    grown = {port: Traffic(200, 300, 1) for port in ports}
+    last = CounterSnapshot(20.0, cpu | {"n-0": 6.0}, state, hosts, 50, 10, 20, grown)
+    found = measurement.row(first, last, 0.0)
+    assert (found.starts, found.reports, found.submissions, found.polls) == (5.0, 3.0, 1.0, 2.0)
+    assert found.controller_cores == [0.5]
+    assert (found.state_requests, found.state_changes, found.malformed) == (4.0, 2.0, 1)
+    assert found.state_puts == {"c": 2, "w": 2}
+    assert (found.report_bytes, found.late_ticks) == (20.0, 0.1)
+    assert (found.worker_bytes, found.between_bytes) == (6.0, 30.0)
+    assert found.limited_by == ["hollow workers (generator)"]
+
+
 def row(**other: Any) -> reports.Row:
     empty = {f.name: f.type for f in msgspec.structs.fields(reports.Row)}
     values: dict[str, Any] = {name: 0 for name in empty}
