--- a/standins/scale/__init__.py
+++ b/standins/scale/__init__.py
@@ -1,1 +1,1 @@
-"""A run of real controllers against hollow workers, checked and measured while it goes on."""
+"""Runs real controllers against simulated workers, checks the rules and measures."""
--- a/standins/scale/checker.py
+++ b/standins/scale/checker.py
@@ -93,7 +93,7 @@
             heapq.heappush(self.cancel_deadlines, (at + self.cancel_s, job))
 
     def report_done(self, job: str, tasks: int, at: float) -> None:
-        """Queues that a user was told that a job is done.
+        """Queues the event that a job was reported done to its user.
 
         It is evaluated in order of time, as workers' events arrive a little later.
         """
--- a/standins/scale/faults.py
+++ b/standins/scale/faults.py
@@ -106,7 +106,7 @@
         await self.site.request(self.site.state, "POST", "/out", body)
 
     async def request_all_hosts(self, path: str, names: list[str]) -> None:
-        """Sends a list of machines to every process of hollow workers."""
+        """Sends machine names to every worker host."""
         body = msgspec.json.encode(names)
         for address in self.site.hosts:
             await self.site.request(address, "POST", path, body)
--- a/standins/scale/measure.py
+++ b/standins/scale/measure.py
@@ -1,4 +1,4 @@
-"""What processes spend: processor time, memory and sockets from /proc, bytes from `ss`."""
+"""Resource use of processes: processor time, memory and sockets from /proc, bytes from `ss`."""
 
 import os
 import re
@@ -10,12 +10,11 @@
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 CPU_FIELDS = slice(11, 13)  # user and system time, after the process's name
-PORTS = re.compile(r"^(\S+)\s+(\S+)\s")
 
 
 @dataclass(frozen=True)
 class Usage:
-    """Of one process: seconds of processor time since its start, bytes, open descriptors."""
+    """One process: seconds of processor time since its start, memory in bytes, descriptors."""
 
     cpu_s: float
     memory: int
@@ -23,7 +22,7 @@
 
 
 def process_usage(pid: int) -> Usage | None:
-    """None when the process has ended."""
+    """The resource use of a process; None when it has ended."""
     folder = Path(f"/proc/{pid}")
     try:
         fields = (folder / "stat").read_text().rpartition(")")[2].split()
@@ -38,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Traffic:
-    """Bytes that arrived at and left one listening port, over its open connections."""
+    """Bytes received and sent at one listening port, over its open connections."""
 
     received: int
     sent: int
@@ -46,26 +45,28 @@
 
 
 def port_traffic(ports: set[int]) -> dict[int, Traffic] | None:
-    """By listening port; None where `ss` is not to be had. Closed connections don't count."""
+    """Traffic by listening port; None without `ss`. Closed connections don't count."""
     program = shutil.which("ss")
     if program is None:
         return None
-    told = subprocess.run(
+    listing = subprocess.run(
         [program, "-tniHO", "state", "established"], capture_output=True, text=True, check=False
     )
-    sums = {port: [0, 0, 0] for port in ports}
-    for line in told.stdout.splitlines():
+    totals = {port: Traffic(0, 0, 0) for port in ports}
+    for line in listing.stdout.splitlines():
         fields = line.split(None, 4)
         if len(fields) < 5:
             continue
         port = int(fields[2].rpartition(":")[2])
-        if port not in sums:
+        if port not in totals:
             continue
-        row = sums[port]
-        row[0] += _number(r"bytes_received:(\d+)", line)
-        row[1] += _number(r"bytes_sent:(\d+)", line)
-        row[2] += 1
-    return {port: Traffic(*row) for port, row in sums.items()}
+        total = totals[port]
+        totals[port] = Traffic(
+            total.received + _number(r"bytes_received:(\d+)", line),
+            total.sent + _number(r"bytes_sent:(\d+)", line),
+            total.connections + 1,
+        )
+    return totals
 
 
 def _number(pattern: str, line: str) -> int:
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -1,4 +1,4 @@
-"""What a scale run is to do: a TOML file, checked whole before anything starts."""
+"""The plan of a scale run: a TOML file, validated as a whole before anything starts."""
 
 import resource
 from pathlib import Path
@@ -10,47 +10,49 @@
 from starlingdeck.protocol.config import ConfigError, load_tuning
 from starlingdeck.protocol.struct_validation import validation_errors
 
-Rate = Annotated[float, Meta(ge=0, le=100_000)]
+NonNegativeRate = Annotated[float, Meta(ge=0, le=100_000)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
-Many = Annotated[int, Meta(ge=1, le=100_000)]
+PositiveCount = Annotated[int, Meta(ge=1, le=100_000)]
 
-# What a process holds, by trial on loopback: to refuse a plan, not to report. In MB and sockets.
+# Memory (MB) and sockets of a process, measured on loopback: to refuse plans, not for reports.
 CONTROLLER_MB = 45.0
-CONTROLLER_WORKER_MB = 0.06  # a worker, at each controller
+CONTROLLER_WORKER_MB = 0.06  # for each worker, at each controller
 HOST_MB = 35.0
 HOST_WORKER_MB = 0.12
-OTHERS_MB = 250.0  # state service, cloud, users and checker
-HOST_WORKER_SOCKETS = 4  # of a hollow worker: it listens, reports, and is called by two controllers
+OTHER_PROCESSES_MB = 250.0  # state service, cloud, users and checker
+HOST_WORKER_SOCKETS = (
+    4  # of a worker: it listens, sends heartbeats, and is called by two controllers
+)
 CONTROLLER_WORKER_SOCKETS = 3
 SOCKET_HEADROOM = 300
 MAX_PROCESSES = 300
-MEMORY_SHARE = 0.5  # of the machine's
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
 
 
 class UserSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `users`: what is submitted. Sizes and shares are of jobs, rates of tasks."""
+    """Section `users`: the jobs that are submitted. Shares are of all jobs."""
 
-    teams: Many = 340
-    team_cpus_max: Rate = 400.0
-    array_tasks: Many = 40  # mean of an array's
-    run_s: Seconds = 10.0  # mean of a task's
-    one_task: Share = 0.15  # of the starts come as jobs of one task
+    teams: PositiveCount = 340
+    team_cpus_max: NonNegativeRate = 400.0
+    array_tasks: PositiveCount = 40  # mean of an array
+    run_s: Seconds = 10.0  # mean of a task
+    one_task: Share = 0.15  # of the starts are jobs of one task
     urgent: Share = 0.2  # of the jobs
-    services: Annotated[int, Meta(ge=0, le=10_000)] = 6  # of two replicas, from the start on
+    services: Annotated[int, Meta(ge=0, le=10_000)] = 6  # of two replicas, submitted at the start
     cancelled: Share = 0.03
     repeated: Share = 0.05  # submissions that are sent twice
     poll_s: Seconds = 5.0
 
 
 class ServiceLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `limits`: those of the state service and the cloud, and workers' timers."""
+    """Section `limits`: limits of the state service and the cloud, and workers' timers."""
 
-    rps: Rate = 500.0
-    write_rps: Rate = 150.0
-    value_kb: Rate = 16.0
-    txn_ops: Many = 12
-    cloud_rps: Rate = 5.0
+    rps: NonNegativeRate = 500.0
+    write_rps: NonNegativeRate = 150.0
+    value_kb: NonNegativeRate = 16.0
+    txn_ops: PositiveCount = 12
+    cloud_rps: NonNegativeRate = 5.0
     report_s: Seconds = 2.5
     lease_s: Seconds = 15.0
     cancel_s: Seconds = 40.0
@@ -68,18 +70,18 @@
     kind: str
     count: Annotated[int, Meta(ge=0)] = 40
     for_s: Seconds = 3.0
-    rate: Rate = 0.02  # workers restarted a second, from then on
+    rate: NonNegativeRate = 0.02  # workers restarted a second, until the end of the run
 
 
 FAULT_KINDS = ("controller", "rack", "restarts", "state")
 
 
 class Rung(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One entry of `rungs`: a site of its own, played and measured."""
+    """One entry of `rungs`: one load, run and measured with processes of its own."""
 
-    workers: Many
+    workers: PositiveCount
     controllers: Annotated[int, Meta(ge=1, le=32)] = 3
-    starts_per_s: Rate = 0.0  # 0: so many that three quarters of all slots run
+    starts_per_s: NonNegativeRate = 0.0  # 0: as many as keep three quarters of all slots busy
     name: str = ""
 
 
@@ -89,18 +91,18 @@
     rungs: list[Rung]
     seconds: Seconds = 45.0  # of a rung, its warm-up included
     warmup_s: Annotated[float, Meta(ge=0, le=3600)] = 12.0
-    slots: Many = 4  # processors of a worker; a task takes one
-    per_process: Many = 1200  # hollow workers
+    slots: PositiveCount = 4  # processors of a worker; a task takes one
+    per_process: PositiveCount = 1200  # simulated workers in one host process
     seed: int = 1
     port: Annotated[int, Meta(ge=1024, le=60_000)] = 24_000
     tuning: str = ""  # the controllers' tuning file
-    broken: bool = False  # one process of workers breaks a rule: the run has to end with 1
+    broken: bool = False  # one worker host breaks a rule: the run must end with exit status 1
     users: UserSettings = UserSettings()
     limits: ServiceLimits = ServiceLimits()
     faults: list[Fault] = msgspec.field(name="troubles", default=[])
 
     def requested_starts_per_s(self, rung: Rung) -> float:
-        """Task starts a second that a rung's users ask for."""
+        """Task starts a second that a rung's users request."""
         return rung.starts_per_s or 0.75 * self.slots * rung.workers / self.users.run_s
 
 
@@ -111,7 +113,7 @@
 
 
 def load_plan(path: Path | None) -> Plan:
-    """The plan of a file, or the one that is played without; raises Fault with every fault."""
+    """The plan of a file, or the default plan; raises ConfigError with every error."""
     if path is None:
         return DEFAULT_PLAN
     try:
@@ -133,8 +135,8 @@
     return plan
 
 
-def plan_errors(plan: Plan, memory: float, most_sockets: int) -> list[str]:
-    """What a plan asks that this machine may not give, and what contradicts itself."""
+def plan_errors(plan: Plan, memory: float, socket_limit: int) -> list[str]:
+    """Contradictions in a plan, and what it needs beyond this machine's limits."""
     lines = []
     if not plan.rungs:
         lines.append("rungs: at least one")
@@ -148,29 +150,29 @@
         if fault.at_s >= plan.seconds:
             lines.append(f"troubles[{number}].at_s: less than seconds")
     for number, rung in enumerate(plan.rungs):
-        found = rung_errors(plan, rung, memory, most_sockets)
+        found = rung_errors(plan, rung, memory, socket_limit)
         lines += [f"rungs[{number}]: {line}" for line in found]
     return lines
 
 
-def rung_errors(plan: Plan, rung: Rung, memory: float, most_sockets: int) -> list[str]:
-    """What one rung asks that this machine may not give."""
+def rung_errors(plan: Plan, rung: Rung, memory: float, socket_limit: int) -> list[str]:
+    """What one rung needs beyond this machine's limits."""
     lines = []
-    wanted = estimated_memory_mb(plan, rung)
-    if wanted > memory * MEMORY_SHARE:
-        lines.append(f"about {wanted:.0f} MB, over half of {memory:.0f} MB")
+    needed_mb = estimated_memory_mb(plan, rung)
+    if needed_mb > memory * MAX_MEMORY_SHARE:
+        lines.append(f"about {needed_mb:.0f} MB, over half of {memory:.0f} MB")
     per_host = min(rung.workers, plan.per_process) * HOST_WORKER_SOCKETS + SOCKET_HEADROOM
-    reporting = CONTROLLER_WORKER_SOCKETS * rung.workers + SOCKET_HEADROOM
-    need = max(per_host, reporting)
-    if need > most_sockets:
-        lines.append(f"about {need} sockets in a process, over {most_sockets}")
+    per_controller = CONTROLLER_WORKER_SOCKETS * rung.workers + SOCKET_HEADROOM
+    needed_sockets = max(per_host, per_controller)
+    if needed_sockets > socket_limit:
+        lines.append(f"about {needed_sockets} sockets in a process, over {socket_limit}")
     if process_count(plan, rung) > MAX_PROCESSES:
         lines.append(f"{process_count(plan, rung)} processes, over {MAX_PROCESSES}")
     return lines
 
 
 def tuning_errors(plan: Plan) -> list[str]:
-    """What is wrong with the controllers' tuning file."""
+    """The errors of the controllers' tuning file."""
     if not plan.tuning:
         return []
     try:
@@ -181,12 +183,12 @@
 
 
 def worker_host_count(plan: Plan, rung: Rung) -> int:
-    """Processes of hollow workers."""
+    """The number of worker host processes."""
     return -(-rung.workers // plan.per_process)
 
 
 def process_count(plan: Plan, rung: Rung) -> int:
-    """Processes that a rung starts."""
+    """The number of processes that a rung starts."""
     return rung.controllers + worker_host_count(plan, rung) + 3
 
 
@@ -194,11 +196,11 @@
     """An estimate of the memory that a rung needs, in MB."""
     controllers = rung.controllers * (CONTROLLER_MB + CONTROLLER_WORKER_MB * rung.workers)
     workers = worker_host_count(plan, rung) * HOST_MB + HOST_WORKER_MB * rung.workers
-    return controllers + workers + OTHERS_MB
+    return controllers + workers + OTHER_PROCESSES_MB
 
 
 def machine_memory_mb() -> float:
-    """The machine's memory."""
+    """The machine's memory in MB."""
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemTotal:"):
             return int(line.split()[1]) / 1024
@@ -206,5 +208,5 @@
 
 
 def max_sockets() -> int:
-    """Sockets that one process may open."""
+    """The number of sockets that one process may open."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -1,4 +1,4 @@
-"""What a rung of a scale run measured, as a row and as JSON."""
+"""The measured figures of a scale run's rungs: rows, JSON and text."""
 
 from typing import Any
 
@@ -6,8 +6,8 @@
 
 from standins.scale.faults import Recovery
 
-BUSY_CORE_SHARE = 0.9  # of a core: a process that uses more is what limits
-MAX_LATE_TICK_SHARE = 0.05  # share of late ticks from which the hollow workers are the limit
+BUSY_CORE_SHARE = 0.9  # of a core: a process that uses more limits the rung
+MAX_LATE_TICK_SHARE = 0.05  # share of late ticks from which the worker hosts limit the rung
 
 
 class Waits(msgspec.Struct):
@@ -33,7 +33,7 @@
     running: int
     controller_cores: list[float]
     controller_mb: float  # of the largest
-    controller_descriptors: int  # of the one with most
+    controller_descriptors: int  # of the controller with the most
     state_cores: float
     host_cores: list[float]
     users_cores: float
@@ -47,15 +47,15 @@
     malformed: int  # answered 400
     report_bytes: float  # a worker and second, bodies of reports and of their answers
     command_bytes: float  # a worker and second, bodies of direct commands
-    worker_bytes: float | None  # a worker and second, as sent and received at controllers' doors
+    worker_bytes: float | None  # a worker and second, sent and received at the controllers' API
     between_bytes: float | None  # between controllers, all together
     unanswered_reports: float
     submit_p95_s: float
     waits: dict[str, Waits]  # by rank
-    late_ticks: float  # share, of the hollow workers' processes
+    late_ticks: float  # share, of the worker hosts' ticks
     late_starts: int  # after a confirmed cancellation
-    out_of_order: int  # events that the checker heard too late to put in order
-    unanswered_jobs: list[str]  # asked about at the end for 75 s in vain
+    out_of_order: int  # events that the checker received too late to sort
+    unanswered_jobs: list[str]  # without an answer to status queries for 75 s at the end
     broken: list[str]
     recoveries: list[Recovery]
     limited_by: list[str]
@@ -75,7 +75,7 @@
 
 
 def limiting_components(row: Row, write_rps: float) -> list[str]:
-    """What had no more to give in a rung; `write_rps` is the state service's limit."""
+    """The components at their limit in a rung; `write_rps` is the state service's limit."""
     found = []
     if max(row.controller_cores) > BUSY_CORE_SHARE:
         found.append("controllers")
@@ -91,7 +91,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """0 when there are none."""
+    """The value below which a share of the values lies; 0 when there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -119,9 +119,10 @@
 
 
 def summary(row: Row) -> list[str]:
-    """A rung for somebody who sees the service run for the first time."""
+    """A rung as text for readers who are new to the service."""
     lines = [
-        f"{row.controllers} controllers, {row.workers} hollow workers, {row.seconds:.0f} s seen:",
+        f"{row.controllers} controllers, {row.workers} simulated workers,"
+        f" {row.seconds:.0f} s measured:",
         f"  {row.starts:.0f} task starts a second ({row.asked_starts:.0f} asked for),"
         f" {row.running} tasks running at the end",
         f"  submissions answered within {row.submit_p95_s * 1000:.0f} ms (p95)",
@@ -135,12 +136,7 @@
         f"  a start cost {row.changes_a_start:.2f} changes of the state service and"
         f" {1000 * sum(row.controller_cores) / max(row.starts, 0.01):.1f} ms of all controllers"
     )
-    for one in row.recoveries:
-        again = "not within the run" if one.again_s is None else f"after {one.again_s:.1f} s"
-        lines.append(
-            f"  {one.kind} at {one.at_s:.0f} s: {one.running_before} tasks ran, then"
-            f" {one.running_least}; 95% again {again}; longest without a start {one.gap_s:.1f} s"
-        )
+    lines += [_recovery_line(recovery) for recovery in row.recoveries]
     for text in row.broken[:20]:
         lines.append(f"  RULE BROKEN: {text}")
     if row.unanswered_jobs:
@@ -152,6 +148,15 @@
     return lines
 
 
+def _recovery_line(recovery: Recovery) -> str:
+    again = "not within the run" if recovery.again_s is None else f"after {recovery.again_s:.1f} s"
+    return (
+        f"  {recovery.kind} at {recovery.at_s:.0f} s: {recovery.running_before} tasks ran, then"
+        f" {recovery.running_least}; 95% again {again};"
+        f" longest without a start {recovery.gap_s:.1f} s"
+    )
+
+
 def failed(row: Row) -> bool:
     """Whether a rung broke a rule or left a job unanswered."""
     return bool(row.broken or row.unanswered_jobs or row.malformed)
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -1,4 +1,4 @@
-"""The processes of one rung: state service, hollow workers, cloud, controllers; all on loopback."""
+"""The processes of one rung on loopback: state service, worker hosts, cloud, controllers."""
 
 import os
 import signal
@@ -23,15 +23,17 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 READY_TIMEOUT_S = 60.0
-FETCH_S = 0.3  # mean time until a hollow worker has an image
+FETCH_S = 0.3  # mean time until a simulated worker has an image
 LIST_LAG_S = 3.0
-FIRST_NETWORK = 20  # of the hollow workers' addresses
-SPARE_MACHINE_SHARE = 0.3  # more than at the start that the cloud has
+FIRST_NETWORK = 20  # second byte of the first worker host's addresses
+SPARE_MACHINE_SHARE = (
+    0.3  # machines that the cloud has beyond the initial ones, as a share of these
+)
 T = TypeVar("T")
 
 
 class Site:
-    """Starts, asks and ends the processes. `folder` holds their settings and logs."""
+    """Starts, queries and ends the processes; `folder` holds their settings and logs."""
 
     def __init__(self, plan: Plan, rung: Rung, folder: Path) -> None:
         self.plan, self.rung, self.folder = plan, rung, folder
@@ -43,19 +45,19 @@
         self.public = [f"127.0.0.1:{port + 400 + i}" for i in range(rung.controllers)]
         self.cluster = [f"127.0.0.1:{port + 500 + i}" for i in range(rung.controllers)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.earlier_cpu_s: dict[str, float] = {}  # processor time of earlier lives
+        self.earlier_cpu_s: dict[str, float] = {}  # processor time of ended processes, by name
         self.http = HttpClient()
         self.environment = os.environ | {
             "PYTHONPATH": os.pathsep.join([str(ROOT), str(ROOT / "target" / "deps"), *sys.path])
         }
 
     def taken_ports(self) -> list[int]:
-        """Those of its processes that something on this machine listens on already."""
+        """The ports of the site that are in use already."""
         addresses = (self.state, self.cloud, self.checker, *self.hosts, *self.public, *self.cluster)
         found = []
         for address in addresses:
             with socket.socket() as trial:
-                # As servers do: closing connections of an earlier rung are in nobody's way.
+                # As servers do: closing connections of an earlier rung don't matter.
                 trial.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 try:
                     trial.bind(split_address(address))
@@ -78,7 +80,7 @@
             "zone": "a",
             "public_addr": self.public[number],
             "cluster_listen": self.cluster[number],
-            "peers": [m for i, m in enumerate(members) if i != number],
+            "peers": [member for i, member in enumerate(members) if i != number],
             "external": {"cloud": self.cloud, "state": self.state},
             "settings": {
                 "nodes": self.rung.controllers,
@@ -112,7 +114,7 @@
         return str(path)
 
     def host_config(self, number: int) -> HostConfig:
-        """The settings of one process of hollow workers."""
+        """The settings of one worker host process."""
         plan = self.plan
         return HostConfig(
             control=self.hosts[number],
@@ -130,12 +132,12 @@
     def cloud_config(self) -> CloudConfig:
         """The settings of the cloud's process."""
         workers = self.rung.workers
-        kind = api.MachineType(
+        machine_type = api.MachineType(
             "hollow", float(self.plan.slots), 4.0 * self.plan.slots, ["a"], price=1.0, boot_s=1.0
         )
         return CloudConfig(
             address=self.cloud,
-            types=[kind],
+            types=[machine_type],
             hosts=self.hosts,
             rps=self.plan.limits.cloud_rps,
             list_lag_s=LIST_LAG_S,
@@ -179,19 +181,19 @@
         self.start(f"n-{number}", *command)
 
     def kill_controller(self, number: int) -> None:
-        """Kills one controller, without a signal that it could handle."""
+        """Kills one controller with SIGKILL."""
         name = f"n-{number}"
         process = self.processes[name]
-        before = self.usage(name)
+        last_usage = self.usage(name)
         process.kill()
         process.wait()
-        if before is not None:
-            self.earlier_cpu_s[name] = self.earlier_cpu_s.get(name, 0.0) + before.cpu_s
+        if last_usage is not None:
+            self.earlier_cpu_s[name] = self.earlier_cpu_s.get(name, 0.0) + last_usage.cpu_s
 
     async def wait_ready(self, address: str, path: str) -> None:
         """Waits until an address answers 200; raises RuntimeError after READY_S seconds."""
-        until = time.monotonic() + READY_TIMEOUT_S
-        while time.monotonic() < until:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < deadline:
             self.check_alive()
             reply = await self.request(address, "GET", path)
             if reply is not None and reply.status == 200:
@@ -200,7 +202,7 @@
         raise RuntimeError(f"{address} did not come up; see the logs in {self.folder}")
 
     def check_alive(self) -> None:
-        """Raises RuntimeError if a process ended that was not killed."""
+        """Raises RuntimeError if a process has ended by itself."""
         for name, process in self.processes.items():
             if process.poll() not in (None, -signal.SIGKILL):
                 raise RuntimeError(f"{name} ended by itself; see {self.folder}/{name}.log")
@@ -212,7 +214,7 @@
         for process in self.processes.values():
             process.wait()
 
-    # --- questions
+    # --- requests and statistics
 
     async def request(
         self, address: str, method: str, path: str, body: bytes | None = None
@@ -235,21 +237,21 @@
         return await self.fetch_stats(self.state, StateStats)
 
     async def host_stats(self) -> list[HostStats]:
-        """The statistics of each process of hollow workers."""
+        """The statistics of each worker host."""
         return [await self.fetch_stats(address, HostStats) for address in self.hosts]
 
     def usage(self, name: str) -> Usage | None:
-        """What a process has used so far; None when it has ended."""
+        """The resource use of a process so far; None when it has ended."""
         process = self.processes.get(name)
         if process is None or process.poll() is not None:
             return None
         return process_usage(process.pid)
 
     def cpu_s(self, name: str) -> float:
-        """Processor time of a process and of those before it under the same name."""
-        now = self.usage(name)
-        return self.earlier_cpu_s.get(name, 0.0) + (now.cpu_s if now is not None else 0.0)
+        """Processor time in seconds of all processes so far under one name."""
+        current = self.usage(name)
+        return self.earlier_cpu_s.get(name, 0.0) + (current.cpu_s if current is not None else 0.0)
 
     def ports(self) -> set[int]:
         """The ports whose traffic is measured."""
-        return {split_address(a)[1] for a in (*self.public, *self.cluster, self.state)}
+        return {split_address(address)[1] for address in (*self.public, *self.cluster, self.state)}
--- a/standins/scale/users.py
+++ b/standins/scale/users.py
@@ -1,5 +1,7 @@
-"""Users of a scale run: they submit, repeat, poll and cancel, and hold what they hear against
-what they heard before."""
+"""Users of a scale run: they submit, repeat, poll and cancel jobs.
+
+Each status is checked against the earlier ones: no job is forgotten or goes back in its progress.
+"""
 
 import random
 import time
@@ -25,7 +27,7 @@
 
 @dataclass
 class SubmittedJob:
-    """A job as its user knows it. Times are seconds of the steady clock; 0: not yet."""
+    """A job as its user knows it. Times are seconds of the monotonic clock; 0: not yet."""
 
     id: str
     kind: int
@@ -33,14 +35,14 @@
     rank: str
     submitted_at: float
     accepted_at: float = 0.0
-    last_answered_at: float = 0.0  # when a question about it was last answered
+    last_answered_at: float = 0.0  # when a request about it was last answered
     done: int = 0
     state: str = ""
     cancelling: bool = False
 
 
 class WorkloadGenerator:
-    """All users of a site; `addresses` are the controllers' public ones."""
+    """All users of a site; `addresses` are the controllers' public addresses."""
 
     def __init__(
         self, plan: UserSettings, addresses: list[str], checker: Checker, seed: int
@@ -54,30 +56,31 @@
         self.unfinished: dict[str, SubmittedJob] = {}
         self.job_sequence = 0
         self.submissions = self.polls = self.refused = self.unanswered = 0
-        self.accept_latencies: list[float] = []  # seconds until a submission was accepted
+        self.accept_latencies: list[float] = []  # seconds until each submission was accepted
         self.stopped = False
 
     async def run(self, starts_per_s: float) -> None:
-        """Submits at a rate of task starts a second until told to stop."""
+        """Submits jobs at a rate of task starts a second until `stopped` is set."""
         for _ in range(self.plan.services):
             await self.spawn_for_job(self.submit, self.random_job(workload.SERVICE))
-        owed, at = 0.0, time.monotonic()
+        owed_starts, last_at = 0.0, time.monotonic()
         while not self.stopped:
             await curio.sleep(0.05)
             now = time.monotonic()
-            owed += (now - at) * starts_per_s
-            at = now
-            while owed > 0:
-                one = self.rng.random() < self.one_task_job_share()
-                job = self.random_job(workload.ONE_TASK if one else workload.ARRAY)
-                owed -= job.tasks
+            owed_starts += (now - last_at) * starts_per_s
+            last_at = now
+            while owed_starts > 0:
+                one_task = self.rng.random() < self.one_task_job_share()
+                job = self.random_job(workload.ONE_TASK if one_task else workload.ARRAY)
+                owed_starts -= job.tasks
                 await self.spawn_for_job(self.submit, job)
 
     def one_task_job_share(self) -> float:
-        """Which share of the jobs has one task, so that their starts have the share asked for."""
-        ones = self.plan.one_task
-        arrays = (1 - ones) / self.plan.array_tasks
-        return ones / (ones + arrays) if ones + arrays else 0.0
+        """The share of one-task jobs that gives them the planned share of the starts."""
+        one_task_jobs = self.plan.one_task
+        arrays = (1 - one_task_jobs) / self.plan.array_tasks
+        jobs = one_task_jobs + arrays
+        return one_task_jobs / jobs if jobs else 0.0
 
     def random_job(self, kind: int) -> SubmittedJob:
         """A random job of a kind."""
@@ -94,23 +97,25 @@
 
     def submission_body(self, job: SubmittedJob) -> bytes:
         """The job's submission."""
-        described = workload.parse_job_id(job.id)
-        service = described.service
+        description = workload.parse_job_id(job.id)
+        service = description.service
         return msgspec.json.encode(
             {
-                "uid": job.id, "flock": f"kind-{job.kind}", "crew": f"team-{described.team:03d}",
+                "uid": job.id, "flock": f"kind-{job.kind}", "crew": f"team-{description.team:03d}",
                 "shape": api.SERVICE if service else api.ARRAY, "rank": job.rank,
                 "chores": job.tasks, "cores": 1.0, "accelerators": 0.0, "ram_gb": 0.5,
                 "kit": "image", "image_gb": 0.1, "builds": None, "roost": None,
                 "same_place": False, "spread": False, "loaners": False,
-                "guess_s": 0.0 if service else described.run_ds / 10, "mark_s": 0.0,
+                "guess_s": 0.0 if service else description.run_ds / 10, "mark_s": 0.0,
                 "stash_s": 0.0, "due_s": None,
             }
         )  # fmt: skip
 
-    async def spawn_for_job(self, do: Callable[[SubmittedJob], object], job: SubmittedJob) -> None:
+    async def spawn_for_job(
+        self, function: Callable[[SubmittedJob], object], job: SubmittedJob
+    ) -> None:
         """Starts a task for one job."""
-        await curio.spawn(do, job, daemon=True)
+        await curio.spawn(function, job, daemon=True)
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout_s: float
@@ -173,7 +178,7 @@
         )
 
     def check_status(self, job: SubmittedJob, reply: Reply | None) -> None:
-        """Holds an answer against those before."""
+        """Checks a status against the earlier ones and records a job's end."""
         now = time.monotonic()
         if reply is None or reply.status in (429, 503):
             if now - job.last_answered_at > ANSWER_DEADLINE_S:
@@ -182,37 +187,37 @@
         if reply.status != 200:
             self.record_violation("forgotten", job, reply)
             return
-        told = msgspec.json.decode(reply.body, type=api.JobStatus)
+        status = msgspec.json.decode(reply.body, type=api.JobStatus)
         job.last_answered_at = now
-        if job.state in TERMINAL_STATES and told.state != job.state:
+        if job.state in TERMINAL_STATES and status.state != job.state:
             self.record_violation("went_back", job, reply)
-        if told.state == api.CANCELLED and not job.cancelling:
+        if status.state == api.CANCELLED and not job.cancelling:
             self.record_violation("went_back", job, reply)
-        if told.state not in TERMINAL_STATES and (told.done or 0) < job.done:
+        if status.state not in TERMINAL_STATES and (status.done or 0) < job.done:
             self.record_violation("went_back", job, reply)
-        job.done = max(job.done, told.done or 0)
-        if told.state in TERMINAL_STATES and job.state not in TERMINAL_STATES:
-            if told.state == api.DONE:
+        job.done = max(job.done, status.done or 0)
+        if status.state in TERMINAL_STATES and job.state not in TERMINAL_STATES:
+            if status.state == api.DONE:
                 self.checker.report_done(job.id, job.tasks, now)
             else:
                 self.checker.report_cancelled(job.id, now)
             self.unfinished.pop(job.id, None)
-        job.state = told.state
+        job.state = status.state
 
     def record_violation(self, rule: str, job: SubmittedJob, reply: Reply | None) -> None:
         """Records a broken rule with the answer that broke it."""
-        said = f"answered {reply.status} {reply.body[:120]!r}" if reply else "no answer"
-        self.checker.record_violation(time.monotonic(), rule, job.id, said)
+        detail = f"answered {reply.status} {reply.body[:120]!r}" if reply else "no answer"
+        self.checker.record_violation(time.monotonic(), rule, job.id, detail)
 
     async def query_unfinished(self, seconds: float) -> list[str]:
-        """Every job that has not ended is asked about until it is answered; who isn't in time."""
-        until = time.monotonic() + seconds
-        left = {job.id: job for job in self.unfinished.values()}
-        while left and time.monotonic() < until:
-            for job in list(left.values()):
-                before = job.last_answered_at
+        """Queries every unfinished job until it is answered; the ids of those without an answer."""
+        deadline = time.monotonic() + seconds
+        unanswered = {job.id: job for job in self.unfinished.values()}
+        while unanswered and time.monotonic() < deadline:
+            for job in list(unanswered.values()):
+                previous_answer_at = job.last_answered_at
                 await self.poll(job)
-                if job.last_answered_at > before:
-                    del left[job.id]
+                if job.last_answered_at > previous_answer_at:
+                    del unanswered[job.id]
             await curio.sleep(0.2)
-        return sorted(left)
+        return sorted(unanswered)
