--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -1,9 +1,9 @@
-"""Real controllers against hollow workers, on loopback, checked and measured while they run.
+"""Runs real controllers against simulated workers on loopback, checks and measures them.
 
 python scripts/scale.py [PLAN.toml] [--report FILE] [--keep FOLDER]
-Without a plan: three controllers, 150 workers, 45 s with a controller killed in it. Exit status 0:
-no rule broken and every job answered for; 1: something was; 2: a plan that can't be
-played, or a port that is taken.
+Without a plan: three controllers, 150 workers, 45 s in which a controller is killed. Exit status
+0: no rule broken and every job's status answered; 1: a rule broken, a job unanswered or a process
+failed; 2: an invalid plan, or a port in use.
 """
 
 import logging
@@ -25,7 +25,7 @@
 from starlingdeck.protocol.config import ConfigError  # noqa: E402
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Prints a line at once."""
     click.echo(text)
     sys.stdout.flush()
@@ -38,48 +38,48 @@
 def main(plan: Path | None, report: Path | None, keep: Path | None) -> None:
     """Play a plan's rungs one after the other."""
     try:
-        wanted = load_plan(plan)
+        scale_plan = load_plan(plan)
     except ConfigError as error:
-        for text in error.lines:
-            click.echo(text, err=True)
+        for error_line in error.lines:
+            click.echo(error_line, err=True)
         sys.exit(2)
     # curio warns whenever a wait ends in the same instant as its timeout.
     logging.getLogger("curio").setLevel(logging.ERROR)
-    # The rungs' processes end with this one, also when it is told to end.
+    # The rungs' processes end with this one, also on SIGTERM.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
-    told = reports.Report(plan=wanted)
-    write(report, told)
-    for number, rung in enumerate(wanted.rungs):
-        starts_per_s = wanted.requested_starts_per_s(rung)
-        say(
-            f"rung {number + 1} of {len(wanted.rungs)}: {rung.workers} workers,"
+    run_report = reports.Report(plan=scale_plan)
+    write_report(report, run_report)
+    for number, rung in enumerate(scale_plan.rungs):
+        starts_per_s = scale_plan.requested_starts_per_s(rung)
+        print_line(
+            f"rung {number + 1} of {len(scale_plan.rungs)}: {rung.workers} workers,"
             f" {rung.controllers} controllers, {starts_per_s:.0f} starts a second asked for"
         )
-        began = time.monotonic()
+        started_at = time.monotonic()
         folder = keep / f"rung-{number + 1}" if keep is not None else None
         if keep is not None:
             keep.mkdir(exist_ok=True)
-        row = play_or_exit(wanted, rung, folder)
-        told.rows.append(row)
-        write(report, told)
-        for text in reports.summary(row):
-            say(text)
-        say(f"  ({time.monotonic() - began:.0f} s in all)")
+        row = play_rung_or_exit(scale_plan, rung, folder)
+        run_report.rows.append(row)
+        write_report(report, run_report)
+        for line in reports.summary(row):
+            print_line(line)
+        print_line(f"  ({time.monotonic() - started_at:.0f} s in all)")
         if reports.failed(row):
             break
-    if len(wanted.rungs) > 1:
-        say(reports.ROW_HEADER)
-        for row in told.rows:
-            say(reports.format_row(row))
-    told.complete = len(told.rows) == len(wanted.rungs)
-    write(report, told)
-    sys.exit(1 if any(reports.failed(row) for row in told.rows) else 0)
+    if len(scale_plan.rungs) > 1:
+        print_line(reports.ROW_HEADER)
+        for row in run_report.rows:
+            print_line(reports.format_row(row))
+    run_report.complete = len(run_report.rows) == len(scale_plan.rungs)
+    write_report(report, run_report)
+    sys.exit(1 if any(reports.failed(row) for row in run_report.rows) else 0)
 
 
-def play_or_exit(wanted: Plan, rung: Rung, folder: Path | None) -> reports.Row:
-    """A rung's row; without one the whole run ends, with the status that tells why."""
+def play_rung_or_exit(scale_plan: Plan, rung: Rung, folder: Path | None) -> reports.Row:
+    """The row of a rung; exits with 2 if a port is in use, with 1 if a process failed."""
     try:
-        return play_rung(wanted, rung, folder, say)
+        return play_rung(scale_plan, rung, folder, print_line)
     except PortsTakenError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
@@ -88,10 +88,10 @@
         sys.exit(1)
 
 
-def write(path: Path | None, told: reports.Report) -> None:
+def write_report(path: Path | None, run_report: reports.Report) -> None:
     """Writes the report as JSON, if a file was named."""
     if path is not None:
-        path.write_bytes(msgspec.json.format(msgspec.json.encode(told), indent=1))
+        path.write_bytes(msgspec.json.format(msgspec.json.encode(run_report), indent=1))
 
 
 if __name__ == "__main__":
