--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,4 +1,4 @@
-"""Works out docs/CAPACITY.md's tables from the rungs recorded in docs/capacity/rungs.json.
+"""Computes docs/CAPACITY.md's tables from the rungs recorded in docs/capacity/rungs.json.
 
 python scripts/capacity.py          writes the tables into the page
 python scripts/capacity.py --check  exits with 1 if the page's tables are not these
@@ -8,105 +8,127 @@
 import json
 import statistics
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 ROOT = Path(__file__).resolve().parents[1]
 PAGE = ROOT / "docs" / "CAPACITY.md"
 RUNGS = ROOT / "docs" / "capacity" / "rungs.json"
-BEGIN, END = "<!-- from scripts/capacity.py -->", "<!-- end -->"
+BLOCK_START, BLOCK_END = "<!-- from scripts/capacity.py -->", "<!-- end -->"
 
 # The operators' target.
 WORKERS, STARTS_PER_S, RUNNING = 22_000, 7_100.0, 69_000
 JOBS_A_DAY, REGIONS, ZONES = 160_000, 6, 23
-CHANGES_OF_CONFIGURATION_A_DAY = 49_000
+CONFIGURATION_CHANGES_A_DAY = 49_000
 WORKER_BYTES_PER_S = 11 * 1024
 URGENT_S, CONFIGURATION_S = 9.0, 8.0
 DAY_S, YEARS_2_DAYS = 86_400, 730
 
-# What is taken for granted beside it; the page says so.
-ORDINARY = 0.25  # of the peak's starts: an assumption of ours, the letter names the peak only
-BUSY_JOBS = 10.0  # times the mean rate of jobs at the peak: an assumption of ours
+# Assumptions beside the target; the page names them.
+ORDINARY_SHARE = 0.25  # of the peak's starts; the target names the peak only
+PEAK_JOB_FACTOR = 10.0  # jobs at the peak, as a multiple of their mean rate
 CONTROLLERS = 3  # of a region
 
-# Today's fleet site, as its settings have it.
+# Today's largest site, as its settings have it.
 TODAY_WORKERS, TODAY_STARTS = 622, 52.0
 SOCKETS, MEMORY_MB, CORES = 2_002, 326.0, 0.792
 CHANGES_PER_S = 150.0
-FINAL_BYTES = 60  # of a final state and its key: {"state":"done","tasks":N} under f/SHARD/JOB
+# Of a terminal state and its key: {"state":"done","tasks":N} under f/SHARD/JOB.
+TERMINAL_STATE_BYTES = 60
 NAME_BYTES = 170  # of a job's name and index in a controller's memory (docs/design.md)
+BASE_STARTS_PER_S = 30.0  # of the rungs from which the costs of a worker come
 ACCEPT_AND_END = 3  # changes of a job beside its starts and ends
 
+MAX_MEASURED_FACTOR = 1.05  # up to this much beyond the largest rung counts as measured
+
 Row = dict[str, Any]
 
 
 @dataclass(frozen=True)
-class Slope:
-    """A quantity as a line over one predictor, and the largest value of that which was played."""
+class LinearFit:
+    """A quantity as a linear function of one predictor.
+
+    `max_measured` is the largest value of the predictor in the rows, `rows` their number.
+    """
 
-    base: float
+    intercept: float
     slope: float
-    seen: float
+    max_measured: float
     rows: int
 
     def at(self, value: float) -> float:
         """The line's value."""
-        return self.base + self.slope * value
+        return self.intercept + self.slope * value
 
     def mark(self, value: float) -> str:
-        """How far a value lies outside of what was measured."""
-        times = value / self.seen
-        return "measured" if times <= 1.05 else f"extrapolated ×{times:.1f}"
+        """Whether a value was measured, or how far it is extrapolated."""
+        factor = value / self.max_measured
+        return "measured" if factor <= MAX_MEASURED_FACTOR else f"extrapolated ×{factor:.1f}"
 
 
-def fit(rows: list[Row], over: str, quantity: Callable[[Row], float]) -> Slope:
+def fit(rows: list[Row], predictor: str, quantity: Callable[[Row], float]) -> LinearFit:
     """The line through the rows, by least squares."""
-    x = [float(row[over]) for row in rows]
-    line = statistics.linear_regression(x, [quantity(row) for row in rows])
-    return Slope(line.intercept, line.slope, max(x), len(rows))
+    values = [float(row[predictor]) for row in rows]
+    line = statistics.linear_regression(values, [quantity(row) for row in rows])
+    return LinearFit(line.intercept, line.slope, max(values), len(rows))
 
 
 def cores(row: Row) -> float:
-    """Of all controllers together."""
+    """Processor time of all controllers together, in cores."""
     return float(sum(row["controller_cores"]))
 
 
-class Measured:
-    """The recorded rungs, and the lines through them."""
+class Measurements:
+    """The recorded rungs and the linear fits through them."""
 
     def __init__(self, runs: dict[str, list[Row]]) -> None:
         self.runs = runs
-        workers = [r for r in runs["slopes"] if r["name"] == "workers"]
-        starts = [r for r in runs["slopes"] if r["name"] == "starts"]
-        starts = [r for r in workers if r["workers"] == 600] + starts
-        together = [r for r in runs["group-commit"] if r["name"] == "starts"]
-        together = [r for r in together if r["workers"] == 600]
+        workers = [row for row in runs["slopes"] if row["name"] == "workers"]
+        starts = [row for row in runs["slopes"] if row["name"] == "starts"]
+        starts = [row for row in workers if row["workers"] == 600] + starts
+        grouped = [row for row in runs["group-commit"] if row["name"] == "starts"]
+        grouped = [row for row in grouped if row["workers"] == 600]
         self.cores_worker = fit(workers, "workers", cores)
-        self.cores_start = fit(together, "starts", cores)
+        self.cores_start = fit(grouped, "starts", cores)
         self.cores_start_records = fit(starts, "starts", cores)
-        self.memory = fit(workers, "workers", lambda r: r["controller_mb"])
-        self.sockets = fit(workers, "workers", lambda r: r["controller_descriptors"])
-        self.reports = fit(workers, "workers", lambda r: r["reports"])
-        self.reports_start = fit(together, "starts", lambda r: r["reports"])
-        self.between = fit(together, "starts", lambda r: r["between_bytes"])
-        self.changes_a_start = [r["state_changes"] / r["starts"] for r in starts]
+        self.memory = fit(workers, "workers", lambda row: row["controller_mb"])
+        self.sockets = fit(workers, "workers", lambda row: row["controller_descriptors"])
+        self.reports = fit(workers, "workers", lambda row: row["reports"])
+        self.reports_start = fit(grouped, "starts", lambda row: row["reports"])
+        self.between = fit(grouped, "starts", lambda row: row["between_bytes"])
+        self.changes_a_start = [row["state_changes"] / row["starts"] for row in starts]
         self.region = runs["region"]
-        self.best = max(self.region, key=lambda r: r["starts"])
+        self.best = max(self.region, key=lambda row: row["starts"])
         self.controllers = runs["controllers"]
 
+    def cores_at(self, workers: float, starts_per_s: float) -> float:
+        """Processor time of all controllers, in cores."""
+        idle = self.cores_worker.at(workers) - self.cores_start_records.slope * BASE_STARTS_PER_S
+        return idle + self.cores_start.slope * starts_per_s
+
+    def commits_per_s(self) -> float:
+        """Commits of the log a second in the region's rung with the most starts."""
+        return float(self.best["state_puts"]["w"] / self.best["seconds"])
+
+    def reports_at(self, workers: float, starts_per_s: float) -> float:
+        """Heartbeats a second at all controllers."""
+        idle = self.reports.at(workers) - self.reports_start.slope * BASE_STARTS_PER_S
+        return idle + self.reports_start.slope * starts_per_s
+
+
+def peak_jobs_per_s() -> float:
+    """Jobs a second of one region at the peak."""
+    return PEAK_JOB_FACTOR * JOBS_A_DAY / DAY_S / REGIONS
 
-def region_rows(m: Measured) -> list[tuple[str, ...]]:
+
+def region_rows(measured: Measurements) -> list[tuple[str, ...]]:
     """A region: quantity, slope, today, ordinary, peak, peak with a controller down, mark."""
     workers = WORKERS / REGIONS
     peak = STARTS_PER_S / REGIONS
-    ordinary = ORDINARY * peak
-    jobs = BUSY_JOBS * JOBS_A_DAY / DAY_S / REGIONS
-
-    def all_cores(w: float, s: float) -> float:
-        idle = m.cores_worker.at(w) - m.cores_start_records.slope * 30.0
-        return idle + m.cores_start.slope * s
+    ordinary = ORDINARY_SHARE * peak
+    jobs = peak_jobs_per_s()
 
     def line(
         name: str, slope: str, values: tuple[float, float, float, float], mark: str, form: str
@@ -121,230 +143,314 @@
             of(workers, peak) / (CONTROLLERS - 1),
         )
 
-    def reports(w: float, s: float) -> float:
-        return m.reports.at(w) - m.reports_start.slope * 30.0 + m.reports_start.slope * s
-
     def same(of: Callable[[float, float], float]) -> tuple[float, float, float, float]:
         now = of(workers, peak)
         return (of(TODAY_WORKERS, TODAY_STARTS), of(workers, ordinary), now, now)
 
-    commits = m.best["state_puts"]["w"] / m.best["seconds"]
-    start_mark = m.cores_start.mark(peak)
+    commits = measured.commits_per_s()
+    start_mark = measured.cores_start.mark(peak)
     return [
         line(
             "a controller's processor time, cores",
-            f"{1e6 * m.cores_worker.slope:.0f} µs a worker and second,"
-            f" {1e3 * m.cores_start.slope:.2f} ms a start (all three)",
-            controller(all_cores), start_mark, "{:.2f}",
+            f"{1e6 * measured.cores_worker.slope:.0f} µs a worker and second,"
+            f" {1e3 * measured.cores_start.slope:.2f} ms a start (all three)",
+            controller(measured.cores_at),
+            start_mark,
+            "{:.2f}",
         ),
         line(
             "a controller's memory, MB",
-            f"{m.memory.base:.0f} + {m.memory.slope * 1000:.1f} a thousand workers",
-            (m.memory.at(TODAY_WORKERS), *[m.memory.at(workers)] * 3), m.memory.mark(workers),
+            f"{measured.memory.intercept:.0f} + {measured.memory.slope * 1000:.1f}"
+            " a thousand workers",
+            same(lambda w, _s: measured.memory.at(w)),
+            measured.memory.mark(workers),
             "{:.0f}",
         ),
         line(
             "a controller's sockets",
-            f"{m.sockets.slope:.2f} a worker with three, two thirds of it reports",
-            controller(lambda w, _s: CONTROLLERS * m.sockets.at(w)), m.sockets.mark(workers),
+            f"{measured.sockets.slope:.2f} a worker with three, two thirds of it reports",
+            controller(lambda w, _s: CONTROLLERS * measured.sockets.at(w)),
+            measured.sockets.mark(workers),
             "{:.0f}",
         ),
         line(
             "reports a second, all controllers",
-            f"{m.reports.slope:.3f} a worker, {m.reports_start.slope:.2f} a start",
-            same(reports), m.reports_start.mark(peak), "{:.0f}",
+            f"{measured.reports.slope:.3f} a worker, {measured.reports_start.slope:.2f} a start",
+            same(measured.reports_at),
+            measured.reports_start.mark(peak),
+            "{:.0f}",
         ),
         line(
             "between controllers, kB a second",
-            f"{m.between.slope / 1000:.2f} kB a start",
-            same(lambda _w, s: m.between.at(s) / 1000), m.between.mark(peak), "{:.0f}",
+            f"{measured.between.slope / 1000:.2f} kB a start",
+            same(lambda _w, s: measured.between.at(s) / 1000),
+            measured.between.mark(peak),
+            "{:.0f}",
         ),
         line(
             "state service, changes a second",
             f"{ACCEPT_AND_END} a job, {commits:.1f} commits of the log",
             (
-                TODAY_STARTS * statistics.mean(m.changes_a_start),
-                ACCEPT_AND_END * jobs / BUSY_JOBS + commits,
-                ACCEPT_AND_END * jobs + commits, ACCEPT_AND_END * jobs + commits,
+                TODAY_STARTS * statistics.mean(measured.changes_a_start),
+                ACCEPT_AND_END * jobs / PEAK_JOB_FACTOR + commits,
+                ACCEPT_AND_END * jobs + commits,
+                ACCEPT_AND_END * jobs + commits,
             ),
-            f"commits at {m.best['starts']:.0f} starts a second measured",
+            f"commits at {measured.best['starts']:.0f} starts a second measured",
             "{:.0f}",
         ),
-    ]  # fmt: skip
+    ]
+
+
+class Gap(NamedTuple):
+    """How far a mechanism reaches: its limit divided by the need, and where that comes from."""
 
+    reach: float
+    mechanism: str
+    limit: str
+    need: str
+    mark: str
 
-def gaps(m: Measured) -> list[tuple[float, str, str, str, str]]:
-    """Reach, mechanism, limit, need, mark."""
+
+def gaps(measured: Measurements) -> list[Gap]:
+    """Every mechanism's reach, smallest first."""
     workers, peak = WORKERS / REGIONS, STARTS_PER_S / REGIONS
-    by_record = statistics.mean(m.changes_a_start)
-    jobs = BUSY_JOBS * JOBS_A_DAY / DAY_S / REGIONS
-    commits = m.best["state_puts"]["w"] / m.best["seconds"]
+    by_record = statistics.mean(measured.changes_a_start)
+    jobs = peak_jobs_per_s()
+    commits = measured.commits_per_s()
     changes = ACCEPT_AND_END * jobs + commits
-    best = m.best["starts"]
-    cores_needed = (
-        m.cores_worker.at(workers) - 30 * m.cores_start_records.slope + m.cores_start.slope * peak
-    )
-    names = JOBS_A_DAY / REGIONS * NAME_BYTES / 2**20
-    spare = MEMORY_MB - m.memory.at(workers)
+    best = measured.best["starts"]
+    cores_needed = measured.cores_at(workers, peak)
+    names_mb = JOBS_A_DAY / REGIONS * NAME_BYTES / 2**20
+    headroom_mb = MEMORY_MB - measured.memory.at(workers)
     rows = [
-        (
-            0.0, "changes of configuration in force everywhere (none yet: the settings file)",
+        Gap(
+            0.0,
+            "changes of configuration in force everywhere (none yet: the settings file)",
             "restart of all controllers",
-            f"{CHANGES_OF_CONFIGURATION_A_DAY / DAY_S:.2f} a second within {CONFIGURATION_S:.0f} s",
+            f"{CONFIGURATION_CHANGES_A_DAY / DAY_S:.2f} a second within {CONFIGURATION_S:.0f} s",
             "on paper",
         ),
-        (
-            best / STARTS_PER_S, "regions: one set of controllers and one state service for all",
-            f"{best:.0f} starts a second by one set", f"{STARTS_PER_S:.0f}", "measured",
+        Gap(
+            best / STARTS_PER_S,
+            "regions: one set of controllers and one state service for all",
+            f"{best:.0f} starts a second by one set",
+            f"{STARTS_PER_S:.0f}",
+            "measured",
         ),
-        (
+        Gap(
             CHANGES_PER_S / (peak * by_record),
             "a record rewritten for each job's change (a region, as `run` has it)",
-            f"{CHANGES_PER_S:.0f} changes a second", f"{peak * by_record:.0f}",
-            f"extrapolated ×{peak / max(r['starts'] for r in m.runs['slopes']):.1f}",
+            f"{CHANGES_PER_S:.0f} changes a second",
+            f"{peak * by_record:.0f}",
+            f"extrapolated ×{peak / max(row['starts'] for row in measured.runs['slopes']):.1f}",
         ),
-        (
-            CHANGES_PER_S / changes, "starts and ends written together (a region)",
-            f"{CHANGES_PER_S:.0f} changes a second", f"{changes:.0f}",
+        Gap(
+            CHANGES_PER_S / changes,
+            "starts and ends written together (a region)",
+            f"{CHANGES_PER_S:.0f} changes a second",
+            f"{changes:.0f}",
             f"commits at {best:.0f} starts a second",
         ),
-        (
-            CONTROLLERS / cores_needed, "three controllers of one core each (a region)",
-            f"{CONTROLLERS} cores", f"{cores_needed:.1f}", m.cores_start.mark(peak),
+        Gap(
+            CONTROLLERS / cores_needed,
+            "three controllers of one core each (a region)",
+            f"{CONTROLLERS} cores",
+            f"{cores_needed:.1f}",
+            measured.cores_start.mark(peak),
         ),
-        (
-            CONTROLLERS * CORES / cores_needed, "the same with today's share of a core",
-            f"{CONTROLLERS * CORES:.1f} cores", f"{cores_needed:.1f}", m.cores_start.mark(peak),
+        Gap(
+            CONTROLLERS * CORES / cores_needed,
+            "the same with today's share of a core",
+            f"{CONTROLLERS * CORES:.1f} cores",
+            f"{cores_needed:.1f}",
+            measured.cores_start.mark(peak),
         ),
-        (
-            SOCKETS * (CONTROLLERS - 1) / (CONTROLLERS * m.sockets.at(workers)),
-            "connections of workers, one controller down", f"{SOCKETS} each",
-            f"{CONTROLLERS * m.sockets.at(workers) / (CONTROLLERS - 1):.0f}",
-            m.sockets.mark(workers),
+        Gap(
+            SOCKETS * (CONTROLLERS - 1) / (CONTROLLERS * measured.sockets.at(workers)),
+            "connections of workers, one controller down",
+            f"{SOCKETS} each",
+            f"{CONTROLLERS * measured.sockets.at(workers) / (CONTROLLERS - 1):.0f}",
+            measured.sockets.mark(workers),
         ),
-        (
-            spare / names / 30, "names of jobs in a controller's memory, a month without a restart",
-            f"{spare:.0f} MB", f"{30 * names:.0f} MB", "on paper",
+        Gap(
+            headroom_mb / names_mb / 30,
+            "names of jobs in a controller's memory, a month without a restart",
+            f"{headroom_mb:.0f} MB",
+            f"{30 * names_mb:.0f} MB",
+            "on paper",
         ),
-        (
-            MEMORY_MB / m.memory.at(workers), "a controller's memory beside names",
-            f"{MEMORY_MB:.0f} MB", f"{m.memory.at(workers):.0f} MB", m.memory.mark(workers),
+        Gap(
+            MEMORY_MB / measured.memory.at(workers),
+            "a controller's memory beside names",
+            f"{MEMORY_MB:.0f} MB",
+            f"{measured.memory.at(workers):.0f} MB",
+            measured.memory.mark(workers),
         ),
-        (
-            URGENT_S / m.best["waits"]["urgent"]["p99"],
-            f"urgent starts of a region, p99 at {best:.0f} starts a second", f"{URGENT_S:.0f} s",
-            f"{m.best['waits']['urgent']['p99']:.1f} s", "measured",
+        Gap(
+            URGENT_S / measured.best["waits"]["urgent"]["p99"],
+            f"urgent starts of a region, p99 at {best:.0f} starts a second",
+            f"{URGENT_S:.0f} s",
+            f"{measured.best['waits']['urgent']['p99']:.1f} s",
+            "measured",
         ),
-        (
-            URGENT_S / m.region[0]["waits"]["urgent"]["p99"],
-            f"urgent starts of a region, p99 at {m.region[0]['starts']:.0f} a second",
+        Gap(
+            URGENT_S / measured.region[0]["waits"]["urgent"]["p99"],
+            f"urgent starts of a region, p99 at {measured.region[0]['starts']:.0f} a second",
             f"{URGENT_S:.0f} s",
-            f"{m.region[0]['waits']['urgent']['p99']:.1f} s", "measured",
+            f"{measured.region[0]['waits']['urgent']['p99']:.1f} s",
+            "measured",
         ),
-        (
-            WORKER_BYTES_PER_S / max(r["worker_bytes"] for r in m.runs["group-commit"]),
-            "a worker's bytes a second", f"{WORKER_BYTES_PER_S}",
-            f"{max(r['worker_bytes'] for r in m.runs['group-commit']):.0f}", "measured",
+        Gap(
+            WORKER_BYTES_PER_S / max(row["worker_bytes"] for row in measured.runs["group-commit"]),
+            "a worker's bytes a second",
+            f"{WORKER_BYTES_PER_S}",
+            f"{max(row['worker_bytes'] for row in measured.runs['group-commit']):.0f}",
+            "measured",
         ),
-    ]  # fmt: skip
+    ]
     return sorted(rows)
 
 
-def table(head: list[str], rows: list[tuple[str, ...]]) -> list[str]:
+def table(head: list[str], rows: Sequence[tuple[str, ...]]) -> list[str]:
     """A Markdown table."""
     lines = ["| " + " | ".join(head) + " |", "| " + " | ".join("---" for _ in head) + " |"]
     return lines + ["| " + " | ".join(row) + " |" for row in rows]
 
 
-def rungs_table(m: Measured) -> list[str]:
+def rungs_table(measured: Measurements) -> list[str]:
     """Every recorded rung."""
     rows = [
         (
-            run, r["name"], f"{r['workers']}", f"{r['controllers']}", f"{r['asked_starts']:.0f}",
-            f"{r['starts']:.0f}", f"{r['reports']:.0f}",
-            f"{cores(r):.2f} ({max(r['controller_cores']):.2f})", f"{r['controller_mb']:.0f}",
-            f"{r['controller_descriptors']}", f"{r['state_changes'] / r['starts']:.2f}",
-            f"{(r['between_bytes'] or 0) / 1000:.0f}", ", ".join(r["limited_by"]) or "nothing",
+            run,
+            row["name"],
+            f"{row['workers']}",
+            f"{row['controllers']}",
+            f"{row['asked_starts']:.0f}",
+            f"{row['starts']:.0f}",
+            f"{row['reports']:.0f}",
+            f"{cores(row):.2f} ({max(row['controller_cores']):.2f})",
+            f"{row['controller_mb']:.0f}",
+            f"{row['controller_descriptors']}",
+            f"{row['state_changes'] / row['starts']:.2f}",
+            f"{(row['between_bytes'] or 0) / 1000:.0f}",
+            ", ".join(row["limited_by"]) or "nothing",
         )
-        for run, rungs in m.runs.items()
-        for r in rungs
-    ]  # fmt: skip
+        for run, rungs in measured.runs.items()
+        for row in rungs
+    ]
     head = [
-        "run", "rung", "workers", "controllers", "starts asked", "starts /s", "reports /s",
-        "cores (most)", "MB", "sockets", "changes a start", "kB/s between", "limited by",
-    ]  # fmt: skip
+        "run",
+        "rung",
+        "workers",
+        "controllers",
+        "starts asked",
+        "starts /s",
+        "reports /s",
+        "cores (most)",
+        "MB",
+        "sockets",
+        "changes a start",
+        "kB/s between",
+        "limited by",
+    ]
     return table(head, rows)
 
 
-def controllers_table(m: Measured) -> list[str]:
+def controllers_table(measured: Measurements) -> list[str]:
     """The cost of more controllers at the same load."""
-    first = m.controllers[0]
+    first = measured.controllers[0]
     rows = [
         (
-            f"{r['controllers']}", f"{cores(r):.2f}", f"{cores(r) / cores(first):.1f}",
-            f"{r['between_bytes'] / 1000:.0f}",
-            f"{r['between_bytes'] / first['between_bytes']:.1f}",
-            f"{r['state_requests']:.0f}", f"{r['state_changes'] / r['starts']:.2f}",
-            f"{r['controller_descriptors']}",
+            f"{row['controllers']}",
+            f"{cores(row):.2f}",
+            f"{cores(row) / cores(first):.1f}",
+            f"{row['between_bytes'] / 1000:.0f}",
+            f"{row['between_bytes'] / first['between_bytes']:.1f}",
+            f"{row['state_requests']:.0f}",
+            f"{row['state_changes'] / row['starts']:.2f}",
+            f"{row['controller_descriptors']}",
         )
-        for r in m.controllers
-    ]  # fmt: skip
+        for row in measured.controllers
+    ]
     head = [
-        "controllers", "cores in all", "times", "kB/s between them", "times",
-        "state requests /s", "changes a start", "sockets of one",
-    ]  # fmt: skip
+        "controllers",
+        "cores in all",
+        "times",
+        "kB/s between them",
+        "times",
+        "state requests /s",
+        "changes a start",
+        "sockets of one",
+    ]
     return table(head, rows)
 
 
-def troubles_table(m: Measured) -> list[str]:
-    """The recovery from each trouble."""
+def recoveries_table(measured: Measurements) -> list[str]:
+    """The recovery from each fault."""
     rows = [
         (
-            f"{t['kind']} at {t['at_s']:.0f} s", f"{r['workers']}", f"{t['running_before']}",
-            f"{t['running_least']}",
-            "not within the run" if t["again_s"] is None else f"{t['again_s']:.1f} s",
-            f"{t['gap_s']:.1f} s",
+            f"{recovery['kind']} at {recovery['at_s']:.0f} s",
+            f"{row['workers']}",
+            f"{recovery['running_before']}",
+            f"{recovery['running_least']}",
+            "not within the run" if recovery["again_s"] is None else f"{recovery['again_s']:.1f} s",
+            f"{recovery['gap_s']:.1f} s",
         )
-        for r in m.runs["troubles"]
-        for t in r["recoveries"]
-    ]  # fmt: skip
+        for row in measured.runs["troubles"]
+        for recovery in row["recoveries"]
+    ]
     head = ["trouble", "workers", "tasks before", "least", "95% again after", "longest no start"]
     return table(head, rows)
 
 
-def page_tables(m: Measured) -> dict[str, list[str]]:
+def page_tables(measured: Measurements) -> dict[str, list[str]]:
     """Every table of the page, by its name."""
     gap_rows = [
-        (f"{reach:.2f}", name, limit, need, "**gap**" if reach < 1 else "", mark)
-        for reach, name, limit, need, mark in gaps(m)
+        (
+            f"{gap.reach:.2f}",
+            gap.mechanism,
+            gap.limit,
+            gap.need,
+            "**gap**" if gap.reach < 1 else "",
+            gap.mark,
+        )
+        for gap in gaps(measured)
     ]
     head = ["", "slope", "today", "ordinary", "peak", "peak, one controller down", "mark at peak"]
-    finals = JOBS_A_DAY * YEARS_2_DAYS
-    best, tasks = m.best["starts"], RUNNING / ZONES
-    day_mb, two_years_gb = JOBS_A_DAY * FINAL_BYTES / 1e6, finals * FINAL_BYTES / 1e9
+    terminal_states = JOBS_A_DAY * YEARS_2_DAYS
+    best, tasks = measured.best["starts"], RUNNING / ZONES
+    day_mb, two_years_gb = (
+        JOBS_A_DAY * TERMINAL_STATE_BYTES / 1e6,
+        terminal_states * TERMINAL_STATE_BYTES / 1e9,
+    )
     growth = [
         ("final states a day, all regions", f"{JOBS_A_DAY}", f"{day_mb:.0f} MB"),
-        ("final states in two years", f"{finals / 1e6:.0f} million", f"{two_years_gb:.1f} GB"),
+        (
+            "final states in two years",
+            f"{terminal_states / 1e6:.0f} million",
+            f"{two_years_gb:.1f} GB",
+        ),
         ("parts of ended arrays", "0", "deleted 10 s after the end"),
         ("a zone's workers", f"{WORKERS / ZONES:.0f}", f"{tasks:.0f} tasks"),
         ("those tasks started again", f"{best:.0f} a second at best", f"{tasks / best:.0f} s"),
     ]
     return {
         "gaps": table(["reach", "what carries it", "limit", "need", "", "mark"], gap_rows),
-        "region": table(head, region_rows(m)),
+        "region": table(head, region_rows(measured)),
         "growth": table(["", "number", "size or time"], growth),
-        "troubles": troubles_table(m),
-        "controllers": controllers_table(m),
-        "rungs": rungs_table(m),
+        "troubles": recoveries_table(measured),
+        "controllers": controllers_table(measured),
+        "rungs": rungs_table(measured),
     }
 
 
 def with_tables(text: str, tables: dict[str, list[str]]) -> str:
     """The page with each block of tables put between its marks."""
     for name, lines in tables.items():
-        begin = f"{BEGIN} {name}"
+        begin = f"{BLOCK_START} {name}"
         first = text.index(begin) + len(begin)
-        last = text.index(END, first)
+        last = text.index(BLOCK_END, first)
         text = text[:first] + "\n\n" + "\n".join(lines) + "\n\n" + text[last:]
     return text
 
@@ -373,12 +479,12 @@
         record(Path(arguments[1]), arguments[2])
         return 0
     text = PAGE.read_text()
-    wanted = with_tables(text, page_tables(Measured(load())))
+    expected = with_tables(text, page_tables(Measurements(load())))
     if arguments == ["--check"]:
-        if wanted != text:
+        if expected != text:
             print(f"{PAGE.name}: its tables are not what {RUNGS.name} gives", file=sys.stderr)
-        return int(wanted != text)
-    PAGE.write_text(wanted)
+        return int(expected != text)
+    PAGE.write_text(expected)
     return 0
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,7 +17,7 @@
 
 def test_the_pages_tables_are_those_of_the_rungs(capacity: dict[str, Any]) -> None:
     text = capacity["PAGE"].read_text()
-    tables = capacity["page_tables"](capacity["Measured"](capacity["load"]()))
+    tables = capacity["page_tables"](capacity["Measurements"](capacity["load"]()))
     assert capacity["with_tables"](text, tables) == text
 
 
@@ -26,15 +26,15 @@
     runs = capacity["load"]()
     runs["slopes"][0]["controller_mb"] += 10.0
     text = capacity["PAGE"].read_text()
-    tables = capacity["page_tables"](capacity["Measured"](runs))
+    tables = capacity["page_tables"](capacity["Measurements"](runs))
     assert capacity["with_tables"](text, tables) != text
 
 
 def test_gaps_come_smallest_first_and_no_rung_of_the_generator_counts(
     capacity: dict[str, Any],
 ) -> None:
-    measured = capacity["Measured"](capacity["load"]())
-    reaches = [row[0] for row in capacity["gaps"](measured)]
+    measured = capacity["Measurements"](capacity["load"]())
+    reaches = [gap.reach for gap in capacity["gaps"](measured)]
     assert reaches == sorted(reaches)
     assert len(reaches) > 8
     limits = [limit for rows in measured.runs.values() for r in rows for limit in r["limited_by"]]
@@ -44,7 +44,7 @@
 def test_slopes_are_least_squares(capacity: dict[str, Any]) -> None:
     rows = [{"workers": x, "y": y} for x, y in ((1, 3.0), (2, 5.0), (3, 7.0))]
     line = capacity["fit"](rows, "workers", lambda r: r["y"])
-    assert (round(line.base, 9), round(line.slope, 9), line.seen) == (1.0, 2.0, 3.0)
+    assert (round(line.intercept, 9), round(line.slope, 9), line.max_measured) == (1.0, 2.0, 3.0)
     assert line.mark(3) == "measured"
     assert line.mark(12) == "extrapolated ×4.0"
 
