--- a/scripts/counts_proof.py
+++ b/scripts/counts_proof.py
@@ -1,5 +1,6 @@
-"""The operators' proof of counts: real controllers, and an engine that never sees one session too
-many, whatever fails. Everything runs on loopback; see docs/counts.md.
+"""Checks counted resources end to end: an engine must never see a session too many.
+
+Real controllers run on loopback while faults are injected; see docs/counts.md.
 
 python scripts/counts_proof.py [--trouble controllers,workers,state,ceiling] [--jobs 200]
 """
@@ -13,9 +14,10 @@
 import sys
 import time
 from collections import Counter
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 from tempfile import TemporaryDirectory
-from typing import Any
+from typing import Any, NamedTuple
 
 import click
 import curio
@@ -27,20 +29,20 @@
 from starlingdeck.protocol import api  # noqa: E402
 from starlingdeck.transport.client import HttpClient, NoResponseError, Reply  # noqa: E402
 
-COUNT = "tariff-engine"
-TROUBLES = ("controllers", "workers", "state", "ceiling")
+RESOURCE = "tariff-engine"
+FAULT_KINDS = ("controllers", "workers", "state", "ceiling")
 REPORT_S, LEASE_S, CANCEL_S = 1.0, 6.0, 30.0
 ZONES = ("a", "b", "a")
 TYPE = {"sku": "small", "cores": 4.0, "ram_gb": 16.0, "roosts": ["a", "b"], "boot_s": 1.0}
 
 
 class Site:
-    """The processes, and where they are."""
+    """The processes of the check and their addresses."""
 
     def __init__(self, folder: Path, port: int, session_s: float, ceiling: int) -> None:
         self.folder, self.session_s, self.ceiling = folder, session_s, ceiling
-        self.at = [f"127.0.0.1:{port + i}" for i in range(9)]
-        self.engine, self.state, self.cloud, *rest = self.at
+        addresses = [f"127.0.0.1:{port + i}" for i in range(9)]
+        self.engine, self.state, self.cloud, *rest = addresses
         self.public, self.cluster = rest[:3], rest[3:6]
         self.workers_port = port + 20
         self.results = folder / "results"
@@ -48,21 +50,21 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.http = HttpClient()
         (folder / "types.json").write_text(json.dumps([TYPE]))
-        (folder / "counts.toml").write_text(f"[counts.declare.{COUNT}]\nceiling = {ceiling}\n")
-        for node in range(3):
-            (folder / f"n-{node}.json").write_text(json.dumps(self.settings(node)))
+        (folder / "counts.toml").write_text(f"[counts.declare.{RESOURCE}]\nceiling = {ceiling}\n")
+        for number in range(3):
+            (folder / f"n-{number}.json").write_text(json.dumps(self.settings(number)))
 
-    def settings(self, node: int) -> dict[str, Any]:
+    def settings(self, number: int) -> dict[str, Any]:
         """The settings file of one controller."""
         hosts = [
             {"host_name": f"n-{i}", "zone": ZONES[i], "address": self.cluster[i]} for i in range(3)
         ]
         return {
-            "host_name": f"n-{node}",
-            "zone": ZONES[node],
-            "public_addr": self.public[node],
-            "cluster_listen": self.cluster[node],
-            "peers": [h for i, h in enumerate(hosts) if i != node],
+            "host_name": f"n-{number}",
+            "zone": ZONES[number],
+            "public_addr": self.public[number],
+            "cluster_listen": self.cluster[number],
+            "peers": [host for i, host in enumerate(hosts) if i != number],
             "external": {"cloud": self.cloud, "state": self.state},
             "settings": {
                 "nodes": 3,
@@ -94,14 +96,14 @@
             "--session-s", str(self.session_s), "--results", str(self.results),
             "--report-s", str(REPORT_S), "--lease-s", str(LEASE_S),
         )  # fmt: skip
-        for node in range(3):
-            self.start_controller(node)
+        for number in range(3):
+            self.start_controller(number)
 
-    def start_controller(self, node: int) -> None:
+    def start_controller(self, number: int) -> None:
         """Starts one controller."""
-        settings, tuning = self.folder / f"n-{node}.json", self.folder / "counts.toml"
+        settings, tuning = self.folder / f"n-{number}.json", self.folder / "counts.toml"
         command = ["run.py", "run", "--config", str(settings), "--tuning", str(tuning)]
-        self.start(f"n-{node}", *command)
+        self.start(f"n-{number}", *command)
 
     def stop_all(self) -> None:
         """Ends every process of the site."""
@@ -113,7 +115,7 @@
                 process.kill()
                 process.wait()
 
-    async def ask(self, address: str, method: str, path: str, body: Any = None) -> Reply | None:
+    async def request(self, address: str, method: str, path: str, body: Any = None) -> Reply | None:
         """One HTTP request; None when there is no response."""
         data = None if body is None else msgspec.json.encode(body)
         try:
@@ -121,13 +123,13 @@
         except NoResponseError:
             return None
 
-    async def until(
-        self, good: set[int], method: str, path: str, at: str = "", body: Any = None
+    async def request_until(
+        self, good: set[int], method: str, path: str, address: str = "", body: Any = None
     ) -> Any:
-        """Ask one controller after the other, or the address given, until one answers so."""
-        until = time.monotonic() + 90
-        while time.monotonic() < until:
-            reply = await self.ask(at or random.choice(self.public), method, path, body)
+        """Requests random controllers, or one address, until a status in `good`; the body."""
+        deadline = time.monotonic() + 90
+        while time.monotonic() < deadline:
+            reply = await self.request(address or random.choice(self.public), method, path, body)
             if reply is not None and reply.status in good:
                 return msgspec.json.decode(reply.body)
             await curio.sleep(0.3)
@@ -148,157 +150,205 @@
         "spread": False, "loaners": False, "guess_s": 3.0, "mark_s": 0.0, "stash_s": 0.0,
         "due_s": None,
     }  # fmt: skip
-    return body | ({"counts": {COUNT: 1}} if counted else {})
+    return body | ({"counts": {RESOURCE: 1}} if counted else {})
+
+
+class LoweredCeiling(NamedTuple):
+    """From when to when the ceiling was 1 (wall clock), and the units held at first."""
+
+    since: float
+    until: float
+    held: int
 
 
-class Trouble:
-    """What fails, and when: all drawn from one seed."""
+class FaultInjector:
+    """Injects faults at random times; kinds, times and targets come from one seed."""
 
     def __init__(self, site: Site, kinds: set[str], seed: int) -> None:
         self.site, self.kinds = site, kinds
         self.rng = random.Random(seed)
-        self.told: Counter[str] = Counter()
-        # From when to when the ceiling was 1, and how many units were held at first.
-        self.lowered: list[tuple[float, float, int]] = []
+        self.actions: dict[str, Callable[[], Awaitable[None]]] = {
+            "controllers": self.kill_controllers,
+            "workers": self.fail_workers,
+            "state": self.interrupt_state_service,
+            "ceiling": self.change_ceiling,
+        }
+        self.fault_counts: Counter[str] = Counter()
+        self.lowered: list[LoweredCeiling] = []
 
     async def run(self) -> None:
-        """Provokes every kind of trouble until cancelled."""
+        """Injects every kind of fault until cancelled."""
         async with curio.TaskGroup() as group:
             for kind in sorted(self.kinds):
-                await group.spawn(getattr(self, kind))
+                await group.spawn(self.actions[kind])
 
-    async def controllers(self) -> None:
+    async def kill_controllers(self) -> None:
         """Kills and restarts controllers."""
         while True:
             await curio.sleep(self.rng.uniform(3.0, 6.0))
-            node = self.rng.randrange(3)
-            self.site.processes[f"n-{node}"].kill()
-            self.site.processes[f"n-{node}"].wait()
-            self.told["controllers killed"] += 1
+            number = self.rng.randrange(3)
+            self.site.processes[f"n-{number}"].kill()
+            self.site.processes[f"n-{number}"].wait()
+            self.fault_counts["controllers killed"] += 1
             await curio.sleep(self.rng.uniform(0.1, 2.0))
-            self.site.start_controller(node)
+            self.site.start_controller(number)
 
-    async def workers(self) -> None:
-        """Kills workers and cuts them off."""
+    async def fail_workers(self) -> None:
+        """Kills or isolates workers."""
         while True:
             await curio.sleep(self.rng.uniform(4.0, 9.0))
-            live = [e for e in self.site.sessions() if e[1] == "open"][-3:]
+            live = [fields for fields in self.site.sessions() if fields[1] == "open"][-3:]
             if not live:
                 continue
             host = self.rng.choice(live)[4]
             if self.rng.random() < 0.5:
-                await self.site.ask(self.site.cloud, "POST", "/kill", {"host": host})
-                self.told["workers killed"] += 1
+                await self.site.request(self.site.cloud, "POST", "/kill", {"host": host})
+                self.fault_counts["workers killed"] += 1
             else:
                 seconds = self.rng.choice([2.0, 20.0])  # under and over the lease
                 cut = {"host": host, "seconds": seconds}
-                await self.site.ask(self.site.cloud, "POST", "/cut", cut)
-                self.told["workers cut off"] += 1
+                await self.site.request(self.site.cloud, "POST", "/cut", cut)
+                self.fault_counts["workers cut off"] += 1
 
-    async def state(self) -> None:
+    async def interrupt_state_service(self) -> None:
         """Starts outages of the state service."""
         while True:
             await curio.sleep(self.rng.uniform(8.0, 15.0))
             seconds = self.rng.choice([1.0, 4.0, 12.0])  # also longer than a lease
-            await self.site.ask(self.site.state, "POST", "/out", {"seconds": seconds})
-            self.told["outages of the state service"] += 1
+            await self.site.request(self.site.state, "POST", "/out", {"seconds": seconds})
+            self.fault_counts["outages of the state service"] += 1
             await curio.sleep(seconds)
 
-    async def ceiling(self) -> None:
+    async def change_ceiling(self) -> None:
         """Changes the resource's ceiling."""
         while True:
             await curio.sleep(self.rng.uniform(8.0, 12.0))
-            held = await self.set(1)
+            held = await self.set_ceiling(1)
             began = time.time()
             await curio.sleep(self.rng.uniform(5.0, 10.0))
-            self.lowered.append((began, time.time(), held))
-            await self.set(self.site.ceiling)
-            self.told["times set to 1 and back"] += 1
+            self.lowered.append(LoweredCeiling(began, time.time(), held))
+            await self.set_ceiling(self.site.ceiling)
+            self.fault_counts["times set to 1 and back"] += 1
 
-    async def set(self, ceiling: int) -> int:
-        """Set the ceiling; how many units were held when it was written, or the most there were."""
+    async def set_ceiling(self, ceiling: int) -> int:
+        """Sets the ceiling; units held when it was written, or the full ceiling if unknown."""
         while True:
-            listed = await self.site.until({200}, "GET", f"{api.COUNTS}/{COUNT}")
-            if listed["ceiling"] == ceiling:
+            entry = await self.site.request_until({200}, "GET", f"{api.COUNTS}/{RESOURCE}")
+            if entry["ceiling"] == ceiling:
                 return self.site.ceiling
-            body = {"ceiling": ceiling, "rev": listed.get("rev", 1), "by": "proof"}
-            path = f"{api.COUNTS}/{COUNT}"
-            reply = await self.site.ask(random.choice(self.site.public), "POST", path, body)
+            body = {"ceiling": ceiling, "rev": entry.get("rev", 1), "by": "proof"}
+            path = f"{api.COUNTS}/{RESOURCE}"
+            reply = await self.site.request(random.choice(self.site.public), "POST", path, body)
             if reply is not None and reply.status == 200:
                 return sum(msgspec.json.decode(reply.body)["held"])
 
 
-def judge(site: Site, jobs: int, trouble: Trouble) -> dict[str, Any]:
-    """What the engine saw. The use is that of all units, from the first session to the last."""
-    events = [(float(e[0]), e[1], e[2], int(e[-1])) for e in site.sessions()]
-    done = Counter(task for _, what, task, _ in events if what == "done")
-    opens = [(at, n) for at, what, _, n in events if what == "open"]
+class SessionEvent(NamedTuple):
+    """A line of the engine's log; `at` by the wall clock, `open_sessions` after the event."""
+
+    at: float
+    kind: str
+    task: str
+    open_sessions: int
+
+
+def session_events(site: Site) -> list[SessionEvent]:
+    """The engine's log."""
+    return [
+        SessionEvent(float(fields[0]), fields[1], fields[2], int(fields[-1]))
+        for fields in site.sessions()
+    ]
+
+
+def sessions_over_ceiling(events: list[SessionEvent], lowered_times: list[LoweredCeiling]) -> int:
+    """Sessions opened under a ceiling of 1 beyond those of units granted before."""
     over = 0
-    for low, high, granted in trouble.lowered:
-        # What was granted before may still open its session.
-        before = sum([n for at, _, _, n in events if at <= low][-1:])
-        late = sum(low < at < high and n > 1 for at, n in opens)
-        over += max(0, late - max(0, granted - before))
-    began, ended = events[0][0], max(at for at, what, _, _ in events if what == "close")
-    held = sum((later[0] - now[0]) * now[3] for now, later in itertools.pairwise(events))
-    closed = [at for at, what, _, _ in events if what == "close"]
+    for lowered in lowered_times:
+        open_before = sum(
+            [event.open_sessions for event in events if event.at <= lowered.since][-1:]
+        )
+        opened_late = sum(
+            event.kind == "open"
+            and lowered.since < event.at < lowered.until
+            and event.open_sessions > 1
+            for event in events
+        )
+        # Units granted before may still open their sessions.
+        over += max(0, opened_late - max(0, lowered.held - open_before))
+    return over
+
+
+def idle_times(events: list[SessionEvent]) -> list[float]:
+    """Seconds from the end of each session to the next start that uses its unit, sorted."""
+    opened = [event.at for event in events if event.kind == "open"]
     idle = []
-    for at in closed:
-        # The next session opened after this unit came free.
-        after = [o for o, _ in opens if o > at]
-        if after:
-            idle.append(after[0] - at)
-            opens.remove(next(pair for pair in opens if pair[0] == after[0]))
-    idle.sort()
+    for closed_at in [event.at for event in events if event.kind == "close"]:
+        following = [at for at in opened if at > closed_at]
+        if following:
+            idle.append(following[0] - closed_at)
+            opened.remove(following[0])
+    return sorted(idle)
+
+
+def evaluate(site: Site, jobs: int, injector: FaultInjector) -> dict[str, Any]:
+    """The figures of the engine's log; `use` is the share of unit-seconds that were in use."""
+    events = session_events(site)
+    runs_by_task = Counter(event.task for event in events if event.kind == "done")
+    max_open = max(event.open_sessions for event in events if event.kind == "open")
+    over = sessions_over_ceiling(events, injector.lowered)
+    seconds = max(event.at for event in events if event.kind == "close") - events[0].at
+    unit_seconds = sum(
+        (later.at - earlier.at) * earlier.open_sessions
+        for earlier, later in itertools.pairwise(events)
+    )
+    idle = idle_times(events)
+    done_once = len(runs_by_task) == jobs and set(runs_by_task.values()) == {1}
     return {
-        "most sessions at once": max(n for _, what, _, n in events if what == "open"),
+        "most sessions at once": max_open,
         "sessions granted over a ceiling of 1": over,
-        "jobs done": len(done),
-        "done more than once": sum(n > 1 for n in done.values()),
-        "sessions": sum(what == "open" for _, what, _, _ in events),
-        "seconds": round(ended - began, 1),
-        "use": round(held / (site.ceiling * (ended - began)), 3),
+        "jobs done": len(runs_by_task),
+        "done more than once": sum(runs > 1 for runs in runs_by_task.values()),
+        "sessions": sum(event.kind == "open" for event in events),
+        "seconds": round(seconds, 1),
+        "use": round(unit_seconds / (site.ceiling * seconds), 3),
         "from a session's end to the next start p50/p99 s": [
             round(idle[int(len(idle) * share)], 3) for share in (0.5, 0.99) if idle
         ],
-        "trouble": dict(trouble.told),
-        "as it should be": max(n for _, what, _, n in events if what == "open") <= site.ceiling
-        and not over
-        and len(done) == jobs
-        and set(done.values()) == {1},
+        "trouble": dict(injector.fault_counts),
+        "as it should be": max_open <= site.ceiling and not over and done_once,
     }
 
 
 async def play(
     site: Site, jobs: int, kinds: set[str], seed: int, limit_s: float, counted: bool
 ) -> dict[str, Any]:
-    """Runs the jobs under troubles and judges the engine's log."""
-    trouble = Trouble(site, kinds, seed)
+    """Runs the jobs with faults and evaluates the engine's log."""
+    injector = FaultInjector(site, kinds, seed)
     for number in range(jobs):
-        await site.until({200, 201}, "POST", api.JOBS, body=job(number + 1, counted))
-    began = await site.until({200}, "GET", "/stats", site.state)
-    nuisance = await curio.spawn(trouble.run)
-    left = {f"j-{n + 1}" for n in range(jobs)}
-    until = time.monotonic() + limit_s
-    while left and time.monotonic() < until:
-        for name in sorted(left)[:20]:
-            status = await site.until({200}, "GET", f"{api.JOBS}/{name}")
+        await site.request_until({200, 201}, "POST", api.JOBS, body=job(number + 1, counted))
+    began = await site.request_until({200}, "GET", "/stats", site.state)
+    injection = await curio.spawn(injector.run)
+    unfinished = {f"j-{n + 1}" for n in range(jobs)}
+    deadline = time.monotonic() + limit_s
+    while unfinished and time.monotonic() < deadline:
+        for name in sorted(unfinished)[:20]:
+            status = await site.request_until({200}, "GET", f"{api.JOBS}/{name}")
             if status["status"] == api.DONE:
-                left.discard(name)
+                unfinished.discard(name)
         await curio.sleep(0.5)
-    await nuisance.cancel()
-    ended = await site.until({200}, "GET", "/stats", site.state)
+    await injection.cancel()
+    ended = await site.request_until({200}, "GET", "/stats", site.state)
     stats = {name: ended[name] - began[name] for name in ("changes", "writes", "refused")}
     more = {
         "state changes a job": round(stats["changes"] / jobs, 2),
         "writes refused for a condition": round(stats["refused"] / max(1, stats["writes"]), 3),
-        "jobs not told done": len(left),
+        "jobs not told done": len(unfinished),
     }
-    return judge(site, jobs, trouble) | more
+    return evaluate(site, jobs, injector) | more
 
 
 @click.command()
-@click.option("--trouble", default="", help=f"Any of {','.join(TROUBLES)}.")
+@click.option("--trouble", default="", help=f"Any of {','.join(FAULT_KINDS)}.")
 @click.option("--jobs", default=200)
 @click.option("--session-s", default=5.0, help="How long each job's session is open.")
 @click.option("--ceiling", default=3)
@@ -311,10 +361,10 @@
     trouble: str, jobs: int, session_s: float, ceiling: int, counted: bool, seed: int, port: int,
     limit_s: float, keep: Path | None,
 ) -> None:  # fmt: skip
-    """Run jobs that each need a unit of a count, with whatever fails meanwhile."""
+    """Run jobs that each need a unit of a counted resource, while faults are injected."""
     kinds = set(trouble.split(",")) - {""}
-    if kinds - set(TROUBLES):
-        raise click.UsageError(f"--trouble: any of {', '.join(TROUBLES)}")
+    if kinds - set(FAULT_KINDS):
+        raise click.UsageError(f"--trouble: any of {', '.join(FAULT_KINDS)}")
     random.seed(seed)
     with TemporaryDirectory() as scratch:
         folder = keep or Path(scratch)
