--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -1,7 +1,7 @@
-"""What a plan costs with many counts and tasks that wait, on one controller.
+"""Measures a scheduling cycle with many counted resources and waiting tasks, on one controller.
 
 python scripts/counts_size.py [--counts 1000] [--jobs 5000] [--tasks 20] [--machines 600]
-With --counts 0 the same jobs need no units; that runs with earlier versions of the code too.
+With --counts 0 the same jobs need no units; this runs with earlier versions of the code too.
 """
 
 import random
@@ -9,6 +9,7 @@
 import sys
 import time
 from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 
 import click
@@ -30,6 +31,16 @@
 from tests.support.reference_model import PlainClient, PlainState, at_once
 
 
+@dataclass(frozen=True)
+class Load:
+    """The size of the measured load."""
+
+    counts: int
+    jobs: int
+    tasks: int
+    machines: int
+
+
 @click.command()
 @click.option("--counts", default=1000)
 @click.option("--jobs", default=5000)
@@ -37,52 +48,99 @@
 @click.option("--machines", default=600)
 @click.option("--plans", default=20)
 def main(counts: int, jobs: int, tasks: int, machines: int, plans: int) -> None:
-    """Fill a controller with jobs that wait, and time its plans. No time passes for it."""
-    rng = random.Random(1)
-    node = Controller(make_world(Clock()))
-    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, 1e9
-    shard = JobShard(node.context, 0, 3, 9)
+    """Fill a controller with waiting jobs and time its scheduling cycles."""
+    load = Load(counts, jobs, tasks, machines)
+    controller, shard = build_controller(load)
+    if counts:
+        add_resources(controller, counts)
+    before_kb = peak_memory_kb()
+    add_jobs(controller, shard, load)
+    cycle_s = time_cycles(controller, shard, plans)
+    after_kb = peak_memory_kb()
+    median_ms, max_ms = cycle_s[len(cycle_s) // 2] * 1000, cycle_s[-1] * 1000
+    print(f"{jobs * tasks} tasks wait, {counts} counts, {machines} machines")
+    print(f"a plan takes {median_ms:.1f} ms of processor time, most {max_ms:.1f}")
+    print(f"the jobs take {(after_kb - before_kb) / 1024:.1f} MB")
+    for what, starts, changes in measure_changes(controller, shard):
+        print(f"{what}: {starts} starts, {changes / max(1, starts):.2f} state changes each")
+
+
+def peak_memory_kb() -> int:
+    """The largest resident memory of this process so far."""
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+
+
+def build_controller(load: Load) -> tuple[Controller, JobShard]:
+    """A controller that owns job shard 0 and sees the machines of shard 2."""
+    controller = Controller(make_world(Clock()))
+    controller.membership.lease.lease_id, controller.membership.lease.renewed_at = 1, 1e9
+    shard = JobShard(controller.context, 0, 3, 9)
     shard.loaded = True
-    node.writers[0] = RecordWriter(node.context, node.state, shard)
-    node.membership.owners[2] = ShardOwner(0, 5, 77)
-    node.peers.last_heard_at[0] = 1e9
-    snapshot = ShardSnapshot(node.context, 2, 77)
+    controller.writers[0] = RecordWriter(controller.context, controller.state, shard)
+    controller.membership.owners[2] = ShardOwner(0, 5, 77)
+    controller.peers.last_heard_at[0] = 1e9
+    snapshot = ShardSnapshot(controller.context, 2, 77)
     candidates = [
-        pb.MachineState(id=f"vm-{i}", type="small", zone="a", schedulable=True, available_cpus=4.0,
-                   available_memory_gb=16.0)
-        for i in range(machines)
-    ]  # fmt: skip
+        pb.MachineState(
+            id=f"vm-{i}",
+            type="small",
+            zone="a",
+            schedulable=True,
+            available_cpus=4.0,
+            available_memory_gb=16.0,
+        )
+        for i in range(load.machines)
+    ]
     snapshot.apply(
         pb.Snapshot(shard=2, epoch=77, seq=1, valid=True, full=True, machines=candidates)
     )
-    node.candidates.update(snapshot, set(snapshot.machines))
-    if counts:
-        from starlingdeck.counts.ledger import Ledger
-        from starlingdeck.counts.plugin import CountedResourcePlugin
-        from starlingdeck.protocol.config import CountSettings
+    controller.candidates.update(snapshot, set(snapshot.machines))
+    controller.planner.reservations.reserve_local = lambda _: pb.ReserveReply()
+    return controller, shard
+
+
+def add_resources(controller: Controller, counts: int) -> None:
+    """Declares counted resources with three free units each."""
+    # Imported here, as earlier versions of the code have no counted resources.
+    from starlingdeck.counts.ledger import Ledger
+    from starlingdeck.counts.plugin import CountedResourcePlugin
+    from starlingdeck.protocol.config import CountSettings
+
+    plugin = CountedResourcePlugin(
+        controller.context,
+        controller.state,
+        controller.membership,
+        controller.writers,
+        CountSettings(),
+    )
+    controller.register_plugin(plugin)
+    controller.writers[0].durable_plugin = plugin
+    for i in range(counts):
+        resource_id = controller.context.resource_names.intern(f"c-{i}")
+        plugin.store.update(resource_id, Ledger(3, (0, 0, 0)), 1)
 
-        plugin = CountedResourcePlugin(
-            node.context, node.state, node.membership, node.writers, CountSettings()
+
+def add_jobs(controller: Controller, shard: JobShard, load: Load) -> None:
+    """Adds waiting jobs that need one or two random resources each."""
+    rng = random.Random(1)
+    for i in range(load.jobs):
+        units = (
+            {f"c-{rng.randrange(load.counts)}": 1 for _ in range(1 + i % 2)} if load.counts else {}
         )
-        node.register_plugin(plugin)
-        node.writers[0].durable_plugin = plugin
-        for i in range(counts):
-            plugin.store.update(
-                node.context.resource_names.intern(f"c-{i}"), Ledger(3, (0, 0, 0)), 1
-            )
-    before_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    for i in range(jobs):
-        needs = {f"c-{rng.randrange(counts)}": 1 for _ in range(1 + i % 2)} if counts else {}
-        more = {"counts": needs} if needs else {}
-        job = new_job(node.context, spec(f"j-{i}", chores=tasks, rank="idle", **more), 0, i)
+        more = {"counts": units} if units else {}
+        body = spec(f"j-{i}", chores=load.tasks, rank="idle", **more)
+        job = new_job(controller.context, body, 0, i)
         shard.jobs[job.index] = job
-    node.planner.reservations.reserve_local = lambda _: pb.ReserveReply()
+
+
+def time_cycles(controller: Controller, shard: JobShard, cycles: int) -> list[float]:
+    """Processor time of each scheduling cycle in seconds, sorted; no task is started."""
     spent: list[float] = []
 
     async def drive() -> None:
-        for _ in range(plans):
+        for _ in range(cycles):
             began = time.process_time()
-            await node.planner.run_cycle()
+            await controller.planner.run_cycle()
             spent.append(time.process_time() - began)
             await curio.sleep(0)
             for job in shard.jobs.values():
@@ -90,14 +148,7 @@
                 job.retry_at.clear()
 
     curio.run(drive)
-    spent.sort()
-    after_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    median_ms, most_ms = spent[len(spent) // 2] * 1000, spent[-1] * 1000
-    print(f"{jobs * tasks} tasks wait, {counts} counts, {machines} machines")
-    print(f"a plan takes {median_ms:.1f} ms of processor time, most {most_ms:.1f}")
-    print(f"the jobs take {(after_kb - before_kb) / 1024:.1f} MB")
-    for what, starts, changes in turns(node, shard):
-        print(f"{what}: {starts} starts, {changes / max(1, starts):.2f} state changes each")
+    return sorted(spent)
 
 
 class CountingState(PlainState):
@@ -111,11 +162,11 @@
         return super().apply(conditions, changes)
 
 
-def turns(node: Controller, shard: JobShard) -> Iterator[tuple[str, int, int]]:
-    """Starts of up to 3 tasks a job from nothing, then in the place of others that end."""
+def measure_changes(controller: Controller, shard: JobShard) -> Iterator[tuple[str, int, int]]:
+    """Starts and state changes: of up to 3 tasks a job, then of tasks that replace ended ones."""
     state = CountingState(random.Random(1))
-    writer, plugin = node.writers[0], node.admission.durable
-    writer.state = PlainClient(state, 0.0)  # type: ignore[assignment]
+    writer, plugin = controller.writers[0], controller.admission.durable
+    writer.state = PlainClient(state, 0.0)  # type: ignore[assignment]  # a fake client
     puts = [put_change(records.shard_key(0), 0)]
     for job in shard.jobs.values():
         puts.append(put_change(records.job_key(0, job.id), 0))
@@ -128,21 +179,24 @@
             store.versions[resource_id] = 2
     state.apply({}, puts)
     shard.token = state.epoch
-    zone, machine = node.context.zone_names.intern("a"), node.context.machine_names.intern("vm-0")
+    zone, machine = (
+        controller.context.zone_names.intern("a"),
+        controller.context.machine_names.intern("vm-0"),
+    )
     for what in ("from nothing", "in the place of others"):
         state.written = starts = 0
         for job in shard.jobs.values():
             for task, placement in job.placements.items():
                 shard.end_attempt(job, task, placement, api.W_DONE, "exit done")
-        at_once(node.admission.begin_cycle(list(shard.jobs.values())))
+        at_once(controller.admission.begin_cycle(list(shard.jobs.values())))
         for job in shard.jobs.values():
-            found = job.pending(min(3, node.admission.headroom(job)))
+            found = job.pending(min(3, controller.admission.headroom(job)))
             for task in found:
                 job.pending_starts[task] = TaskPlacement(
                     machine, 1, job.attempts[task] + 1, 0, zone, state_since=1e9
                 )
                 shard.dirty_jobs.add(job.index)
-            node.admission.on_requested(job, len(found))
+            controller.admission.on_requested(job, len(found))
             starts += len(found)
         while at_once(writer.flush()):
             pass
--- a/scripts/overload_size.py
+++ b/scripts/overload_size.py
@@ -1,17 +1,20 @@
-"""What overload costs by size: a plan, a greeting and a report.
+"""Measures what overload control costs by size: a scheduling cycle and a gossip message.
 
   python scripts/overload_size.py
 
 Builds one controller of 3, 5 or 9 with its share of 600 full machines, jobs of 2, 20 or 1,000
 pairs of team and class, and 1,000 or 100,000 waiting tasks none of which can be placed. Prints the
-median of processor time per call, with floors and without.
+median of processor time per call, with minimum shares and without.
 """
 
+import itertools
 import logging
 import statistics
 import sys
 import time
+from collections.abc import Awaitable, Callable
 from pathlib import Path
+from typing import NamedTuple
 
 import curio
 
@@ -32,21 +35,31 @@
 MACHINES = 600
 TASKS_A_JOB = 40
 RUNS = 15
+WARM_UP_RUNS = 4
 
 
-def build(nodes: int, pairs: int, tasks: int, floors: bool) -> tuple[Controller, Clock]:
+class Size(NamedTuple):
+    """The size of one measurement; `pairs` of team and class."""
+
+    controllers: int
+    pairs: int
+    tasks: int
+    min_shares: bool
+
+
+def build(size: Size) -> tuple[Controller, Clock]:
     """A controller with that many peers, pairs of team and class, and tasks."""
     clock = Clock()
-    context = make_world(clock, 1, ("a",) * nodes)
-    context.tuning = Tuning(overload=OverloadSettings() if floors else None)
-    node = Controller(context)
-    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
-    for shard in range(nodes):
+    context = make_world(clock, 1, ("a",) * size.controllers)
+    context.tuning = Tuning(overload=OverloadSettings() if size.min_shares else None)
+    controller = Controller(context)
+    controller.membership.lease.lease_id, controller.membership.lease.renewed_at = 1, clock.at
+    for shard in range(size.controllers):
         epoch = 70 + shard
-        node.membership.owners[shard] = ShardOwner(shard, 5, epoch)
-        node.peers.last_heard_at[shard] = 1e12
-        node.peers.links[shard] = object()  # type: ignore[assignment]
-        names = [f"vm-{n}" for n in range(shard, MACHINES, nodes)]
+        controller.membership.owners[shard] = ShardOwner(shard, 5, epoch)
+        controller.peers.last_heard_at[shard] = 1e12
+        controller.peers.links[shard] = object()  # type: ignore[assignment]  # any link
+        names = [f"vm-{n}" for n in range(shard, MACHINES, size.controllers)]
         snapshot = ShardSnapshot(context, shard, epoch)
         shown = [
             pb.MachineState(
@@ -57,57 +70,72 @@
         snapshot.apply(
             pb.Snapshot(shard=shard, epoch=epoch, seq=1, valid=True, full=True, machines=shown)
         )
-        node.candidates.update(snapshot, set(snapshot.machines))
+        controller.candidates.update(snapshot, set(snapshot.machines))
     jobs = JobShard(context, 0, 5, 70)
     jobs.loaded = True
-    node.writers[0] = RecordWriter(context, node.state, jobs)
-    node.machines[0] = MachineShard(context, 0, 5, 70, 0.0)
-    for n in range(tasks // nodes // TASKS_A_JOB):
-        body = spec(f"j-{n:06d}", chores=TASKS_A_JOB, flock=f"c-{n % pairs}", cores=1.0, ram_gb=1.0)
+    controller.writers[0] = RecordWriter(context, controller.state, jobs)
+    controller.machines[0] = MachineShard(context, 0, 5, 70, 0.0)
+    for n in range(size.tasks // size.controllers // TASKS_A_JOB):
+        body = spec(
+            f"j-{n:06d}", chores=TASKS_A_JOB, flock=f"c-{n % size.pairs}", cores=1.0, ram_gb=1.0
+        )
         job = new_job(context, body, 0, context.wall_clock_ms() - n)
         jobs.jobs[job.index] = job
-    for n in range(MACHINES // nodes):
-        report = api.Report(f"vm-{n * nodes}", "w", "small", "a", 1, 1, 5, False, None, [])
-        node.machines[0].apply_report(report, True)
-    return node, clock
+    for n in range(MACHINES // size.controllers):
+        report = api.Report(
+            f"vm-{n * size.controllers}", "w", "small", "a", 1, 1, 5, False, None, []
+        )
+        controller.machines[0].apply_report(report, True)
+    return controller, clock
 
 
-def spent_ms(node: Controller, clock: Clock, do: str) -> float:
-    """Processor time of one call, in milliseconds."""
+def median_ms(controller: Controller, clock: Clock, call: Callable[[], Awaitable[None]]) -> float:
+    """Median processor time of one call, in milliseconds, after WARM_UP_RUNS calls."""
 
-    async def once() -> float:
+    async def timed_call() -> float:
         began = time.process_time()
-        if do == "plan":
-            await node.planner.run_cycle()
-        else:
-            node.build_gossip().SerializeToString()
+        await call()
         return (time.process_time() - began) * 1000
 
-    took = []
+    took: list[float] = []
     for _ in range(RUNS):
         clock.at += 0.5
-        node.membership.lease.renewed_at = clock.at
-        for snapshot in node.candidates.snapshots.values():
+        controller.membership.lease.renewed_at = clock.at
+        for snapshot in controller.candidates.snapshots.values():
             snapshot.received_at = clock.at
-        took.append(curio.run(once))
-    return statistics.median(took[4:])
+        took.append(curio.run(timed_call))
+    return statistics.median(took[WARM_UP_RUNS:])
+
+
+def print_row(size: Size) -> None:
+    """Measures one size and prints its row."""
+    controller, clock = build(size)
+    if controller.overload is not None:
+        controller.overload.settings = OverloadSettings(patience_s=0.1)
+
+    async def run_cycle() -> None:
+        await controller.planner.run_cycle()
+
+    async def build_gossip() -> None:
+        controller.build_gossip().SerializeToString()
+
+    cycle_ms = median_ms(controller, clock, run_cycle)
+    gossip_ms = median_ms(controller, clock, build_gossip)
+    gossip_bytes = len(controller.build_gossip().SerializeToString())
+    flag = "on" if size.min_shares else "off"
+    print(
+        f"{size.controllers} {size.pairs} {size.tasks} {flag}"
+        f" {cycle_ms:.1f} {gossip_ms:.1f} {gossip_bytes}"
+    )
 
 
 def main() -> None:
     """Prints one row for each size."""
     logging.disable(logging.CRITICAL)
-    print("controllers pairs waiting floors plan_ms greeting_ms greeting_bytes")
-    for nodes in (3, 5, 9):
-        for pairs in (2, 20, 1000):
-            for tasks in (1_000, 100_000):
-                for floors in (False, True):
-                    node, clock = build(nodes, pairs, tasks, floors)
-                    if node.overload is not None:
-                        node.overload.settings = OverloadSettings(patience_s=0.1)
-                    plan, greeting = (spent_ms(node, clock, do) for do in ("plan", "greeting"))
-                    size = len(node.build_gossip().SerializeToString())
-                    flag = "on" if floors else "off"
-                    print(f"{nodes} {pairs} {tasks} {flag} {plan:.1f} {greeting:.1f} {size}")
+    print("controllers pairs waiting min_shares cycle_ms gossip_ms gossip_bytes")
+    sizes = itertools.product((3, 5, 9), (2, 20, 1000), (1_000, 100_000), (False, True))
+    for controllers, pairs, tasks, min_shares in sizes:
+        print_row(Size(controllers, pairs, tasks, min_shares))
 
 
 if __name__ == "__main__":
