--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -187,7 +187,7 @@
         state.written = starts = 0
         for job in shard.jobs.values():
             for task, placement in job.placements.items():
-                shard.end_attempt(job, task, placement, api.W_DONE, "exit done")
+                shard.end_attempt(job, task, placement, api.CAUSE_DONE, "exit done")
         run_without_waiting(controller.admission.begin_cycle(list(shard.jobs.values())))
         for job in shard.jobs.values():
             found = job.pending(min(3, controller.admission.headroom(job)))
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -69,8 +69,8 @@
     version: int
 
 
-STATE_NAMES = {code: name for name, code in api.STATE_CODES.items()}
-STATE_NAMES |= {api.PENDING: "no report yet"}
+STATE_NAMES = {code: name for name, code in api.TASK_STATE_CODES.items()}
+STATE_NAMES |= {api.TASK_PENDING: "no report yet"}
 
 
 class CountsApi:
--- a/starlingdeck/jobs/attempt_evaluation.py
+++ b/starlingdeck/jobs/attempt_evaluation.py
@@ -29,7 +29,7 @@
 BACKOFF_BASE_S = 2.0
 MAX_BACKOFF_DOUBLINGS = 6
 BUSY_RETRY_S = 1.0  # after a machine was busy, or for an unknown cause
-NO_ROOM_RETRY_S = 0.2  # after a machine had no capacity left
+NO_CAPACITY_RETRY_S = 0.2  # after a machine had no capacity left
 
 
 class AttemptEvaluator:
@@ -84,7 +84,7 @@
         placement: TaskPlacement,
     ) -> bool:
         """Whether the snapshot says anything new about an attempt; ends it if that is a proof."""
-        changed, proof, cause = False, "", api.W_NONE
+        changed, proof, cause = False, "", api.CAUSE_NONE
         machine = snapshot.machines.get(placement.machine)
         if placement.machine in snapshot.lost_machines and current and snapshot.owner_valid:
             proof = PROOF_MACHINE_GONE
@@ -109,7 +109,7 @@
             if observed.state != placement.observed_state:
                 self._change_observed_state(job, placement, observed)
                 changed = True
-            if observed.state == api.EXITED:
+            if observed.state == api.TASK_EXITED:
                 cause = observed.cause
                 proof = f"exit_{api.CAUSE_NAMES.get(cause, 'unnamed')}"
         elif (
@@ -129,7 +129,11 @@
         self, job: Job, placement: TaskPlacement, observed: pb.ObservedTask
     ) -> None:
         # Placements read from a record have no `state_since`: those began long ago.
-        if observed.state == api.ON and placement.attempt == 1 and placement.state_since > 0:
+        if (
+            observed.state == api.TASK_RUNNING
+            and placement.attempt == 1
+            and placement.state_since > 0
+        ):
             waited_s = (self.context.wall_clock_ms() - job.submitted_ms) / 1000
             self.context.latencies.record(f"wait {job.spec.priority}", waited_s)
         placement.observed_state, placement.state_since = observed.state, self.context.now()
@@ -141,14 +145,14 @@
         shard, now = self.shard, self.context.now()
         if job.spec.service:
             shard.replicas_waiting = True
-            cause = api.W_ERROR if cause == api.W_DONE else cause
+            cause = api.CAUSE_ERROR if cause == api.CAUSE_DONE else cause
         job.pending_ends[task] = cause
         if job.resource_needs:
             job.end_proofs = (job.end_proofs or {}) | {task: EndProof(proof, now)}
             shard.units_released = True
         shard.dirty_jobs.add(job.index)
         target = placement.target
-        moves = target is not None and cause != api.W_DONE and not job.cancelled
+        moves = target is not None and cause != api.CAUSE_DONE and not job.cancelled
         if moves and target is not None and now < target.reserved_until:
             # The source has confirmed the stop: the reserved target takes the task.
             job.pending_starts[task] = target
@@ -159,7 +163,7 @@
             self.context.machine_names[placement.machine],
             proof,
         )
-        if cause == api.W_STOPPED and not (
+        if cause == api.CAUSE_STOPPED and not (
             job.cancelled or target or placement.releasing or placement.descheduled
         ):
             self.context.counters.increment(job.spec.team, job.spec.cls, counters.PREEMPTED)
@@ -167,14 +171,14 @@
 
     def _schedule_retry(self, job: Job, task: int, placement: TaskPlacement, cause: int) -> None:
         now = self.context.now()
-        if cause == api.W_ERROR:
+        if cause == api.CAUSE_ERROR:
             self._record_failure(job, task, placement, now)
-        elif cause == api.W_DONE:
+        elif cause == api.CAUSE_DONE:
             job.errors = 0
             job.failed_on.clear()
-        elif cause == api.W_NO_ROOM:
-            job.retry_at[task] = now + NO_ROOM_RETRY_S
-        elif cause in (api.W_BUSY, api.W_UNKNOWN):
+        elif cause == api.CAUSE_NO_CAPACITY:
+            job.retry_at[task] = now + NO_CAPACITY_RETRY_S
+        elif cause in (api.CAUSE_IN_USE, api.CAUSE_UNKNOWN_TASK):
             job.retry_at[task] = now + BUSY_RETRY_S
 
     def _record_failure(self, job: Job, task: int, placement: TaskPlacement, now: float) -> None:
--- a/starlingdeck/jobs/job.py
+++ b/starlingdeck/jobs/job.py
@@ -34,7 +34,7 @@
     zone: int
     published_seq: int = 0  # the desired-state message that first named it,
     published_epoch: int = 0  # and the epoch of the owner that message was for
-    observed_state: int = api.PENDING
+    observed_state: int = api.TASK_PENDING
     state_since: float = 0.0  # 0: read from a record
     grace_s: float = 0.0
     descheduled: bool = False
--- a/starlingdeck/jobs/job_records.py
+++ b/starlingdeck/jobs/job_records.py
@@ -71,7 +71,7 @@
     last = min(first + TASKS_PER_CHUNK, job.spec.tasks)
     done = int(records.encode_completed(job.task_states, first, DONE) or "0", 16)
     for task, cause in ends.items():
-        if first <= task < last and cause == api.W_DONE:
+        if first <= task < last and cause == api.CAUSE_DONE:
             done |= 1 << (task - first)
     attempts = job.attempts[first:last]
     placements = {
--- a/starlingdeck/jobs/job_shard.py
+++ b/starlingdeck/jobs/job_shard.py
@@ -151,7 +151,7 @@
         running = sum(
             1
             for placement in job.placements.values()
-            if placement.observed_state in (api.ON, api.SAVING)
+            if placement.observed_state in (api.TASK_RUNNING, api.TASK_SAVING)
         )
         state = api.CANCELLED if job.cancelled else api.RUNNING if running else api.QUEUED
         return api.JobStatus(job.id, state, job.completed, running)
--- a/starlingdeck/jobs/record_writer.py
+++ b/starlingdeck/jobs/record_writer.py
@@ -226,7 +226,7 @@
         job.uncertain_chunks.update(
             task // records.TASKS_PER_CHUNK
             for task, cause in update.pending_ends.items()
-            if cause == api.W_DONE
+            if cause == api.CAUSE_DONE
         )
         if update.cancel:
             self.shard.pending_cancellations.setdefault(job.index, self.context.now())
--- a/starlingdeck/jobs/update_applier.py
+++ b/starlingdeck/jobs/update_applier.py
@@ -40,7 +40,7 @@
         job.terminal_state = update.terminal_state
         event = counters.DONE if update.terminal_state == api.DONE else counters.CANCELLED
         self.context.counters.increment(job.spec.team, job.spec.cls, event)
-        job.completed += sum(1 for cause in update.pending_ends.values() if cause == api.W_DONE)
+        job.completed += sum(1 for cause in update.pending_ends.values() if cause == api.CAUSE_DONE)
         shard.record_terminal_state(job.id, update.terminal_state, job.completed)
         shard.dirty_jobs.discard(job.index)
         shard.commit_log.remove_job(job.index, job.id, records.chunks_of(job.spec.tasks))
@@ -78,7 +78,7 @@
                 self.shard.remove_placement(job, task)
             if job.pending_ends.get(task) == cause:
                 del job.pending_ends[task]
-            if cause == api.W_DONE:
+            if cause == api.CAUSE_DONE:
                 job.task_states[task] = DONE
                 job.completed += 1
                 if job.completed == 1:  # the first success changes its failure evidence
--- a/starlingdeck/jobs/update_drafter.py
+++ b/starlingdeck/jobs/update_drafter.py
@@ -53,7 +53,7 @@
     def _completed_tasks(self, job: Job) -> int:
         """How many tasks have completed, counting those whose end is yet to be written."""
         ended = (cause for task, cause in job.pending_ends.items() if task in job.placements)
-        return job.completed + sum(cause == api.W_DONE for cause in ended)
+        return job.completed + sum(cause == api.CAUSE_DONE for cause in ended)
 
     def draft_update(self, job: Job, max_chunks: int, with_starts: bool) -> JobUpdate | None:
         """The next write of a job's record, or None when nothing is to be written."""
@@ -198,8 +198,8 @@
         change = JobChange(
             job.id,
             starts=[encode_placement(self.context, task, start) for task, start in starts.items()],
-            completed=[task for task, cause in ends.items() if cause == api.W_DONE],
-            freed=[task for task, cause in ends.items() if cause != api.W_DONE],
+            completed=[task for task, cause in ends.items() if cause == api.CAUSE_DONE],
+            freed=[task for task, cause in ends.items() if cause != api.CAUSE_DONE],
         )
         conditions = {records.job_key(self.shard.shard, job.id): job.key_versions[0]}
         for number in change.chunks() - {0}:
--- a/starlingdeck/machines/commands.py
+++ b/starlingdeck/machines/commands.py
@@ -34,7 +34,7 @@
             desired = find_desired(machine.index, key)
             wanted = desired is not None and desired.attempt == observed.attempt
             stopping = desired is not None and desired.stop
-            exited = observed.state == api.EXITED
+            exited = observed.state == api.TASK_EXITED
             reconciled = reconciled and wanted and not exited and not stopping
             operation, grace_s = None, None
             if exited:
@@ -45,7 +45,7 @@
             elif wanted and desired is not None and desired.stop:
                 operation, grace_s = api.STOP, desired.grace_s
             elif key in machine.evictions:
-                if observed.state != api.SAVING:
+                if observed.state != api.TASK_SAVING:
                     operation, grace_s = api.STOP, machine.evictions[key]
             elif not wanted and is_synced(key):
                 operation, grace_s = api.STOP, 0.0
@@ -95,7 +95,7 @@
                 continue
             name = self.state.task_name(key)
             old = machine.tasks.get(key)
-            if old is not None and old.state == api.EXITED and self.state.is_fenced(machine):
+            if old is not None and old.state == api.TASK_EXITED and self.state.is_fenced(machine):
                 commands.append(api.Command(api.REAP, name, old.attempt))
             launch.deliveries += 1
             commands.append(api.Command(api.START, name, launch.attempt))
--- a/starlingdeck/machines/descheduling.py
+++ b/starlingdeck/machines/descheduling.py
@@ -38,7 +38,11 @@
                     context.quarantine_failed("machine", machine.name, error)
 
     def _deschedule(self, machine: Machine, now: float) -> None:
-        live = {k: t for k, t in machine.tasks.items() if t.state in (api.FETCHING, api.ON)}
+        live = {
+            k: t
+            for k, t in machine.tasks.items()
+            if t.state in (api.TASK_FETCHING, api.TASK_RUNNING)
+        }
         if machine.termination_at is not None and not machine.lost:
             chosen = self._ending_too_late(machine, live, machine.termination_at, now)
         else:
@@ -58,7 +62,7 @@
             if info is None:
                 continue
             remaining = info.estimate_s * ESTIMATE_MARGIN - (now - observed.state_since)
-            if info.service or observed.state == api.FETCHING or remaining > left:
+            if info.service or observed.state == api.TASK_FETCHING or remaining > left:
                 chosen.add(key)
             last_save_s = info.save_s + LAST_SAVE_MARGIN_S + LAST_SAVE_SHARE * left
             if info.checkpoint_s > 0 and left < last_save_s:
@@ -104,6 +108,6 @@
     key: int, observed: ObservedTask, info: JobInfo, kind: MachineType, now: float
 ) -> tabu_search.RunningTask:
     fetch_s = info.image_gb / kind.fetch_gb_per_s if kind.fetch_gb_per_s > 0 else 0.0
-    ran_s = now - observed.state_since if observed.state == api.ON else 0.0
+    ran_s = now - observed.state_since if observed.state == api.TASK_RUNNING else 0.0
     cost = tabu_search.move_cost(ran_s, info.checkpoint_s > 0, info.checkpoint_s, fetch_s)
     return tabu_search.RunningTask(key, info.size, cost)
--- a/starlingdeck/machines/desired_state.py
+++ b/starlingdeck/machines/desired_state.py
@@ -144,7 +144,7 @@
             oldest = now - min(self.watermarks.values())
             if oldest <= context.watermark_lifetime_s:
                 return oldest
-        live = {key for key, observed in machine.tasks.items() if observed.state != api.EXITED}
+        live = {key for key, observed in machine.tasks.items() if observed.state != api.TASK_EXITED}
         keys = live | machine.pending_launches.keys()
         job_shards = {self.state.shard_of_task(key) for key in keys}
         ages = (now - self.watermarks.get(job_shard, -math.inf) for job_shard in job_shards)
--- a/starlingdeck/machines/fault_detection.py
+++ b/starlingdeck/machines/fault_detection.py
@@ -21,13 +21,13 @@
 
     def observe(self, machine: Machine, job: int, key: int, observed: ObservedTask) -> None:
         """Take a task's new state on a machine."""
-        if observed.state != api.EXITED:
+        if observed.state != api.TASK_EXITED:
             return
-        if observed.cause == api.W_DONE:
+        if observed.cause == api.CAUSE_DONE:
             self.failures.record_success(machine.index, job)
-        elif observed.cause == api.W_ERROR:
+        elif observed.cause == api.CAUSE_ERROR:
             self.failures.record_error(machine.index, job, key << ATTEMPT_BITS | observed.attempt)
-        if observed.cause == api.W_ERROR or machine.faulty_since:
+        if observed.cause == api.CAUSE_ERROR or machine.faulty_since:
             self._evaluate(machine)
 
     def learn_job(self, job: int, evidence: int) -> None:
--- a/starlingdeck/machines/preemption.py
+++ b/starlingdeck/machines/preemption.py
@@ -69,9 +69,9 @@
         victims: list[Victim] = []
         for key, observed in machine.tasks.items():
             other = jobs.get(split_key(key)[0])
-            if observed.state == api.EXITED or other is None:
+            if observed.state == api.TASK_EXITED or other is None:
                 continue
-            if key in machine.evictions or observed.state == api.SAVING:
+            if key in machine.evictions or observed.state == api.TASK_SAVING:
                 left = _add(left, other)
             elif may_preempt(info, other, quota_pressure) and key not in protected:
                 victims.append(Victim(key, observed, other))
--- a/starlingdeck/machines/reconciler.py
+++ b/starlingdeck/machines/reconciler.py
@@ -101,7 +101,7 @@
                     to_run.add(key)
                     self._consider_launch(machine, key, desired, observed, now)
                 elif observed is not None:
-                    stops |= observed.state in (api.FETCHING, api.ON)
+                    stops |= observed.state in (api.TASK_FETCHING, api.TASK_RUNNING)
                 elif key not in machine.pending_launches:
                     machine.refused_attempts.add((key, desired.attempt))
         if machine.refused_attempts:
@@ -175,6 +175,6 @@
 
 def _has_evictions(machine: Machine) -> bool:
     return any(
-        key in machine.evictions and observed.state in (api.FETCHING, api.ON)
+        key in machine.evictions and observed.state in (api.TASK_FETCHING, api.TASK_RUNNING)
         for key, observed in machine.tasks.items()
     )
--- a/starlingdeck/machines/report_intake.py
+++ b/starlingdeck/machines/report_intake.py
@@ -101,7 +101,7 @@
         machine.orphan_stops = [
             api.Command(api.STOP, t.task, t.attempt, 0.0)
             for t in report.tasks
-            if api.STATE_CODES.get(t.state) != api.EXITED
+            if api.TASK_STATE_CODES.get(t.state) != api.TASK_EXITED
         ]
         if (
             report.token > max(machine.token, machine.unconfirmed_token)
@@ -181,13 +181,13 @@
         """Take the tasks of a report; returns whether anything changed."""
         if machine.last_reported_tasks == report.tasks and not machine.pending_launches:
             if machine.reservations or any(
-                observed.state != api.EXITED for observed in machine.tasks.values()
+                observed.state != api.TASK_EXITED for observed in machine.tasks.values()
             ):
                 machine.empty_since = now
             return False
         machine.last_reported_tasks = report.tasks
         reported, changed = self._observe_tasks(machine, report.tasks, now)
-        live = any(observed.state != api.EXITED for observed in reported.values())
+        live = any(observed.state != api.TASK_EXITED for observed in reported.values())
         if live or machine.pending_launches or machine.reservations:
             machine.empty_since = now
         changed |= len(reported) != len(machine.tasks)
@@ -212,10 +212,10 @@
                     item.task,
                 )
                 continue
-            state = api.STATE_CODES.get(item.state, api.ON)
+            state = api.TASK_STATE_CODES.get(item.state, api.TASK_RUNNING)
             job = job_names.intern(job_name)
             key = task_key(job, number)
-            cause = api.CAUSE_CODES.get(item.why or "", api.W_NONE)
+            cause = api.CAUSE_CODES.get(item.why or "", api.CAUSE_NONE)
             entry = ObservedTask(item.attempt, state, cause, bool(item.saved), now)
             old = machine.tasks.get(key)
             if old is not None and old.attempt == item.attempt and old.state == state:
@@ -225,14 +225,14 @@
                 self.faults.observe(machine, job, key, entry)
             known = reported.get(key)
             # After a restart under a new attempt both may be listed; the live one counts.
-            if known is None or known.state == api.EXITED:
+            if known is None or known.state == api.TASK_EXITED:
                 reported[key] = entry
             launch = machine.pending_launches.get(key)
             if launch is not None and launch.attempt == item.attempt:
                 del machine.pending_launches[key]
                 changed = True
             info = jobs.get(job)
-            if info is not None and state in (api.ON, api.SAVING):
+            if info is not None and state in (api.TASK_RUNNING, api.TASK_SAVING):
                 changed = changed or info.image not in machine.images
                 machine.images[info.image] = now
         return reported, changed
--- a/starlingdeck/machines/shard_state.py
+++ b/starlingdeck/machines/shard_state.py
@@ -118,7 +118,9 @@
         if total is None:
             return None
         left = list(total)
-        allocated = {k for k, observed in machine.tasks.items() if observed.state != api.EXITED}
+        allocated = {
+            k for k, observed in machine.tasks.items() if observed.state != api.TASK_EXITED
+        }
         allocated |= machine.pending_launches.keys() | machine.reservations.keys()
         for key in allocated:
             info = self.jobs.get(split_key(key)[0])
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -130,7 +130,10 @@
         for key, launch in machine.pending_launches.items():
             job, number = split_key(key)
             entry.tasks.add(
-                job=context.job_names[job], task=number, attempt=launch.attempt, state=api.PENDING
+                job=context.job_names[job],
+                task=number,
+                attempt=launch.attempt,
+                state=api.TASK_PENDING,
             )
 
     def _youngest(self, machine: Machine) -> list[float]:
@@ -142,12 +145,12 @@
             info = jobs.get(split_key(key)[0])
             if (
                 info is None
-                or observed.state not in (api.FETCHING, api.ON)
+                or observed.state not in (api.TASK_FETCHING, api.TASK_RUNNING)
                 or key in machine.evictions
                 or key in protected
             ):
                 continue
-            ran_s = now - observed.state_since if observed.state == api.ON else 0.0
+            ran_s = now - observed.state_since if observed.state == api.TASK_RUNNING else 0.0
             if info.checkpoint_s > 0:
                 ran_s = min(ran_s, info.checkpoint_s)
             rank = min(info.rank, len(youngest) - 1)
@@ -158,7 +161,7 @@
 
 def _fetching_images(machine: Machine, jobs: Mapping[int, JobInfo]) -> set[str]:
     """The images that are being fetched, or will be for the tasks about to start."""
-    waiting = {k for k, observed in machine.tasks.items() if observed.state == api.FETCHING}
+    waiting = {k for k, observed in machine.tasks.items() if observed.state == api.TASK_FETCHING}
     waiting |= machine.pending_launches.keys() | machine.reservations.keys()
     infos = [jobs.get(split_key(key)[0]) for key in waiting]
     return {i.image for i in infos if i is not None and i.image not in machine.images}
--- a/starlingdeck/protocol/workers.py
+++ b/starlingdeck/protocol/workers.py
@@ -20,18 +20,31 @@
 START, STOP, REAP = "launch", "stop", "reap"  # operations of commands
 
 # Numbers that stand for a task's state on a machine, in memory and between controllers.
-PENDING, FETCHING, ON, SAVING, EXITED = range(5)
-STATE_CODES = {"fetching": FETCHING, "running": ON, "flushing": SAVING, "exited": EXITED}
+TASK_PENDING, TASK_FETCHING, TASK_RUNNING, TASK_SAVING, TASK_EXITED = range(5)
+TASK_STATE_CODES = {
+    "fetching": TASK_FETCHING,
+    "running": TASK_RUNNING,
+    "flushing": TASK_SAVING,
+    "exited": TASK_EXITED,
+}
 
 # Numbers that stand for the cause of an attempt's end, in memory, records and between controllers.
-W_NONE, W_DONE, W_STOPPED, W_ERROR, W_NO_ROOM, W_BUSY, W_UNKNOWN = range(7)
+(
+    CAUSE_NONE,
+    CAUSE_DONE,
+    CAUSE_STOPPED,
+    CAUSE_ERROR,
+    CAUSE_NO_CAPACITY,
+    CAUSE_IN_USE,
+    CAUSE_UNKNOWN_TASK,
+) = range(7)
 CAUSE_CODES = {
-    "done": W_DONE,
-    "halted": W_STOPPED,
-    "error": W_ERROR,
-    "full": W_NO_ROOM,
-    "in_use": W_BUSY,
-    "no_such": W_UNKNOWN,
+    "done": CAUSE_DONE,
+    "halted": CAUSE_STOPPED,
+    "error": CAUSE_ERROR,
+    "full": CAUSE_NO_CAPACITY,
+    "in_use": CAUSE_IN_USE,
+    "no_such": CAUSE_UNKNOWN_TASK,
 }
 CAUSE_NAMES = {code: name for name, code in CAUSE_CODES.items()}
 
--- a/starlingdeck/scheduling/candidate_pool.py
+++ b/starlingdeck/scheduling/candidate_pool.py
@@ -93,7 +93,7 @@
             machine.lost,
             machine.draining,
             machine.termination_notice,
-            any(task.state != api.EXITED for task in machine.tasks),
+            any(task.state != api.TASK_EXITED for task in machine.tasks),
             machine.silent_s,
             machine.idle_s,
             observed_at=context.now(),
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -156,7 +156,7 @@
             )
         self.shard.dirty_jobs.add(job.index)
 
-    def end(self, *tasks: int, name: str = JOB, error: int = api.W_DONE) -> None:
+    def end(self, *tasks: int, name: str = JOB, error: int = api.CAUSE_DONE) -> None:
         job = self.job(name)
         for task in tasks:
             job.pending_ends[task] = error
@@ -424,7 +424,7 @@
     owner.client.outcomes = ["late"]
     with pytest.raises(OutcomeUnknownError):
         curio.run(owner.writer._write, [part], False)
-    owner.end(TASKS_PER_CHUNK, error=api.W_ERROR)
+    owner.end(TASKS_PER_CHUNK, error=api.CAUSE_ERROR)
     owner.flush()
     owner.client.execute_late()
     owner.start(TASKS_PER_CHUNK, machine="vm-2")
@@ -444,7 +444,7 @@
         owner.accept(name)
         owner.start(0, name=name)
     owner.flush()
-    owner.end(0, name=OTHER, error=api.W_ERROR)
+    owner.end(0, name=OTHER, error=api.CAUSE_ERROR)
     owner.flush()
     older, newer = owner.log_keys()
     rewritten = owner.shard.drafter.rewrite(owner.job(OTHER), [0], {}, {})
@@ -507,7 +507,7 @@
     with pytest.raises(StateError):
         curio.run(after.writer.reload, JOB)
     for number in range(2 * commit_log.MAX_SLOTS):
-        after.end(0, name=OTHER, error=api.W_ERROR)
+        after.end(0, name=OTHER, error=api.CAUSE_ERROR)
         after.flush(1)
         after.start(0, name=OTHER)
         after.flush(1)
--- a/tests/test_counted_resources.py
+++ b/tests/test_counted_resources.py
@@ -249,7 +249,7 @@
                  for t in j.placements if t not in j.pending_ends]  # fmt: skip
         if found:
             writer, job, task = found[pick % len(found)]
-            error = api.W_DONE if done else api.W_STOPPED
+            error = api.CAUSE_DONE if done else api.CAUSE_STOPPED
             writer.shard.end_attempt(job, task, job.placements[task], error, "exit")
 
     @rule(pick=st.integers(0, 50))
--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -83,7 +83,7 @@
         run_without_waiting(self.writers[0][1].flush())
 
     def finish(self, job: Job, task: int = 0) -> None:
-        self.shard.end_attempt(job, task, job.placements[task], api.W_DONE, "exit done")
+        self.shard.end_attempt(job, task, job.placements[task], api.CAUSE_DONE, "exit done")
 
     def total(self) -> int:
         return self.state.ledger("engine").total
@@ -313,8 +313,8 @@
     machine.lost = proof in ("lease over", "not valid")
     machine.fenced = proof != "start on its way"
     if seen:
-        state = api.EXITED if proof in ("exit", "halted") else api.ON
-        error = {"exit": api.W_DONE, "halted": api.W_STOPPED}.get(proof, api.W_NONE)
+        state = api.TASK_EXITED if proof in ("exit", "halted") else api.TASK_RUNNING
+        error = {"exit": api.CAUSE_DONE, "halted": api.CAUSE_STOPPED}.get(proof, api.CAUSE_NONE)
         machine.tasks.add(job="j-1", task=0, attempt=1, state=state, cause=error)
     return found
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -155,7 +155,7 @@
     "verbs": [api.START, api.STOP, api.REAP],
     "job_states": [api.QUEUED, api.RUNNING, api.DONE, api.CANCELLED],
     "machine_states": [api.BOOTING, api.FAILED],
-    "task_states": api.STATE_CODES,
+    "task_states": api.TASK_STATE_CODES,
     "task_causes": api.CAUSE_CODES,
     "cause_names": api.CAUSE_NAMES,
 }
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -113,7 +113,7 @@
         )
         for t in (0, 7, TASKS_PER_CHUNK + 3)
     }
-    ends = {0: api.W_DONE, 7: api.W_ERROR}
+    ends = {0: api.CAUSE_DONE, 7: api.CAUSE_ERROR}
     for t in (0, 7):
         job.placements[t], job.task_states[t], job.attempts[t] = placements[t], PLACED, 1
     late = {TASKS_PER_CHUNK + 3: placements[TASKS_PER_CHUNK + 3]}
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -129,7 +129,7 @@
     assert [d.job for d in writer.batches.select()[0]] == [high]
     high.pending_starts.clear()
     high.placements[0] = TaskPlacement(0, 1, 1, 0, 0)
-    high.pending_ends[0] = api.W_ERROR
+    high.pending_ends[0] = api.CAUSE_ERROR
     assert [d.job for d in writer.batches.select()[0]] == [high, low]
 
 
@@ -263,7 +263,7 @@
         shard.adopt(one)
     for one in ended:
         one.placements[0] = TaskPlacement(0, 1, 1, 0, 0)
-        one.pending_ends[0] = api.W_DONE
+        one.pending_ends[0] = api.CAUSE_DONE
     writer.batches.spent[cluster.team] = 50.0
     seen: list[list[Job]] = []
     for _ in range(8):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -144,7 +144,7 @@
     jobs.jobs[service.index] = service
     assert not node.planner._is_urgent()
     service.placements[0] = TaskPlacement(node.context.machine_names.intern("vm-1"), 1, 1, 2, 0)
-    jobs.end_attempt(service, 0, service.placements[0], api.W_STOPPED, "stopped")
+    jobs.end_attempt(service, 0, service.placements[0], api.CAUSE_STOPPED, "stopped")
     assert node.planner._is_urgent()
     curio.run(node.planner.run_cycle)
     assert not node.planner._is_urgent()
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -371,7 +371,7 @@
             )
             update = jobs.draft_update(job)
         elif kind == "e" and task in job.placements:
-            job.pending_ends[task] = api.W_ERROR
+            job.pending_ends[task] = api.CAUSE_ERROR
             update = jobs.draft_update(job)
         elif kind == "c" and not job.cancelled:
             update = jobs.draft_cancellation(job)
--- a/tests/test_status_answers.py
+++ b/tests/test_status_answers.py
@@ -186,7 +186,7 @@
                 node.context.zone_names.intern("a"),
             )
         if job.placements:
-            job.pending_ends[0] = api.W_DONE
+            job.pending_ends[0] = api.CAUSE_DONE
         writer.shard.dirty_jobs.add(job.index)
         try:
             await writer.flush()
