--- a/scripts/counts_proof.py
+++ b/scripts/counts_proof.py
@@ -26,8 +26,8 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path.insert(0, str(ROOT))
 
-from starlingdeck.protocol import api  # noqa: E402
-from starlingdeck.transport.client import HttpClient, NoResponseError, Reply  # noqa: E402
+from starlingdeck.protocol import api  # noqa: E402 -- needs the path above
+from starlingdeck.transport.client import HttpClient, NoResponseError, Reply  # noqa: E402 -- needs the path above
 
 RESOURCE = "tariff-engine"
 FAULT_KINDS = ("controllers", "workers", "state", "ceiling")
--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -17,12 +17,12 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[:0] = [str(ROOT), str(ROOT / "target" / "deps")]
 
-import msgspec  # noqa: E402
+import msgspec  # noqa: E402 -- needs the path above
 
-from standins.scale import report as reports  # noqa: E402
-from standins.scale.plan import Plan, Rung, load_plan  # noqa: E402
-from standins.scale.run import PortsTakenError, play_rung  # noqa: E402
-from starlingdeck.protocol.config import ConfigError  # noqa: E402
+from standins.scale import report as reports  # noqa: E402 -- needs the path above
+from standins.scale.plan import Plan, Rung, load_plan  # noqa: E402 -- needs the path above
+from standins.scale.run import PortsTakenError, play_rung  # noqa: E402 -- needs the path above
+from starlingdeck.protocol.config import ConfigError  # noqa: E402 -- needs the path above
 
 
 def print_line(text: str) -> None:
--- a/standins/scale/checker.py
+++ b/standins/scale/checker.py
@@ -3,25 +3,15 @@
 import heapq
 from collections import defaultdict
 from dataclasses import dataclass, field
-from enum import StrEnum
 from typing import NamedTuple
 
 from standins import workload
+from standins.events import EventKind
 
 EVENT_DELAY_S = 1.0  # events of different processes arrive out of order: they are sorted first
 EPSILON = 1e-6
 
 
-class EventKind(StrEnum):
-    """What happened; the first four are the words of the lines that worker hosts send."""
-
-    STARTED = "on"
-    STOPPED = "off"
-    COMPLETED = "done"
-    MACHINE_GONE = "gone"
-    JOB_REPORTED_DONE = "reported done"
-
-
 class Event(NamedTuple):
     """An event in the order of its time, then of its arrival."""
 
@@ -153,7 +143,7 @@
         if cancelled_at is not None and at > cancelled_at:
             self.late_starts.append(task)
             if at > cancelled_at + self.cancel_s:
-                self.record_violation(at, "ran_cancelled", task, f"begins on {machine}")
+                self.record_violation(at, "ran_cancelled", task, f"starts on {machine}")
 
     def task_ended(self, task: str, machine: str) -> None:
         """Records that a task is no longer on a machine."""
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -82,6 +82,7 @@
     if row.over_rate or row.state_changes >= BUSY_CORE_SHARE * write_rps:
         found.append("changes of the state service")
     if row.late_ticks > MAX_LATE_TICK_SHARE or max(row.host_cores) > BUSY_CORE_SHARE:
+        # The recorded rungs and the capacity page know the worker hosts by this name.
         found.append("hollow workers (generator)")
     if row.users_cores > BUSY_CORE_SHARE:
         found.append("users and checker (generator)")
@@ -105,7 +106,7 @@
 
 
 def format_row(row: Row) -> str:
-    """A rung as one line under `HEAD`."""
+    """A rung as one line under `ROW_HEADER`."""
     cores = row.controller_cores
     urgent, normal = row.waits.get("urgent"), row.waits.get("normal")
     return (
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -132,6 +132,7 @@
     def cloud_config(self) -> CloudConfig:
         """The settings of the cloud's process."""
         workers = self.rung.workers
+        # The machine type keeps the name that earlier reports and logs have.
         machine_type = api.MachineType(
             "hollow", float(self.plan.slots), 4.0 * self.plan.slots, ["a"], price=1.0, boot_s=1.0
         )
--- a/standins/simulated_workers.py
+++ b/standins/simulated_workers.py
@@ -29,6 +29,7 @@
     Identity,
     advance_controller,
 )
+from standins.events import EventKind
 from standins.serve import error_response, json_response, serve
 from starlingdeck.protocol import api
 from starlingdeck.protocol.config import split_address
@@ -123,7 +124,7 @@
     def apply_actions(self, actions: Actions) -> None:
         """Starts and stops the tasks that commands named."""
         for task in actions.to_stop:
-            self.host.record_event("off", task, self)
+            self.host.record_event(EventKind.STOPPED, task, self)
         now = time.monotonic()
         for task in actions.to_start:
             self.host.stats.started += 1
@@ -155,7 +156,7 @@
             return
         self.agent.task_ended(name, "done")
         self.host.completed.add(name)
-        self.host.record_event("done", name, self)
+        self.host.record_event(EventKind.COMPLETED, name, self)
         self.report_soon(time.monotonic())
 
     def report_soon(self, now: float) -> None:
@@ -221,20 +222,20 @@
     def expire_lease(self, now: float) -> None:
         """Ends the session if its lease has expired."""
         for task in self.agent.expire_lease(now, self.host.config.lease_s):
-            self.host.record_event("off", task, self)
+            self.host.record_event(EventKind.STOPPED, task, self)
             self.report_soon(now)
 
     def power_off(self) -> None:
         """Ends all tasks; the machine no longer answers or sends heartbeats."""
         if not self.powered_off:
             self.powered_off = True
-            self.host.record_event("gone", "-", self)
+            self.host.record_event(EventKind.MACHINE_GONE, "-", self)
 
     def restart(self) -> None:
         """Restarts the machine at once, without its tasks; no effect on a powered-off one."""
         if self.powered_off:
             return
-        self.host.record_event("gone", "-", self)
+        self.host.record_event(EventKind.MACHINE_GONE, "-", self)
         now = time.monotonic()
         self.agent.restart(now)
         self.report_soon(now)
@@ -288,16 +289,16 @@
 
     # --- events for the checker
 
-    def record_event(self, kind: str, task: str, machine: SimulatedWorker) -> None:
+    def record_event(self, kind: EventKind, task: str, machine: SimulatedWorker) -> None:
         """Queues one event for the checker."""
         self.event_lines.append(f"{time.monotonic():.6f} {kind} {task} {machine.name}\n")
 
     def task_started(self, task: str, machine: SimulatedWorker) -> None:
         """Records a started task; a host configured as broken reports a second machine too."""
-        self.record_event("on", task, machine)
+        self.record_event(EventKind.STARTED, task, machine)
         if self.config.broken and len(self.machines) > 1:
             other = next(known for known in self.machines.values() if known is not machine)
-            self.record_event("on", task, other)
+            self.record_event(EventKind.STARTED, task, other)
 
     async def send_events_loop(self) -> None:
         """Sends queued events to the checker."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: its checker, its plans, and the stand-ins that it plays against."""
+"""The scale run: its checker, its plans, and the test doubles that it runs against."""
 
 import socket
 import subprocess
@@ -44,10 +44,10 @@
 
 # --- the checker
 
-STORIES: list[tuple[str, list[str], str]] = [
+EVENT_CASES: list[tuple[str, list[str], str]] = [
     ("one machine", ["1 on T vm-1", "2 done T vm-1"], ""),
     ("twice", ["1 on T vm-1", "2 on T vm-2"], "ran_twice"),
-    ("told out of order", ["2 on T vm-2", "1 on T vm-1"], "ran_twice"),
+    ("received out of order", ["2 on T vm-2", "1 on T vm-1"], "ran_twice"),
     ("after its end", ["1 on T vm-1", "3 on T vm-2", "2 off T vm-1"], ""),
     ("its machine is gone", ["1 on T vm-1", "2 gone - vm-1", "3 on T vm-2"], ""),
     ("another machine is gone", ["1 on T vm-1", "2 gone - vm-3", "3 on T vm-2"], "ran_twice"),
@@ -60,17 +60,19 @@
     return Checker(cancel_s=40.0, team_cpus_max=2.0)
 
 
-@pytest.mark.parametrize(("lines", "rule"), [s[1:] for s in STORIES], ids=[s[0] for s in STORIES])
-def test_what_workers_tell_is_held_against_the_rules(lines: list[str], rule: str) -> None:
-    checked = checker()
+@pytest.mark.parametrize(
+    ("lines", "rule"), [s[1:] for s in EVENT_CASES], ids=[s[0] for s in EVENT_CASES]
+)
+def test_workers_events_are_checked_against_the_rules(lines: list[str], rule: str) -> None:
+    run_checker = checker()
     names = {"T": TASK, "U": f"{JOB}/1", "V": f"{JOB}/2", "-": "-"}
     for line in lines:
         at, what, task, machine = line.split()
-        checked.receive_event(f"{at} {what} {names[task]} {machine}")
-    checked.evaluate(100.0)
-    assert [one.rule for one in checked.violations] == ([rule] if rule else [])
+        run_checker.receive_event(f"{at} {what} {names[task]} {machine}")
+    run_checker.evaluate(100.0)
+    assert [violation.rule for violation in run_checker.violations] == ([rule] if rule else [])
     if rule:
-        text = str(checked.violations[0])
+        text = str(run_checker.violations[0])
         assert JOB in text
         assert "vm-" in text
 
@@ -87,77 +89,79 @@
 def test_a_cancelled_job_is_gone_in_time(
     gone_at: float, starts_at: float | None, rules: list[str], late: int
 ) -> None:
-    checked = checker()
-    checked.receive_event(f"1 on {TASK} vm-1")
-    checked.report_cancelled(JOB, 10.0)
-    checked.receive_event(f"{gone_at} off {TASK} vm-1")
+    run_checker = checker()
+    run_checker.receive_event(f"1 on {TASK} vm-1")
+    run_checker.report_cancelled(JOB, 10.0)
+    run_checker.receive_event(f"{gone_at} off {TASK} vm-1")
     if starts_at is not None:
-        checked.receive_event(f"{starts_at} on {TASK} vm-2")
-    checked.evaluate(100.0)
-    assert [one.rule for one in checked.violations] == rules
-    assert len(checked.late_starts) == late
+        run_checker.receive_event(f"{starts_at} on {TASK} vm-2")
+    run_checker.evaluate(100.0)
+    assert [violation.rule for violation in run_checker.violations] == rules
+    assert len(run_checker.late_starts) == late
 
 
 @pytest.mark.parametrize(("done_at", "rules"), [(9.0, []), (11.0, ["not_done"])])
 def test_a_job_is_called_done_after_its_tasks(done_at: float, rules: list[str]) -> None:
-    """What the user heard may come to the checker before what the worker tells."""
-    checked = checker()
-    checked.report_done(JOB, 1, 10.0)
-    checked.receive_event(f"1 on {TASK} vm-1")
-    checked.receive_event(f"{done_at} done {TASK} vm-1")
-    checked.evaluate(100.0)
-    assert [one.rule for one in checked.violations] == rules
+    """The user's event may reach the checker before the worker's."""
+    run_checker = checker()
+    run_checker.report_done(JOB, 1, 10.0)
+    run_checker.receive_event(f"1 on {TASK} vm-1")
+    run_checker.receive_event(f"{done_at} done {TASK} vm-1")
+    run_checker.evaluate(100.0)
+    assert [violation.rule for violation in run_checker.violations] == rules
 
 
-def host(broken: bool = False) -> WorkerHost:
+def make_host(broken: bool = False) -> WorkerHost:
     config = HostConfig("", "", 20, 9000, {"n-0": "127.0.0.1:1"}, 1.0, 10.0, 0.1, 1, broken)
-    made = WorkerHost(config)
+    worker_host = WorkerHost(config)
     for number in range(2):
-        asked = StartRequest(f"vm-{number}", "hollow", "a", False, 2)
-        made.machines[asked.name] = SimulatedWorker(made, asked, "127.0.0.1:2")
-    return made
+        request = StartRequest(f"vm-{number}", "hollow", "a", False, 2)
+        worker_host.machines[request.name] = SimulatedWorker(worker_host, request, "127.0.0.1:2")
+    return worker_host
 
 
-def go_on(made: WorkerHost) -> None:
+def run_all_timers(worker_host: WorkerHost) -> None:
     """All timers, however far off."""
-    while made.timers:
-        made.timers.sort()
-        made.timers.pop(0)[2]()
+    while worker_host.timers:
+        worker_host.timers.sort()
+        worker_host.timers.pop(0)[2]()
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_a_worker_that_runs_tasks_twice_is_seen(broken: bool) -> None:
+def test_a_worker_that_runs_tasks_twice_is_detected(broken: bool) -> None:
     """The whole way from a command to the rule; the other half shows that the checker can fail."""
-    made = host(broken)
-    machine = made.machines["vm-0"]
+    worker_host = make_host(broken)
+    machine = worker_host.machines["vm-0"]
     orders = api.Commands(3, 1, [api.Command(api.START, TASK, 1)])
     actions = machine.agent.handle_commands(orders)
     assert actions is not None
     machine.apply_actions(actions)
-    go_on(made)
-    checked = checker()
-    for line in made.event_lines:
-        checked.receive_event(line)
-    checked.evaluate(1e12)
-    assert [one.rule for one in checked.violations] == (["ran_twice"] if broken else [])
-    assert checked.starts == 1
-    assert checked.finished == {TASK}
+    run_all_timers(worker_host)
+    run_checker = checker()
+    for line in worker_host.event_lines:
+        run_checker.receive_event(line)
+    run_checker.evaluate(1e12)
+    assert [violation.rule for violation in run_checker.violations] == (
+        ["ran_twice"] if broken else []
+    )
+    assert run_checker.starts == 1
+    assert run_checker.finished == {TASK}
 
 
 def test_a_machine_without_power_is_not_restarted() -> None:
-    """It came back to life after the cloud had answered for its deletion: a task ran on, and was
-    rightly begun elsewhere."""
-    made = host()
-    machine = made.machines["vm-0"]
+    """It restarted after the cloud had confirmed its deletion: a task ran on that had rightly been
+    started elsewhere."""
+    worker_host = make_host()
+    machine = worker_host.machines["vm-0"]
     machine.power_off()
     machine.restart()
     assert machine.powered_off
-    assert [line.split()[1] for line in made.event_lines] == ["gone"]
+    assert [line.split()[1] for line in worker_host.event_lines] == ["gone"]
 
 
-# --- hollow workers follow the protocol
+# --- simulated workers follow the protocol
 
-START, STOP, FORGET = api.START, api.STOP, api.REAP
+START, STOP, REAP = api.START, api.STOP, api.REAP
 COMMANDS: list[tuple[str, list[tuple[str, int]], list[tuple[int, str, str | None]]]] = [
     ("start", [(START, 1)], [(1, "fetching", None)]),
     ("repeated", [(START, 1), (START, 1)], [(1, "fetching", None)]),
@@ -165,8 +169,8 @@
     ("stopped", [(START, 1), (STOP, 1)], [(1, "exited", "halted")]),
     ("another attempt after", [(START, 1), (STOP, 1), (START, 2)], [(2, "fetching", None)]),
     ("the former attempt stopped", [(START, 1), (STOP, 0)], [(1, "fetching", None)]),
-    ("forgotten", [(START, 1), (STOP, 1), (FORGET, 1)], []),
-    ("not forgotten while it runs", [(START, 1), (FORGET, 1)], [(1, "fetching", None)]),
+    ("reaped", [(START, 1), (STOP, 1), (REAP, 1)], []),
+    ("not reaped while it runs", [(START, 1), (REAP, 1)], [(1, "fetching", None)]),
 ]
 
 
@@ -178,45 +182,45 @@
     ("commands", "left"), [c[1:] for c in COMMANDS], ids=[c[0] for c in COMMANDS]
 )
 def test_commands(commands: list[tuple[str, int]], left: list[tuple[int, str, str | None]]) -> None:
-    one = agent()
-    one.execute([api.Command(op, TASK, attempt) for op, attempt in commands])
-    assert [(t.attempt, t.state, t.exit_cause) for t in one.tasks.values()] == left
+    worker = agent()
+    worker.execute([api.Command(op, TASK, attempt) for op, attempt in commands])
+    assert [(t.attempt, t.state, t.exit_cause) for t in worker.tasks.values()] == left
 
 
-def test_a_full_machine_refuses_and_says_so() -> None:
-    one = agent()
+def test_a_full_machine_refuses_with_the_cause() -> None:
+    worker = agent()
     other = f"{JOB}/1"
-    one.execute([api.Command(START, TASK, 1), api.Command(START, other, 1)])
-    assert one.tasks[other].exit_cause == "full"
+    worker.execute([api.Command(START, TASK, 1), api.Command(START, other, 1)])
+    assert worker.tasks[other].exit_cause == "full"
 
 
 @pytest.mark.parametrize(
     ("token", "session", "taken"), [(5, 1, True), (6, 1, True), (4, 1, False), (5, 2, False)]
 )
 def test_tokens_and_sessions(token: int, session: int, taken: bool) -> None:
-    one = agent()
-    one.token = 5
+    worker = agent()
+    worker.token = 5
     start = [api.Command(START, TASK, 1)]
-    assert (one.handle_commands(api.Commands(token, session, start)) is not None) == taken
-    assert bool(one.tasks) == taken
-    two = agent()
-    two.token = 5
+    assert (worker.handle_commands(api.Commands(token, session, start)) is not None) == taken
+    assert bool(worker.tasks) == taken
+    other_worker = agent()
+    other_worker.token = 5
     assert (
-        two.handle_report_reply(api.ReportReply(token, start), session, 9.0) is not None
+        other_worker.handle_report_reply(api.ReportReply(token, start), session, 9.0) is not None
     ) == taken
-    assert two.last_answered_at == (9.0 if taken else 0.0)
+    assert other_worker.last_answered_at == (9.0 if taken else 0.0)
 
 
 def test_a_lease_that_is_over_ends_the_session_and_all_tasks() -> None:
-    one = agent()
-    one.execute([api.Command(START, TASK, 1)])
-    assert one.expire_lease(10.0, 10.0) == []
-    assert one.session == 1
-    assert one.expire_lease(10.1, 10.0) == [TASK]
-    assert one.session == 2
-    assert not one.tasks
-    tally = one.build_report().seq
-    assert one.build_report().seq == tally + 1
+    worker = agent()
+    worker.execute([api.Command(START, TASK, 1)])
+    assert worker.expire_lease(10.0, 10.0) == []
+    assert worker.session == 1
+    assert worker.expire_lease(10.1, 10.0) == [TASK]
+    assert worker.session == 2
+    assert not worker.tasks
+    sequence = worker.build_report().seq
+    assert worker.build_report().seq == sequence + 1
 
 
 # --- plans
@@ -243,8 +247,8 @@
     path.write_text(text)
     with pytest.raises(ConfigError) as error:
         load_plan(path)
-    told = "\n".join(error.value.lines)
-    assert all(one in told for one in faults), told
+    text_of_errors = "\n".join(error.value.lines)
+    assert all(fault in text_of_errors for fault in faults), text_of_errors
 
 
 def test_the_plans_that_are_there_can_be_played() -> None:
@@ -280,15 +284,18 @@
         InjectedFault(Fault(5.0, "state"), 5.0),
     ]
     found = injector.recoveries(0.0)
-    assert [(one.running_least, one.again_s) for one in found] == [(4, 1.0), (0, 2.0)]
+    assert [(recovery.running_least, recovery.again_s) for recovery in found] == [
+        (4, 1.0),
+        (0, 2.0),
+    ]
 
 
 def test_a_row_is_the_difference_of_two_snapshots(tmp_path: Path) -> None:
     plan = Plan([Rung(5, 1, name="small")])
     site = Site(plan, plan.rungs[0], tmp_path)
-    checked = checker()
-    users = WorkloadGenerator(plan.users, site.public, checked, 1)
-    measurement = RungMeasurement(site, checked, users, FaultInjector(site, checked, 1))
+    run_checker = checker()
+    users = WorkloadGenerator(plan.users, site.public, run_checker, 1)
+    measurement = RungMeasurement(site, run_checker, users, FaultInjector(site, run_checker, 1))
     cpu = {"n-0": 1.0, "state": 0.0, "host-0": 0.0, "users": 0.0}
     ports = {port: Traffic(100, 100, 1) for port in site.ports()}
     first = CounterSnapshot(10.0, cpu, StateStats(put={"c": 1}), [HostStats()], 0, 0, 0, ports)
@@ -332,7 +339,7 @@
     ("fields", "failed"),
     [({}, False), ({"broken": ["x"]}, True), ({"unanswered_jobs": ["j"]}, True)],
 )
-def test_a_summary_says_what_broke(fields: dict[str, Any], failed: bool) -> None:
+def test_a_summary_names_broken_rules(fields: dict[str, Any], failed: bool) -> None:
     text = "\n".join(reports.summary(row(**fields)))
     assert reports.failed(row(**fields)) == failed
     assert ("no rule broken" in text) != failed
@@ -349,8 +356,8 @@
     return int(reply.status)
 
 
-def puts(many: int, size: int = 1, prefix: str = "a/") -> list[dict[str, Any]]:
-    return [{"set": f"{prefix}{i:05d}", "value": "x" * size} for i in range(many)]
+def puts(count: int, size: int = 1, prefix: str = "a/") -> list[dict[str, Any]]:
+    return [{"set": f"{prefix}{i:05d}", "value": "x" * size} for i in range(count)]
 
 
 @pytest.mark.parametrize(
@@ -388,7 +395,7 @@
     assert [rate.take() for _ in range(11)] == [True] * 10 + [False]
 
 
-def test_lists_come_in_pages_by_count_and_by_bytes() -> None:
+def test_pages_of_a_list_are_limited_by_count_and_by_bytes() -> None:
     state = StateService(StateLimits())
     for first in range(0, 1500, 50):
         changes = [{"set": f"a/{first + i:05d}", "value": 1} for i in range(50)]
@@ -421,7 +428,7 @@
     assert state.stats.refused == 1
 
 
-def test_keys_go_with_their_lease_and_watchers_hear_of_it() -> None:
+def test_keys_are_deleted_with_their_lease_and_watches_report_it() -> None:
     state = StateService(StateLimits())
 
     async def drive() -> tuple[int, list[str | None]]:
@@ -430,11 +437,11 @@
         changes = [{"set": "c/n", "value": 1, "permit": lease}]
         body = msgspec.json.encode({"when": [], "apply": changes})
         await state.handle(Request("POST", api.TXN, body))
-        lapse = await curio.spawn(state.expire_leases, daemon=True)
+        expiry = await curio.spawn(state.expire_leases, daemon=True)
         query = f"{api.WATCH}?prefix=c/&after={state.revision}&block_ms=3000"
-        told = msgspec.json.decode((await state.handle(Request("GET", query, b""))).body)
-        await lapse.cancel()
-        return len(state.entries), [e.get("delete") for e in told["events"]]
+        watched = msgspec.json.decode((await state.handle(Request("GET", query, b""))).body)
+        await expiry.cancel()
+        return len(state.entries), [event.get("delete") for event in watched["events"]]
 
     assert curio.run(drive) == (0, ["c/n"])
 
@@ -443,12 +450,16 @@
 
 
 @pytest.mark.parametrize("kind", [workload.ARRAY, workload.SERVICE, workload.ONE_TASK])
-def test_an_id_says_what_its_job_is(kind: int) -> None:
+def test_an_id_encodes_its_job(kind: int) -> None:
     name = workload.job_id(kind, 339, 12.5, 42)
     assert api.JOB_ID.fullmatch(name)
-    told = workload.parse_job_id(name)
-    assert (told.kind, told.team, told.service) == (kind, 339, kind == workload.SERVICE)
-    if not told.service:
+    description = workload.parse_job_id(name)
+    assert (description.kind, description.team, description.service) == (
+        kind,
+        339,
+        kind == workload.SERVICE,
+    )
+    if not description.service:
         runs = [workload.task_run_s(f"{name}/{i}") for i in range(200)]
         assert 12.5 * 0.7 <= min(runs) < max(runs) <= 12.5 * 1.3
         assert runs == [workload.task_run_s(f"{name}/{i}") for i in range(200)]
@@ -460,7 +471,7 @@
 
 
 def bind_below(sock: socket.socket, limit: int) -> int:
-    """Bind to the highest free port under `most`, which no outgoing connection has."""
+    """Bind to the highest free port under `limit`, which no outgoing connection has."""
     for port in range(limit - 1, limit - 1000, -1):
         try:
             sock.bind(("127.0.0.1", port))
@@ -471,7 +482,7 @@
 
 
 def test_a_run_whose_ports_are_taken_is_refused_before_it_starts(tmp_path: Path) -> None:
-    """Two runs at once: the second said only that its state service had ended by itself."""
+    """Two runs at once: the second reported only that its state service had ended by itself."""
     plan = tmp_path / "plan.toml"
     with socket.socket() as other:
         port = bind_below(other, 30_000)
