--- a/standins/scale/users.py
+++ b/standins/scale/users.py
@@ -22,6 +22,8 @@
 RETRY_S = 1.0
 ANSWER_DEADLINE_S = 75.0
 SERVICE_REPLICAS = 2
+ACCEPTED_STATUSES = (200, 201)
+REFUSED_STATUSES = (400, 404, 422)  # repeating the submission has no effect
 TERMINAL_STATES = (api.DONE, api.CANCELLED)
 
 
@@ -127,25 +129,13 @@
         except NoResponseError:
             self.unanswered += 1
             return None
-        self.refused += reply.status not in (200, 201)
+        self.refused += reply.status not in ACCEPTED_STATUSES
         return reply
 
     async def submit(self, job: SubmittedJob) -> None:
-        """Submits a job until it is accepted, then follows it."""
+        """Submits a job until it is accepted, then follows it to its end."""
         body = self.submission_body(job)
-        while not job.accepted_at and not self.stopped:
-            self.submissions += 1
-            reply = await self.request("POST", api.JOBS, body, SUBMIT_TIMEOUT_S)
-            if reply is not None and reply.status in (200, 201):
-                job.accepted_at = job.last_answered_at = time.monotonic()
-                self.accept_latencies.append(job.accepted_at - job.submitted_at)
-                self.jobs[job.id] = self.unfinished[job.id] = job
-            elif reply is not None and reply.status in (400, 404, 422):
-                self.record_violation("refused for ever", job, reply)
-                return
-            else:
-                await curio.sleep(max(RETRY_S, (reply.retry_after or 0.0) if reply else 0.0))
-        if not job.accepted_at:
+        if not await self.submit_until_accepted(job, body):
             return
         if self.rng.random() < self.plan.repeated:
             await self.request("POST", api.JOBS, body, SUBMIT_TIMEOUT_S)
@@ -154,6 +144,22 @@
             cancel_at = job.accepted_at + self.rng.uniform(0.0, 1.5 * self.plan.run_s)
         await self.follow(job, cancel_at)
 
+    async def submit_until_accepted(self, job: SubmittedJob, body: bytes) -> bool:
+        """Repeats a submission; False when it was refused for good or the run has stopped."""
+        while not self.stopped:
+            self.submissions += 1
+            reply = await self.request("POST", api.JOBS, body, SUBMIT_TIMEOUT_S)
+            if reply is not None and reply.status in ACCEPTED_STATUSES:
+                job.accepted_at = job.last_answered_at = time.monotonic()
+                self.accept_latencies.append(job.accepted_at - job.submitted_at)
+                self.jobs[job.id] = self.unfinished[job.id] = job
+                return True
+            if reply is not None and reply.status in REFUSED_STATUSES:
+                self.record_violation("refused for ever", job, reply)
+                return False
+            await curio.sleep(max(RETRY_S, (reply.retry_after or 0.0) if reply else 0.0))
+        return False
+
     async def follow(self, job: SubmittedJob, cancel_at: float) -> None:
         """Polls until the job has ended."""
         while job.state not in TERMINAL_STATES and not self.stopped:
