--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -426,7 +426,7 @@
 
 
 def test_log_written_with_the_same_changes_has_the_same_keys_and_bytes() -> None:
-    """By two holders one after the other: the second takes the next slot of the ring."""
+    """By two owners one after the other: the second takes the next slot of the ring."""
     stored: dict[str, api.Entry] = {}
     names = list(LOG.jobs)
     log: CommitLog | None = None
@@ -446,7 +446,7 @@
 
 
 def taken_over_log(token: int, stored: dict[str, api.Entry], names: list[str]) -> CommitLog:
-    """A new holder's log, of which no job's record holds anything yet."""
+    """A new owner's log, of which no job's record has anything yet."""
     log = CommitLog(SHARD, token, VALUE_BYTES)
     view = commit_log.read_segments(stored.values())
     log.adopt(view)
