--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -66,6 +66,7 @@
         listener = await curio.spawn(curio.tcp_server, *address, self.receive_events, daemon=True)
         tasks = [listener]
         try:
+            await curio.sleep(0)  # the listener listens before a worker host can connect
             await self.site.start_all()
             run_started_at = time.monotonic()
             evaluation = await curio.spawn(self.evaluate_loop)
