--- a/starlingdeck/controller/metrics_report.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -68,7 +68,7 @@
 def reachability_lines(shards: Mapping[int, MachineShard]) -> Iterator[str]:
     """For each machine shard: machines that our messages don't reach, and unanswered heartbeats."""
     for shard, machines in shards.items():
-        unreachable_s = machines.unreachable_counts()
+        unreachable_s = machines.unreachable_ages_s()
         yield (
             f"machine reachability: shard={shard} machines={len(machines.machines)} "
             f"unreachable={len(unreachable_s)} "
--- a/starlingdeck/machines/machine_shard.py
+++ b/starlingdeck/machines/machine_shard.py
@@ -200,6 +200,6 @@
         """The shard of a task's job."""
         return self.state.shard_of_task(key)
 
-    def unreachable_counts(self) -> list[float]:
+    def unreachable_ages_s(self) -> list[float]:
         """For each machine that reports but seems to receive nothing: for how long, in seconds."""
         return self.leases.unreachable_ages_s()
--- a/starlingdeck/machines/scoring.py
+++ b/starlingdeck/machines/scoring.py
@@ -68,7 +68,7 @@
             return image_gb / self.fetch_gb_per_s * len(self.fetching) / 2
         return image_gb / self.fetch_gb_per_s * (1 + len(self.fetching))
 
-    def lost_s(self, rank: int, now: float) -> float:
+    def preemption_loss_s(self, rank: int, now: float) -> float:
         """The run time lost by preempting work below a rank; NO_PREEMPTIBLE_WORK_S if none."""
         ran = [age for age in self.youngest_s[:rank] if age >= 0]
         return min(ran) + now - self.observed_at if ran else NO_PREEMPTIBLE_WORK_S
--- a/starlingdeck/scheduling/preemption.py
+++ b/starlingdeck/scheduling/preemption.py
@@ -76,7 +76,7 @@
 
     def cost(candidate: Candidate) -> tuple[float, float]:
         return round(
-            fetch_s(candidate) + LOST_RUN_WEIGHT * candidate.lost_s(job.spec.rank, now)
+            fetch_s(candidate) + LOST_RUN_WEIGHT * candidate.preemption_loss_s(job.spec.rank, now)
         ), rng.random()
 
     costs = {candidate.index: cost(candidate) for candidate in candidates}
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -216,7 +216,7 @@
     got = preemption.cheapest_preemptions(urgent, candidates, now, context.rng)
     # Machine 1 only runs work of rank 2, which a task of rank 2 doesn't preempt.
     assert [candidate.index for candidate in got[:2]] == [2, 0]
-    assert candidates[2].lost_s(2, now) == 8.0
+    assert candidates[2].preemption_loss_s(2, now) == 8.0
 
 
 def test_replicas_do_not_pile_up_on_the_machine_with_the_fastest_fetch() -> None:
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -200,13 +200,13 @@
             pair.report(session=1 + second // 10, token=first)
     assert tokens <= 3
     assert not machines.is_schedulable(machine)
-    assert max(machines.unreachable_counts()) > 20.0
+    assert max(machines.unreachable_ages_s()) > 20.0
     assert job.pending_ends  # its session ended: proven
     # Once it answers it is used again.
     pair.token = machines.token
     pair.report(session=5, answer=True)
     assert machines.is_schedulable(machine)
-    assert machines.unreachable_counts() == []
+    assert machines.unreachable_ages_s() == []
 
 
 @pytest.mark.parametrize("sign", ["two unanswered commands", "a new session", "silence"])
