--- a/starlingdeck/machines/__init__.py
+++ b/starlingdeck/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Machine shards: reports, reachability, commands, reservations, snapshots; placement scores."""
+"""Machine shards: reports, reachability, commands, reservations, snapshots, placement scores."""
--- a/starlingdeck/machines/commands.py
+++ b/starlingdeck/machines/commands.py
@@ -1,4 +1,4 @@
-"""Builds the commands to a shard's workers, and notes how they were answered."""
+"""Builds the commands for a shard's workers and records how they were answered."""
 
 import logging
 
@@ -9,7 +9,7 @@
 
 log = logging.getLogger(__name__)
 
-# Consecutive unanswered commands after which starts go only with the answers to reports.
+# Consecutive unanswered commands after which starts are sent only in the answers to reports.
 MAX_UNANSWERED_COMMANDS = 2
 UNANSWERED_BACKOFF_S = 0.5  # for each consecutive command without an answer
 MAX_UNANSWERED_BACKOFF_S = 3.0
@@ -17,14 +17,14 @@
 
 
 class CommandBuilder:
-    """Stops, reaps and starts for the machines of a shard."""
+    """Builds stop, reap and start commands for the machines of a shard."""
 
     def __init__(self, state: ShardState, desired: DesiredStateTracker) -> None:
         self.state = state
         self.desired = desired
 
     def pending(self, machine: Machine, reaps: bool) -> list[api.Command]:
-        """The stops and reaps that the newest report calls for; starts go by `commands_for`."""
+        """Return the stops and reaps that the newest report calls for."""
         if machine.reconciled:
             return []
         find_desired, is_synced = self.desired.find, self.desired.is_synced
@@ -56,10 +56,11 @@
         return commands
 
     def piggybacked_starts(self, machine: Machine) -> list[api.Command]:
-        """Starts for a worker that reports but doesn't answer commands.
+        """Return the starts to send in the answer to a report, counting them as delivered.
 
-        They may go with the answer to its report: a worker executes answers in order and drops
-        late ones, and reaps go the same way, so no start can follow its own reap.
+        Used for a worker that reports but doesn't answer commands. A worker executes answers in
+        order and drops late ones, and reaps are sent the same way, so no start can follow its own
+        reap.
         """
         if (
             machine.unanswered_commands < MAX_UNANSWERED_COMMANDS
@@ -78,12 +79,13 @@
         return commands
 
     def commands_for(self, machine: Machine, starts: bool) -> api.Commands:
-        """What to send to a worker now. Launches are counted as delivered before they are sent."""
+        """Return what to send to a worker now, counting the starts in it as delivered."""
         token = self.state.token
         if machine.new_incarnation_session:
             return api.Commands(token, machine.new_incarnation_session, machine.orphan_stops)
         commands = [c for c in self.pending(machine, starts) if c.op != api.REAP]
-        # A start without an answer raises the token for all: not repeatedly for one machine.
+        # An unanswered start raises the token of the whole shard. One machine that doesn't answer
+        # must not cause that repeatedly.
         if starts and machine.unanswered_commands < MAX_UNANSWERED_COMMANDS:
             commands += self._direct_starts(machine)
         return api.Commands(token, machine.session - machine.prior_sessions, commands)
@@ -113,7 +115,7 @@
         return desired is not None and not desired.stop and self.desired.is_confirmed(key)
 
     def on_unanswered(self, machine: Machine, sent: api.Commands, maybe_sent: bool) -> None:
-        """Commands got no answer; if they were sent they may act at any later time."""
+        """Record that commands got no answer; if they were sent, they may act at any later time."""
         state = self.state
         starts = any(c.op == api.START for c in sent.commands)
         if maybe_sent and starts and sent.session == machine.session - machine.prior_sessions:
@@ -127,5 +129,5 @@
         machine.retry_at = state.context.now() + min(backoff_s, MAX_UNANSWERED_BACKOFF_S)
 
     def on_rejected(self, machine: Machine) -> None:
-        """The worker answered 409: nothing was executed."""
+        """Schedule a retry after the worker answered 409, which means it executed nothing."""
         machine.retry_at = self.state.context.now() + REJECTED_BACKOFF_S
--- a/starlingdeck/machines/descheduling.py
+++ b/starlingdeck/machines/descheduling.py
@@ -1,4 +1,4 @@
-"""Chooses the tasks that a shard's machines give up: descheduling (DESIGN 3)."""
+"""Descheduling (DESIGN 3): chooses the tasks that are to leave a shard's machines."""
 
 from starlingdeck.context import fits
 from starlingdeck.interning import split_key
@@ -9,20 +9,23 @@
 from starlingdeck.protocol.api import MachineType
 
 ESTIMATE_MARGIN = 1.2  # a job's run time may exceed its estimate by a fifth
-LAST_SAVE_MARGIN_S = 2.0  # before a termination, beyond the time to save
-LAST_SAVE_SHARE = 0.1  # of the time left, beyond the time to save
+# Before a termination, the last save starts when the time left falls below the time to save plus
+# both of these margins, a fixed one and a share of the time left.
+LAST_SAVE_MARGIN_S = 2.0
+LAST_SAVE_TIME_LEFT_SHARE = 0.1
 
 
 class Descheduler:
-    """Marks tasks as descheduled; their job shards place them elsewhere."""
+    """Marks tasks as descheduled, so that their job shards place them elsewhere."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
 
     def run(self) -> None:
-        """Choose for each changed machine: what breaks a constraint, then by tabu search.
+        """Choose the tasks to deschedule on changed machines and those with a termination notice.
 
-        A termination notice breaks the constraint of all tasks that won't end in time.
+        A termination notice breaks a constraint of every task that won't end in time, so these
+        are chosen. On the other machines a tabu search resolves overcommitment.
         """
         state, context = self.state, self.state.context
         now = context.now()
@@ -34,7 +37,7 @@
             if not context.is_quarantined("machine", machine.name):
                 try:
                     self._deschedule(machine, now)
-                except Exception as error:  # the outermost edge for one machine: others go on
+                except Exception as error:  # one machine must not stop the others
                     context.quarantine_failed("machine", machine.name, error)
 
     def _deschedule(self, machine: Machine, now: float) -> None:
@@ -54,25 +57,31 @@
     def _ending_too_late(
         self, machine: Machine, live: dict[int, ObservedTask], termination_at: float, now: float
     ) -> set[int]:
-        """The tasks that won't end before the machine is taken away."""
+        """Return the tasks that won't end before the machine is taken away.
+
+        Those that must save now are also marked for eviction.
+        """
         chosen: set[int] = set()
-        left = termination_at - now
+        time_left_s = termination_at - now
         for key, observed in live.items():
             info = self.state.jobs.get(split_key(key)[0])
             if info is None:
                 continue
-            remaining = info.estimate_s * ESTIMATE_MARGIN - (now - observed.state_since)
-            if info.service or observed.state == api.TASK_FETCHING or remaining > left:
+            remaining_s = info.estimate_s * ESTIMATE_MARGIN - (now - observed.state_since)
+            if info.service or observed.state == api.TASK_FETCHING or remaining_s > time_left_s:
                 chosen.add(key)
-            last_save_s = info.save_s + LAST_SAVE_MARGIN_S + LAST_SAVE_SHARE * left
-            if info.checkpoint_s > 0 and left < last_save_s:
-                # Not placed elsewhere in time: at least its progress is saved.
+            last_save_s = info.save_s + LAST_SAVE_MARGIN_S + LAST_SAVE_TIME_LEFT_SHARE * time_left_s
+            if info.checkpoint_s > 0 and time_left_s < last_save_s:
+                # It was not placed elsewhere in time: evict it so that it saves its progress.
                 machine.evictions.setdefault(key, info.save_s + SAVE_MARGIN_S)
                 self.state.schedule_reconcile(machine.index)
         return chosen
 
     def _overcommitted(self, machine: Machine, live: dict[int, ObservedTask]) -> set[int]:
-        """The tasks that make an overcommitted machine fit, by what its report shows alone."""
+        """Return tasks whose removal makes the others fit on an overcommitted machine.
+
+        Only tasks in its report count, not pending launches or reservations.
+        """
         total = self.state.capacity(machine)
         if total is None or machine.lost:
             return set()
@@ -87,9 +96,10 @@
         if fits(use, total):
             return set()
         context = self.state.context
-        kind, now = context.machine_types[machine.type], context.now()
+        machine_type, now = context.machine_types[machine.type], context.now()
         tasks = [
-            _running_task(key, observed, infos[key], kind, now) for key, observed in live.items()
+            _running_task(key, observed, infos[key], machine_type, now)
+            for key, observed in live.items()
         ]
         tuning = context.tuning
         return set(
@@ -105,9 +115,11 @@
 
 
 def _running_task(
-    key: int, observed: ObservedTask, info: JobInfo, kind: MachineType, now: float
+    key: int, observed: ObservedTask, info: JobInfo, machine_type: MachineType, now: float
 ) -> tabu_search.RunningTask:
-    fetch_s = info.image_gb / kind.fetch_gb_per_s if kind.fetch_gb_per_s > 0 else 0.0
+    fetch_s = (
+        info.image_gb / machine_type.fetch_gb_per_s if machine_type.fetch_gb_per_s > 0 else 0.0
+    )
     ran_s = now - observed.state_since if observed.state == api.TASK_RUNNING else 0.0
     cost = tabu_search.move_cost(ran_s, info.checkpoint_s > 0, info.checkpoint_s, fetch_s)
     return tabu_search.RunningTask(key, info.size, cost)
--- a/starlingdeck/machines/desired_state.py
+++ b/starlingdeck/machines/desired_state.py
@@ -1,4 +1,4 @@
-"""What the job shards want to run on the machines of a shard."""
+"""Tracks which tasks the job shards want to run on the machines of a shard."""
 
 import math
 
@@ -11,10 +11,10 @@
 
 
 class DesiredStateTracker:
-    """The desired states of all job shards, and how recent each of them is.
+    """Holds the desired state of each job shard, and how recent it is.
 
-    `desired_tasks` is by job shard, machine and task key. A mark is the token and sequence number
-    of a desired state message.
+    `desired_tasks` is keyed by job shard, machine and task key. A version is the token and
+    sequence number of a desired state message.
     """
 
     def __init__(self, state: ShardState, faults: FaultDetector) -> None:
@@ -22,24 +22,27 @@
         self.faults = faults
         self.desired_tasks: dict[int, dict[int, dict[int, DesiredTask]]] = {}
         self.protected_tasks: set[int] = set()  # not to be preempted
-        self.received_seqs: dict[int, tuple[int, int]] = {}  # job shard -> the last mark received
-        # The last marks whose every task has been reconciled. Only these are acknowledged: a task
-        # that was not considered yet would pass for refused.
+        self.received_seqs: dict[int, tuple[int, int]] = {}  # job shard -> last version
+        # The last versions whose every task has been reconciled. Only these are acknowledged: a
+        # task that has not been considered yet would be taken for refused.
         self.applied_seqs: dict[int, tuple[int, int]] = {}
-        # Job shard -> watermark: all cancellations made before then are in its desired state.
+        # Job shard -> watermark: its desired state includes all cancellations made before then.
         self.watermarks: dict[int, float] = {}
 
     def apply(self, message: pb.DesiredState) -> bool:
-        """Take a job shard's desired state, or its changes.
+        """Apply a job shard's desired state, in full or as changes.
 
-        False when the message is for another ownership of this shard, old, or doesn't follow the
-        last one: then the full state is to be requested.
+        Return False when the message is for another ownership of this shard, is out of date, or
+        doesn't follow the last one. The full state must then be requested.
         """
-        # A message made for an earlier owner may come late: it could name finished tasks.
-        mark, last = (message.from_token, message.seq), self.received_seqs.get(message.from_shard)
-        if message.to_epoch != self.state.epoch or (last is not None and mark < last):
+        # A message built for an earlier owner may arrive late and name finished tasks.
+        version, last = (
+            (message.from_token, message.seq),
+            self.received_seqs.get(message.from_shard),
+        )
+        if message.to_epoch != self.state.epoch or (last is not None and version < last):
             return False
-        if mark == last:
+        if version == last:
             return True
         if message.full:
             self._clear(message.from_shard)
@@ -49,7 +52,7 @@
         jobs = [self.learn_job(job) for job in message.jobs]
         self._remove_tasks(table, message)
         self._add_tasks(table, message, jobs)
-        self.received_seqs[message.from_shard] = mark
+        self.received_seqs[message.from_shard] = version
         if message.watermark_ms:
             before = self.watermarks.get(message.from_shard, 0.0)
             self.watermarks[message.from_shard] = max(before, message.watermark_ms / 1000)
@@ -97,7 +100,7 @@
             self.state.schedule_reconcile(index)
 
     def learn_job(self, job: pb.Job) -> int:
-        """Take a job's attributes; returns its index."""
+        """Record a job's attributes and return its index."""
         state = self.state
         index = state.context.job_names.intern(job.id)
         if index not in state.jobs and state.awaiting_job_info:
@@ -111,32 +114,32 @@
         return index
 
     def find(self, machine: int, key: int) -> DesiredTask | None:
-        """What is wanted of a task on a machine."""
+        """Return the desired state of a task on a machine; None if it is not desired there."""
         table = self.desired_tasks.get(self.state.shard_of_task(key))
         tasks = table.get(machine) if table else None
         return tasks.get(key) if tasks else None
 
     def latest_session(self, machine: int) -> int:
-        """The latest session of a machine that any desired state names; 0: none."""
+        """Return the latest session of a machine that any desired state names, or 0."""
         tables = (table.get(machine, {}) for table in self.desired_tasks.values())
         return max((desired.session for tasks in tables for desired in tasks.values()), default=0)
 
     def machines(self) -> set[int]:
-        """All machines that any desired state names."""
+        """Return all machines that any desired state names."""
         return {m for table in self.desired_tasks.values() for m in table}
 
     def task_keys(self) -> set[int]:
-        """All tasks that any desired state names."""
+        """Return all tasks that any desired state names."""
         tables = self.desired_tasks.values()
         return {key for table in tables for tasks in table.values() for key in tasks}
 
     def watermark_age_s(self, machine: Machine) -> float:
-        """The age of the oldest watermark among the job shards with tasks on a machine.
+        """Return the age of the oldest watermark among the job shards with tasks on a machine.
 
-        Infinite when one of them has sent none yet. A user is told of a cancellation once no job
-        owner can be unaware of it, without waiting for the owner whose desired state is applied
-        here: its leases may be renewed for as long as its own link to the state service lasts,
-        while the controllers that know of the cancellation crash or are cut off from it.
+        It is infinite when one of them has sent none yet. A user is told of a cancellation once no
+        job owner can be unaware of it, without waiting for the owner whose desired state is applied
+        here: that owner's leases may be renewed for as long as its own link to the state service
+        lasts, while the controllers that know of the cancellation crash or are cut off from it.
         """
         context = self.state.context
         now = context.now()
@@ -151,13 +154,13 @@
         return max(ages, default=0.0)
 
     def is_confirmed(self, key: int) -> bool:
-        """Whether the watermark of a task's job shard is recent enough to start the task."""
+        """Return whether the watermark of a task's job shard is recent enough to start the task."""
         watermark = self.watermarks.get(self.state.shard_of_task(key), -math.inf)
         context = self.state.context
         return context.now() - watermark <= context.watermark_lifetime_s
 
     def is_synced(self, key: int) -> bool:
-        """Whether the desired state of a task's job shard has been received."""
+        """Return whether the desired state of a task's job shard has been received."""
         return self.state.shard_of_task(key) in self.received_seqs
 
 
--- a/starlingdeck/machines/fault_detection.py
+++ b/starlingdeck/machines/fault_detection.py
@@ -1,4 +1,4 @@
-"""Marks machines faulty by the failures of their tasks, and clears the mark again."""
+"""Marks machines as faulty by the failures of their tasks, and clears the mark again."""
 
 import logging
 
@@ -9,7 +9,7 @@
 
 log = logging.getLogger(__name__)
 
-ATTEMPT_BITS = 32  # an attempt's key: the task's key, and its attempt number in the low bits
+ATTEMPT_BITS = 32  # low bits of an attempt key: the attempt number; the rest is the task key
 
 
 class FaultDetector:
@@ -20,7 +20,7 @@
         self.failures = FailureAttribution(state.context.tuning.sick_errors)
 
     def observe(self, machine: Machine, job: int, key: int, observed: ObservedTask) -> None:
-        """Take a task's new state on a machine."""
+        """Record the outcome of a task that exited, and re-evaluate its machine."""
         if observed.state != api.TASK_EXITED:
             return
         if observed.cause == api.CAUSE_DONE:
@@ -31,25 +31,29 @@
             self._evaluate(machine)
 
     def learn_job(self, job: int, evidence: int) -> None:
-        """Take what a job's owner knows of it, and re-evaluate the faulty machines."""
+        """Record what a job's owner knows of it; if it is new, re-evaluate the faulty machines."""
         if self.failures.learn(job, evidence):
             for faulty in [m for m in self.state.machines.values() if m.faulty_since is not None]:
                 self._evaluate(faulty)
 
     def _evaluate(self, machine: Machine) -> None:
-        """Mark a machine faulty or not.
+        """Set or clear a machine's faulty mark.
 
-        Machines marked by jobs of which little is known are limited to a share of the shard: a
-        flood of jobs that fail everywhere may not take all machines.
+        Jobs of which nothing is known can mark only a share of the shard's machines: a flood of
+        jobs that fail everywhere must not take all of them out of use.
         """
         faulty = self.failures.is_faulty(machine.index)
-        if faulty and not machine.faulty_since and not self.failures.is_certain(machine.index):
+        if (
+            faulty
+            and not machine.faulty_since
+            and not self.failures.is_certainly_faulty(machine.index)
+        ):
             machines = self.state.machines
             others = sum(m.faulty_since is not None for m in machines.values())
             faulty = others < max(1, len(machines) * MAX_UNCERTAIN_FAULTY_SHARE)
         if faulty is (machine.faulty_since is not None):
             return
         machine.faulty_since = self.state.context.now() if faulty else None
-        fact = "machine marked faulty" if faulty else "machine fault cleared"
-        log.info("%s: machine=%s", fact, machine.name)
+        event = "machine marked faulty" if faulty else "machine fault cleared"
+        log.info("%s: machine=%s", event, machine.name)
         self.state.mark_changed(machine.index)
--- a/starlingdeck/machines/lease_monitor.py
+++ b/starlingdeck/machines/lease_monitor.py
@@ -1,4 +1,4 @@
-"""Expires the leases of a shard's machines, and asks for the tokens that fence starts."""
+"""Expires the leases of a shard's machines, and decides when to raise the shard's token."""
 
 import logging
 
@@ -8,12 +8,12 @@
 
 EXPIRY_CHECK_INTERVAL_S = 0.2
 TOKEN_RAISE_INTERVAL_S = 5.0  # between tokens raised only to see which machines receive them
-RECENT_MESSAGE_S = 3.0  # a machine without a message for so long isn't waited for
-FAULTY_DRAIN_DELAY_S = 10.0  # (start) a faulty machine is not returned sooner
+RECENT_MESSAGE_S = 3.0  # a machine silent for longer is not waited for
+FAULTY_DRAIN_DELAY_S = 10.0  # leaves time for other jobs to succeed on a faulty machine
 
 
 class LeaseMonitor:
-    """Watches the time since the machines' last messages."""
+    """Tracks the time since the machines' last messages and lease renewals."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
@@ -30,10 +30,10 @@
         lease_expiry_s = state.context.lease_expiry_s
         for machine in state.machines.values():
             silent_s = now - machine.lease_granted_at
-            # One without our token may still be answered by the former owner: one of its reports
-            # came to us, our answer got lost, and it went back there.
-            ours_alone = machine.token >= state.base_token or now > state.former_leases_end_at
-            if not machine.lost and silent_s > lease_expiry_s and ours_alone:
+            # A machine without our token may still be answered by the former owner: one of its
+            # reports came to us, our answer was lost, and it went back there.
+            only_ours = machine.token >= state.base_token or now > state.former_leases_end_at
+            if not machine.lost and silent_s > lease_expiry_s and only_ours:
                 machine.lost = True
                 machine.pending_launches.clear()
                 state.mark_changed(machine.index)
@@ -47,10 +47,10 @@
                 state.mark_changed(machine.index)
 
     def needs_new_token(self) -> bool:
-        """Whether the shard's token is to be raised.
+        """Return whether the shard's token is to be raised.
 
-        A start without an answer must be fenced before its task can be called gone; and a machine
-        that answers no command proves by reporting a later token that it receives our answers.
+        An unanswered start must be fenced before its task can be declared gone. And a machine that
+        answers no command proves by reporting a later token that it receives our answers.
         """
         state = self.state
         now = state.context.now()
@@ -64,19 +64,22 @@
             for machine in state.machines.values()
         ):
             return True
-        unanswering = now >= self.next_raise_at and any(
+        raise_for_proof = now >= self.next_raise_at and any(
             machine.unconfirmed_since is not None
             and machine.unanswered_commands
             and machine.token >= state.token
             for machine in live
         )
-        if unanswering:
+        if raise_for_proof:
             self.next_raise_at = now + TOKEN_RAISE_INTERVAL_S
-        return unanswering
+        return raise_for_proof
 
     def unreachable_ages_s(self) -> list[float]:
-        """For each machine that reports but seems to receive nothing for longer than a lease: for
-        how long."""
+        """Return for how many seconds each unreachable machine has been unreachable.
+
+        A machine is unreachable when it reports but has not proved for longer than a lease that it
+        receives our messages.
+        """
         state = self.state
         now = state.context.now()
         ages = [
--- a/starlingdeck/machines/machine.py
+++ b/starlingdeck/machines/machine.py
@@ -1,4 +1,4 @@
-"""The record of a machine at its shard's owner: last report, tasks, launches, reservations."""
+"""What a shard's owner records of a machine: last report, tasks, launches, reservations."""
 
 from typing import Protocol
 
@@ -20,7 +20,7 @@
 
     @property
     def rank(self) -> int:
-        """Its priority rank; the higher preempts the lower."""
+        """Its priority rank; a higher rank preempts a lower one."""
 
     @property
     def guaranteed(self) -> bool:
@@ -28,7 +28,7 @@
 
 
 class JobInfo(Struct):
-    """What the owner of a machine must know of a job with tasks there. Times in seconds."""
+    """What the owner of a machine must know of a job with tasks there. Times are in seconds."""
 
     team: int
     rank: int
@@ -78,7 +78,10 @@
 
 
 class Machine(Reachability, kw_only=True):
-    """A machine of a shard. Tasks are keyed by `interning.task_key`; times are steady seconds."""
+    """A machine of a shard.
+
+    Tasks are keyed by `interning.task_key`. Times are in seconds of the controller's steady clock.
+    """
 
     index: int
     name: str
@@ -86,16 +89,17 @@
     type: int
     zone: int
     spot: bool
-    termination_at: float | None = None  # when the cloud takes it away, once it has given notice
+    termination_at: float | None = None  # when the cloud takes it away; None: no notice
     tasks: dict[int, ObservedTask] = field(default_factory=dict)
     pending_launches: dict[int, PendingLaunch] = field(default_factory=dict)
-    orphan_stops: list[api.Command] = field(default_factory=list)  # for an incarnation not begun
+    # Stops for tasks of the incarnation that `new_incarnation_session` names.
+    orphan_stops: list[api.Command] = field(default_factory=list)
     reservations: dict[int, Reservation] = field(default_factory=dict)
     refused_attempts: set[tuple[int, int]] = field(default_factory=set)  # task key and attempt
     evictions: dict[int, float] = field(default_factory=dict)  # task key -> seconds to save
     descheduled: set[int] = field(default_factory=set)
     images: dict[str, float] = field(default_factory=dict)  # image -> when last known to be used
-    # The highest token of a start without an answer, which may still act; 0: none.
+    # The highest token of an unanswered start that may still act; 0: none.
     unconfirmed_token: int = 0
     piggybacked_at: float = -1e9  # when starts last went out in the answer to a report
     lost: bool = False
@@ -112,11 +116,13 @@
 def may_preempt(
     new: PreemptionAttributes, running: PreemptionAttributes, quota_pressure: bool
 ) -> bool:
-    """Whether a new job may preempt a running one (PROTOCOL, "Preemption").
+    """Return whether a new job may preempt a running one (PROTOCOL, "Preemption").
 
-    It may by higher rank, or by a guarantee against another team's use beyond its own. Work of
-    higher rank gives way to a guarantee only under quota pressure: before that there may be lower
-    work to preempt elsewhere, and a stopped service is missed at once.
+    It may if its rank is higher, unless the running job is within another team's guarantee and the
+    new one is not within its own. It may also if it is within its team's guarantee and the running
+    job is beyond the guarantee of another team. But running work of higher rank gives way to a
+    guarantee only under quota pressure: before that there may be work of lower rank to preempt
+    elsewhere, and a stopped service is missed at once.
     """
     if new.rank > running.rank:
         return new.team == running.team or new.guaranteed or not running.guaranteed
