--- a/starlingdeck/machines/machine_shard.py
+++ b/starlingdeck/machines/machine_shard.py
@@ -1,8 +1,9 @@
 """A machine shard: its workers' reports, the commands to them, and its capacity.
 
-The job shards send their desired state here; reports show the actual state. `reconcile` works out
+The job shards send their desired state here; reports show the actual state. `reconcile` computes
 the difference and may be repeated at any time. What the machines report goes back to the job
-shards in snapshots. Both go as differences, and work here is done for the machines that changed.
+shards in snapshots. Desired states and snapshots are sent as changes, and only the machines that
+changed are processed.
 """
 
 from starlingdeck.context import ControllerContext
@@ -31,7 +32,7 @@
     def __init__(
         self, context: ControllerContext, shard: int, token: int, epoch: int, wait_s: float
     ) -> None:
-        """`wait_s`: for how long a former owner may still renew the leases of workers."""
+        """`wait_s`: for how many seconds a former owner may still renew the leases of workers."""
         self.context = context
         self.shard = shard
         self.epoch = epoch
@@ -47,11 +48,11 @@
         self.leases = LeaseMonitor(self.state)
         self.publisher = SnapshotPublisher(self.state, self.desired)
         self.machines = self.state.machines
-        self.unconfirmed_reports = 0  # refused for want of a recent watermark of a job shard
+        self.unconfirmed_reports = 0  # refused: a job shard had no recent watermark
 
     @property
     def token(self) -> int:
-        """The fencing token of the commands, which may rise while the shard is owned."""
+        """The fencing token of the commands; it may rise while the shard is owned."""
         return self.state.token
 
     @token.setter
@@ -65,17 +66,17 @@
 
     @property
     def to_reconcile(self) -> set[int]:
-        """The machines due for reconciling."""
+        """The machines that are due to be reconciled."""
         return self.state.to_reconcile
 
     @property
     def jobs(self) -> dict[int, JobInfo]:
-        """What is known of the jobs with tasks here."""
+        """The attributes of the jobs with tasks here, by job index."""
         return self.state.jobs
 
     @property
     def deleted_machines(self) -> dict[int, float]:
-        """The machines deleted lately, and when."""
+        """The machines deleted recently, and when."""
         return self.state.deleted_machines
 
     @property
@@ -95,51 +96,51 @@
 
     @property
     def stale_reports(self) -> int:
-        """How many stale reports have come."""
+        """The number of stale reports received."""
         return self.reports.stale_reports
 
     # --- reports and commands
 
     def is_stale_report(self, report: api.Report) -> bool:
-        """Whether a report is stale and must not be answered with 200; see `ReportIntake`."""
+        """Return whether a report is stale and not to be answered with 200; see `ReportIntake`."""
         return self.reports.is_stale(report)
 
     def apply_report(
         self, report: api.Report, renews: bool, sent_position: tuple[int, int] | None = None
     ) -> Machine:
-        """Take a report, or the answer to a command (`renews` False); see `ReportIntake`."""
+        """Apply a report, or the answer to a command (`renews` False); see `ReportIntake`."""
         return self.reports.apply(report, renews, sent_position)
 
     def pending_commands(self, machine: Machine, reaps: bool) -> list[api.Command]:
-        """The stops and reaps that the newest report calls for."""
+        """Return the stops and reaps that the newest report calls for."""
         return self.commands.pending(machine, reaps)
 
     def piggybacked_starts(self, machine: Machine) -> list[api.Command]:
-        """Starts to send with the answer to a report."""
+        """Return the starts to send in the answer to a report."""
         return self.commands.piggybacked_starts(machine)
 
     def commands_for(self, machine: Machine, starts: bool) -> api.Commands:
-        """What to send to a worker now."""
+        """Return what to send to a worker now."""
         return self.commands.commands_for(machine, starts)
 
     def on_command_unanswered(
         self, machine: Machine, commands: api.Commands, maybe_sent: bool
     ) -> None:
-        """Commands got no answer; if they were sent they may act at any later time."""
+        """Record that commands got no answer; if they were sent, they may act at any later time."""
         self.commands.on_unanswered(machine, commands, maybe_sent)
 
     def on_command_rejected(self, machine: Machine) -> None:
-        """The worker answered 409: nothing was executed."""
+        """Schedule a retry after the worker answered 409, which means it executed nothing."""
         self.commands.on_rejected(machine)
 
     # --- desired state and reservations
 
     def apply_desired_state(self, message: pb.DesiredState) -> bool:
-        """Take a job shard's desired state; False when the full state is to be requested."""
+        """Apply a job shard's desired state; return False when the full state must be requested."""
         return self.desired.apply(message)
 
     def watermark_age_s(self, machine: Machine) -> float:
-        """The age of the oldest watermark among the job shards with tasks on a machine."""
+        """Return the age of the oldest watermark among the job shards with tasks on a machine."""
         return self.desired.watermark_age_s(machine)
 
     def reserve(self, message: pb.ReserveRequest) -> pb.ReserveReply:
@@ -153,53 +154,53 @@
         self.leases.expire()
 
     def deschedule(self) -> None:
-        """Choose the tasks that changed machines give up."""
+        """Choose the tasks that are to leave the changed machines."""
         self.descheduler.run()
 
     def reconcile(self) -> list[Machine]:
-        """Turn desired state into launches or refusals; returns machines with commands due."""
+        """Turn desired state into launches or refusals; return the machines with commands due."""
         return self.reconciler.run()
 
     def prune(self) -> None:
-        """Forget the jobs and deleted machines that left no trace here."""
+        """Forget the jobs that nothing here refers to, and the machines deleted long ago."""
         self.reconciler.prune()
 
     def needs_new_token(self) -> bool:
-        """Whether the shard's token is to be raised."""
+        """Return whether the shard's token is to be raised."""
         return self.leases.needs_new_token()
 
     # --- snapshots
 
     def snapshot_update(self, valid: bool) -> pb.Snapshot:
-        """What has changed since the last snapshot."""
+        """Return a snapshot of what has changed since the last one."""
         return self.publisher.update(valid)
 
     def full_snapshot(self, valid: bool) -> pb.Snapshot:
-        """Everything, for a new follower."""
+        """Return a snapshot of the whole shard, for a new follower."""
         return self.publisher.full(valid)
 
     # --- machines
 
     def mark_changed(self, index: int) -> None:
-        """A machine changed: it is to be reconciled and published."""
+        """Schedule a machine to be reconciled and published."""
         self.state.mark_changed(index)
 
     def mark_deleted(self, name: str) -> None:
-        """The cloud has confirmed the deletion: the machine and everything on it are gone."""
+        """Record that the cloud has deleted a machine: it and everything on it are gone."""
         self.state.mark_deleted(name)
 
     def is_deleted(self, name: str) -> bool:
-        """Whether a machine is known to be deleted."""
+        """Return whether a machine is known to be deleted."""
         return self.state.is_deleted(name)
 
     def is_schedulable(self, machine: Machine) -> bool:
-        """Whether new tasks may be placed on a machine."""
+        """Return whether new tasks may be placed on a machine."""
         return self.state.is_schedulable(machine)
 
     def shard_of_task(self, key: int) -> int:
-        """The shard of a task's job."""
+        """Return the shard of a task's job."""
         return self.state.shard_of_task(key)
 
     def unreachable_ages_s(self) -> list[float]:
-        """For each machine that reports but seems to receive nothing: for how long, in seconds."""
+        """Return for how many seconds each unreachable machine has been unreachable."""
         return self.leases.unreachable_ages_s()
--- a/starlingdeck/machines/preemption.py
+++ b/starlingdeck/machines/preemption.py
@@ -27,13 +27,13 @@
     observed: ObservedTask
     info: JobInfo
 
-    def order(self) -> tuple[bool, int, float, int]:
-        """Sorts surplus work before guaranteed, then by rank, then the youngest first."""
+    def sort_key(self) -> tuple[bool, int, float, int]:
+        """Return a sort key: work beyond a guarantee first, then by rank, then the newest first."""
         return (self.info.guaranteed, self.info.rank, -self.observed.state_since, self.key)
 
 
 class Preemptor:
-    """Chooses and marks the tasks to evict; the commands follow from the marks."""
+    """Chooses the tasks to evict and records them in `Machine.evictions`."""
 
     def __init__(self, state: ShardState, desired: DesiredStateTracker) -> None:
         self.state = state
@@ -42,14 +42,15 @@
     def evict_for(
         self, machine: Machine, info: JobInfo, free: list[float], message: pb.ReserveRequest
     ) -> bool:
-        """Evict tasks until one of the job fits; returns whether evictions under way suffice.
+        """Evict tasks until a task of the job fits; return whether it will then fit.
 
-        Where saving would outlast what the new task may wait, the old is stopped without: it
-        restarts from its last checkpoint, which loses about as much as saving takes.
+        Evictions already under way count. If saving would take longer than the new task may wait,
+        the old one is stopped without saving. It then restarts from its last checkpoint, which
+        loses about as much time as saving takes.
         """
         left, victims = self._candidates(machine, info, free, message.quota_pressure)
         chosen: list[Victim] = []
-        for victim in sorted(victims, key=Victim.order):
+        for victim in sorted(victims, key=Victim.sort_key):
             if fits(info.size, left):
                 break
             chosen.append(victim)
@@ -63,7 +64,7 @@
     def _candidates(
         self, machine: Machine, info: JobInfo, free: list[float], quota_pressure: bool
     ) -> tuple[list[float], list[Victim]]:
-        """What will be free once the evictions under way are over, and who may be next."""
+        """Return what is free after the evictions under way, and the tasks that may be evicted."""
         jobs, protected = self.state.jobs, self.desired.protected_tasks
         left = list(free)
         victims: list[Victim] = []
--- a/starlingdeck/machines/reachability.py
+++ b/starlingdeck/machines/reachability.py
@@ -1,4 +1,4 @@
-"""What a controller knows of the two directions of its link to a machine. Pure.
+"""Tracks both directions of a controller's link to a machine. Does no I/O.
 
 A machine's reports come to its controller; answers and commands go to the machine. Each direction
 may fail alone, copies of reports arrive late, and a machine may restart within its lease and count
@@ -9,18 +9,19 @@
 
 from msgspec import Struct
 
-# (start) of the reporting machines: when more are unreachable at once, the network is to blame.
+# If more than this share of the reporting machines is unreachable at once, the network is at
+# fault.
 MASS_UNREACHABLE_SHARE = 0.05
-MIN_RELEASABLE = 2  # (start) machines that may be released however small the fleet is
-MIN_UNCONFIRMED_S = 0.001  # keeps a machine that has just become unconfirmed apart from the others
+MIN_RELEASABLE_MACHINES = 2  # may be released however small the fleet is
+MIN_UNCONFIRMED_S = 0.001  # tells a machine that just became unconfirmed from a confirmed one
 
 
 class HeartbeatOrder(Enum):
-    """A message's position among the messages that came from its machine before."""
+    """The order of a message among the messages that its machine sent before."""
 
-    NEWER = 1  # newer than all before
-    OVERTAKEN = 2  # a report that another message has overtaken: its answer only renews the lease
-    STALE = 3  # a copy, or of another incarnation of the machine: it proves nothing
+    NEWER = 1  # newer than all that arrived before
+    OVERTAKEN = 2  # a report overtaken by another message: its answer only renews the lease
+    STALE = 3  # a copy, or from another incarnation of the machine: it proves nothing
 
 
 class Reachability(Struct, kw_only=True):
@@ -32,11 +33,11 @@
     """
 
     last_message_at: float  # when the newest message arrived
-    # No lease of the machine began later: a lease counts from the sending of a report, and that
-    # of a new session from the session's beginning.
+    # No lease of the machine began later than this. A lease counts from the sending of a report,
+    # and that of a new session from the beginning of the session.
     lease_granted_at: float
     last_heartbeat_at: float  # when the newest report arrived; command answers renew no lease
-    # Since when nothing proves that the machine receives our messages; None: it does.
+    # Since when it is not proved that the machine receives our messages; None: it is proved.
     unconfirmed_since: float | None = None
     session: int = 0
     seq: int = 0
@@ -44,38 +45,38 @@
     prior_sessions: int = 0
     last_heartbeat: tuple[int, int] = (0, 0)  # own session and number of the newest report
     unanswered_commands: int = 0  # consecutive commands without an answer
-    # A message of another incarnation came: only the answer to a command tells which is current.
+    # A message may be of another incarnation: only the answer to a command tells which is current.
     probe_needed: bool = False
     probed_at: float = 0.0
-    # The session of an incarnation that an answer has shown, until the commands sent to the one
-    # before are fenced; 0: none.
+    # The session of a new incarnation shown by the answer to a command, until the commands sent to
+    # the incarnation before are fenced; 0: none.
     new_incarnation_session: int = 0
 
     @property
     def needs_probe(self) -> bool:
-        """Whether a command is to be sent only to see whether it is answered."""
+        """Whether a command is to be sent just to see whether it is answered."""
         return self.unconfirmed_since is not None or self.probe_needed
 
     def position(self) -> tuple[int, int]:
-        """The newest message's session and number, by the machine's own count."""
+        """Return the newest message's session and number, by the machine's own count."""
         return (self.session - self.prior_sessions, self.seq)
 
     def classify(self, session: int, seq: int, token: int, is_report: bool) -> HeartbeatOrder:
-        """The order of a message among those before; `is_report`: not the answer to a command.
+        """Return the order of a message among those before it.
 
-        Within one incarnation tokens only rise, so a message of an earlier incarnation is
-        recognised by its lower token.
+        `is_report` is False for the answer to a command. Within one incarnation tokens only rise,
+        so a message of an earlier incarnation is recognised by its lower token.
         """
         if (session, seq) > self.position():
             return HeartbeatOrder.NEWER if token >= self.token else HeartbeatOrder.STALE
-        # Were every report to renew the lease, late copies would keep a lost machine alive.
+        # If every report renewed the lease, late copies would keep a lost machine alive.
         fresh = is_report and (session, seq) > self.last_heartbeat
         return HeartbeatOrder.OVERTAKEN if fresh else HeartbeatOrder.STALE
 
     def is_new_incarnation(
         self, sent_position: tuple[int, int] | None, session: int, seq: int
     ) -> bool:
-        """Whether the answer to a command shows a new incarnation of the machine.
+        """Return whether the answer to a command shows a new incarnation of the machine.
 
         `sent_position` is the position known when the command was sent. The answer was made later,
         and within one incarnation numbers only rise. A report with low numbers proves nothing:
@@ -84,18 +85,18 @@
         return sent_position is not None and (session, seq) < sent_position
 
     def begin_incarnation(self, session: int) -> int:
-        """Switch to a new incarnation; returns its first session, counted over all of them."""
+        """Switch to a new incarnation; return its session, counted over all incarnations."""
         self.prior_sessions = self.session
         self.new_incarnation_session = 0
         self.probe_needed = False
         self.last_heartbeat = (0, 0)
         return session + self.prior_sessions
 
-    def catch_up(self, desired_session: int) -> bool:
-        """Adopt the session that the desired state names, if it is later than the known one.
+    def adopt_session(self, desired_session: int) -> bool:
+        """Adopt the session that the desired state names, if it is later; return whether it was.
 
-        The machine then restarted under a former owner of its shard, and only that owner knew of
-        the earlier incarnations. The newest message is known to be of the current one.
+        If so, the machine has restarted under a former owner of its shard, and only that owner
+        knew of the earlier incarnations. The newest message is known to be of the current one.
         """
         if desired_session <= self.session:
             return False
@@ -104,10 +105,10 @@
         return True
 
     def unconfirmed_s(self, now: float, within_s: float) -> float:
-        """For how long a reporting machine has not proved that it receives our messages.
+        """Return for how many seconds the machine has not proved that it receives our messages.
 
-        0 for a machine that has proved it, or has sent nothing for `within_s`. In a snapshot the
-        figure is as of the snapshot's time.
+        Return 0 if it has, or if the machine has sent nothing for `within_s`. In a snapshot
+        the value is as of the snapshot's time.
         """
         if self.unconfirmed_since is None or now - self.last_message_at > within_s:
             return 0.0
@@ -115,10 +116,10 @@
 
 
 def releasable_count(unreachable: int, reporting: int) -> int:
-    """How many unreachable machines may be returned to the cloud now.
+    """Return how many unreachable machines may be returned to the cloud now.
 
-    When many are unreachable at once (a zone, half the fleet), the network is to blame and
-    replacements would be unreachable too: then none.
+    Return 0 when many are unreachable at once (a zone, half the fleet): then the network is at
+    fault and replacements would be unreachable too.
     """
-    limit = max(MIN_RELEASABLE, int(reporting * MASS_UNREACHABLE_SHARE))
+    limit = max(MIN_RELEASABLE_MACHINES, int(reporting * MASS_UNREACHABLE_SHARE))
     return unreachable if unreachable <= limit else 0
--- a/starlingdeck/machines/reconciler.py
+++ b/starlingdeck/machines/reconciler.py
@@ -1,4 +1,4 @@
-"""Turns the desired state of a shard's machines into launches, refusals and commands due."""
+"""Compares desired and reported tasks of a shard's machines; decides launches and refusals."""
 
 from starlingdeck.interning import split_key
 from starlingdeck.machines.desired_state import DesiredStateTracker
@@ -8,8 +8,8 @@
 from starlingdeck.protocol import api
 
 PIGGYBACK_TIMEOUT_S = 5.0  # a worker waits 4 s for the answer to its report
-FULL_RECONCILE_INTERVAL_S = 2.0  # between reconciling all machines, changed or not
-PRUNE_INTERVAL_S = 60.0  # between forgetting the jobs that left no trace here
+FULL_RECONCILE_INTERVAL_S = 2.0  # between runs over all machines, changed or not
+PRUNE_INTERVAL_S = 60.0  # between prunings of jobs that nothing here refers to
 PROBE_INTERVAL_S = 0.5  # between probes of one machine after a message of another incarnation
 MAX_PROBES = 32  # commands in flight at once that only probe a machine
 
@@ -17,8 +17,8 @@
 class Reconciler:
     """Compares the desired state with what the machines report; may be repeated at any time.
 
-    Work is done for the machines that changed. All are reconciled once in a while, so that a
-    change that was not marked is late, not lost.
+    Only machines that changed are reconciled. All are reconciled from time to time, so that a
+    change that was not marked is handled late instead of never.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self.next_prune_at = state.context.now() + PRUNE_INTERVAL_S
 
     def run(self) -> list[Machine]:
-        """Reconcile the machines due; returns those with something to send."""
+        """Reconcile the machines due; return those to which something is to be sent."""
         state, context = self.state, self.state.context
         now = context.now()
         if now >= self.next_full_run_at:
@@ -44,7 +44,7 @@
         due, state.to_reconcile = state.to_reconcile | self.to_recheck, set()
         self.to_recheck = set()
         found = [state.machines[i] for i in due if i in state.machines]
-        # Commands without an answer would take the connections that the state service needs.
+        # Unanswered probes would use up the connections that the state service needs.
         probes_left = MAX_PROBES - sum(m.command_in_flight and m.needs_probe for m in found)
         to_send: list[Machine] = []
         for machine in found:
@@ -57,30 +57,33 @@
         return to_send
 
     def _try_reconcile(self, machine: Machine, now: float) -> bool:
-        """Reconcile one machine; what fails stays due, for nothing there may be called absent."""
+        """Reconcile one machine; return whether something is to be sent to it now.
+
+        A machine whose reconciling fails stays due, because its tasks must not be taken for absent.
+        """
         context = self.state.context
         if context.is_quarantined("machine", machine.name):
             self.state.to_reconcile.add(machine.index)
             return False
         try:
             return self._reconcile(machine, now)
-        except Exception as error:  # the outermost edge for one machine: others go on
+        except Exception as error:  # one machine must not stop the others
             context.quarantine_failed("machine", machine.name, error)
             self.state.to_reconcile.add(machine.index)
             return False
 
     def _reconcile(self, machine: Machine, now: float) -> bool:
-        """Returns whether something is to be sent to the machine now."""
+        """Reconcile one machine; return whether something is to be sent to it now."""
         state = self.state
         for key in [k for k, r in machine.reservations.items() if r.expires_at < now]:
             del machine.reservations[key]
             state.schedule_publish(machine)
-        if (machine.lost or machine.token >= state.base_token) and machine.catch_up(
+        if (machine.lost or machine.token >= state.base_token) and machine.adopt_session(
             self.desired.latest_session(machine.index)
         ):
             state.schedule_publish(machine)
         stops = not machine.lost and (self._compare(machine, now) | _has_evictions(machine))
-        # A lost machine may have restarted with low numbers: only an answer tells.
+        # A lost machine may have restarted and count from 1 again: only an answer shows it.
         probe = machine.probe_needed and machine.probed_at <= now
         if probe:
             machine.probed_at = now + PROBE_INTERVAL_S
@@ -91,7 +94,7 @@
         return send and not machine.command_in_flight and machine.retry_at <= now
 
     def _compare(self, machine: Machine, now: float) -> bool:
-        """Compare the desired with the reported tasks; returns whether any is to be stopped."""
+        """Compare the desired with the reported tasks; return whether any is to be stopped."""
         stops = False
         to_run: set[int] = set()
         for table in self.desired.desired_tasks.values():
@@ -121,7 +124,7 @@
         observed: ObservedTask | None,
         now: float,
     ) -> None:
-        """Launch a desired task, or refuse it for want of capacity."""
+        """Launch a desired task, or refuse it if there is no capacity."""
         if (
             observed is not None and observed.attempt == desired.attempt
         ) or desired.session != machine.session:
@@ -134,12 +137,13 @@
         if reservation is not None or state.has_capacity_for(machine, info):
             machine.pending_launches[key] = PendingLaunch(desired.attempt, now)
         else:
-            # A refusal stands while the task is desired: the job shard may free the task on it.
+            # A refusal stands while the attempt is desired: the job shard may release the
+            # placement because of it.
             machine.refused_attempts.add((key, desired.attempt))
         state.schedule_publish(machine)
 
     def _drop_launches(self, machine: Machine, to_run: set[int]) -> None:
-        """Drop launches that are not desired any more, once their starts can't act any more."""
+        """Drop launches that are no longer desired, once their starts can no longer act."""
         for key, launch in list(machine.pending_launches.items()):
             if key in to_run:
                 continue
@@ -155,8 +159,11 @@
                 self.state.schedule_publish(machine)
 
     def prune(self) -> None:
-        """Forget the jobs that no desired state names and no machine shows, and the machines
-        deleted long ago. A desired state or a reservation that names a job describes it again."""
+        """Forget the jobs that nothing here refers to, and the machines deleted long ago.
+
+        A desired state or a reservation that names a job also describes it, so a forgotten job
+        becomes known again.
+        """
         keys = self.desired.task_keys()
         for machine in self.state.machines.values():
             keys.update(
--- a/starlingdeck/machines/report_intake.py
+++ b/starlingdeck/machines/report_intake.py
@@ -1,4 +1,4 @@
-"""Takes the reports of a shard's machines, and the answers to its commands."""
+"""Applies the reports of a shard's machines, and their answers to commands."""
 
 import logging
 
@@ -13,9 +13,9 @@
 
 
 class ReportIntake:
-    """Updates the machines of a shard by what they report.
+    """Updates the machines of a shard from their reports.
 
-    Most reports say what the one before said: that path is kept short.
+    Most reports repeat the one before, so that path is kept short.
     """
 
     def __init__(self, state: ShardState, faults: FaultDetector) -> None:
@@ -24,9 +24,9 @@
         self.stale_reports = 0
 
     def is_stale(self, report: api.Report) -> bool:
-        """Whether a report is a copy, of a former incarnation, or of a deleted machine.
+        """Return whether a report is a copy, of a former incarnation, or of a deleted machine.
 
-        It is not to be answered with 200: the answer could pass for a renewal of the lease.
+        Such a report must not be answered with 200, which could be taken for a lease renewal.
         """
         state = self.state
         index = state.context.machine_names.find(report.machine)
@@ -48,9 +48,9 @@
     def apply(
         self, report: api.Report, renews: bool, sent_position: tuple[int, int] | None = None
     ) -> Machine:
-        """Take a report that isn't stale (`renews`), or the body of the answer to a command.
+        """Apply a report that isn't stale (`renews`), or the body of the answer to a command.
 
-        `sent_position` is the machine's position that was known when the command was sent.
+        `sent_position` is the machine's position known when the command was sent.
         """
         state = self.state
         index = state.context.machine_names.intern(report.machine)
@@ -58,13 +58,13 @@
         if machine is None:
             machine = self._register(index, report)
         elif machine.is_new_incarnation(sent_position, report.session, report.seq):
-            return self._take_new_incarnation(machine, report)
+            return self._apply_new_incarnation(machine, report)
         order = machine.classify(report.session, report.seq, report.token, renews)
         if renews and order is not HeartbeatOrder.STALE:
             machine.lease_granted_at = machine.last_heartbeat_at = state.context.now()
             machine.last_heartbeat = (report.session, report.seq)
         if order is HeartbeatOrder.NEWER:
-            self._take_newer(machine, report, report.session + machine.prior_sessions, renews)
+            self._apply_newer(machine, report, report.session + machine.prior_sessions, renews)
         if not renews and order is not HeartbeatOrder.STALE:
             machine.unanswered_commands, machine.probe_needed = 0, False
             state.mark_confirmed(machine)
@@ -91,11 +91,11 @@
         log.info("machine registered: machine=%s session=%d", report.machine, report.session)
         return machine
 
-    def _take_new_incarnation(self, machine: Machine, report: api.Report) -> Machine:
-        """Take the first answer of a machine that restarted within its lease.
+    def _apply_new_incarnation(self, machine: Machine, report: api.Report) -> Machine:
+        """Apply the answer of a machine that restarted within its lease.
 
-        It counts from 1 again, and all that ran there is over once no start that was sent to its
-        former incarnation can act any more.
+        Its sessions count from 1 again. All tasks of its former incarnation are gone once no start
+        sent to that incarnation can still act.
         """
         state = self.state
         machine.orphan_stops = [
@@ -111,29 +111,31 @@
             session = machine.begin_incarnation(report.session)
             machine.last_reported_tasks, machine.seq = None, 0
             machine.lease_granted_at = state.context.now()
-            self._take_newer(machine, report, session, False)
+            self._apply_newer(machine, report, session, False)
             state.mark_confirmed(machine)
         else:
-            # The next answer comes under a token that those starts don't have; what one of them
-            # has begun is stopped.
+            # The next answer is made under a token that those starts don't have. A task that one
+            # of them began is stopped first.
             machine.new_incarnation_session, machine.probe_needed = report.session, True
             machine.unconfirmed_token = max(machine.unconfirmed_token, state.token)
             state.mark_changed(machine.index)
         return machine
 
-    def _take_newer(self, machine: Machine, report: api.Report, session: int, renews: bool) -> None:
+    def _apply_newer(
+        self, machine: Machine, report: api.Report, session: int, renews: bool
+    ) -> None:
         state = self.state
         now = state.context.now()
         before = (machine.lost, machine.session, machine.termination_at is None)
         if session != machine.session:
             self._begin_session(machine, session, now)
         machine.session, machine.seq = session, report.seq
-        machine.new_incarnation_session = 0  # its lease ended, and a later session is proof enough
+        machine.new_incarnation_session = 0  # its lease ended; a later session proves it
         silent_s = now - machine.last_message_at
         if renews and silent_s > state.heartbeat_fresh_s:
             state.mark_unconfirmed(machine)
             if silent_s > state.lease_s:
-                # Silent for so long it was published as 0 s unconfirmed: that is no longer so.
+                # While silent for so long it was published as 0 s unconfirmed; no longer.
                 state.mark_changed(machine.index)
         elif (
             machine.unconfirmed_since is not None and report.token > machine.token and report.token
@@ -149,36 +151,36 @@
         if report.notice_s is None:
             machine.termination_at = None
         elif machine.termination_at is None:
-            self._note_termination(machine, report.notice_s, now)
-        changed = self._take_tasks(machine, report, now)
+            self._record_termination_notice(machine, report.notice_s, now)
+        changed = self._apply_tasks(machine, report, now)
         changed |= before != (machine.lost, machine.session, machine.termination_at is None)
         changed |= had_our_token != (machine.token >= state.base_token)
         if changed:
             state.mark_changed(machine.index)
 
     def _begin_session(self, machine: Machine, session: int, now: float) -> None:
-        # A new session proves that all before it ended; nothing sent then can act now.
+        # A new session proves that all earlier ones ended: nothing sent in them can act now.
         machine.pending_launches.clear()
         machine.refused_attempts.clear()
         machine.evictions.clear()
         machine.unconfirmed_token = 0
-        # The lease counts from the beginning of the session, of which the answer to a command may
-        # be the first message: counted from the last report, a machine whose reports don't arrive
-        # was taken for lost at once, and what had just been started there ran twice.
+        # The lease counts from the beginning of the session, whose first message may be the answer
+        # to a command. When it counted from the last report, a machine whose reports don't arrive
+        # was taken for lost at once, and the tasks just started there ran twice.
         machine.lease_granted_at = now
         if machine.session:
             log.info("machine session began: machine=%s session=%d", machine.name, session)
-            # Its lease ended although we answered its reports, or we did not answer them.
+            # Its lease ended: it didn't receive our answers, or we didn't answer its reports.
             self.state.mark_unconfirmed(machine)
 
-    def _note_termination(self, machine: Machine, notice_s: float, now: float) -> None:
+    def _record_termination_notice(self, machine: Machine, notice_s: float, now: float) -> None:
         machine.termination_at = now + max(0.0, notice_s)
         machine.draining = True
         self.state.termination_noticed.add(machine.index)
         log.info("machine termination noticed: machine=%s left_s=%.0f", machine.name, notice_s)
 
-    def _take_tasks(self, machine: Machine, report: api.Report, now: float) -> bool:
-        """Take the tasks of a report; returns whether anything changed."""
+    def _apply_tasks(self, machine: Machine, report: api.Report, now: float) -> bool:
+        """Apply the tasks of a report; return whether anything changed."""
         if machine.last_reported_tasks == report.tasks and not machine.pending_launches:
             if machine.reservations or any(
                 observed.state != api.TASK_EXITED for observed in machine.tasks.values()
@@ -199,7 +201,7 @@
     def _observe_tasks(
         self, machine: Machine, items: list[api.ReportTask], now: float
     ) -> tuple[dict[int, ObservedTask], bool]:
-        """The tasks of a report by key, and whether any of them changed."""
+        """Return the tasks of a report by key, and whether any of them changed."""
         job_names, jobs = self.state.context.job_names, self.state.jobs
         reported: dict[int, ObservedTask] = {}
         changed = False
@@ -224,7 +226,7 @@
                 changed = True
                 self.faults.observe(machine, job, key, entry)
             known = reported.get(key)
-            # After a restart under a new attempt both may be listed; the live one counts.
+            # After a restart under a new attempt both attempts may be listed; the live one counts.
             if known is None or known.state == api.TASK_EXITED:
                 reported[key] = entry
             launch = machine.pending_launches.get(key)
--- a/starlingdeck/machines/reservations.py
+++ b/starlingdeck/machines/reservations.py
@@ -1,4 +1,4 @@
-"""Reserves capacity on a shard's machines for tasks whose placement is being written."""
+"""Reserves capacity on a shard's machines for tasks whose placement is being recorded."""
 
 from starlingdeck.context import fits
 from starlingdeck.interning import task_key
@@ -8,8 +8,8 @@
 from starlingdeck.machines.shard_state import ShardState
 from starlingdeck.protocol import peer_pb2 as pb
 
-EVICTION_RESERVATION_S = 2.5  # for which capacity being freed by preemption waits for its task
-CAPACITY_TOLERANCE = 1e-9  # rounding errors of sums of resources
+EVICTION_RESERVATION_S = 2.5  # how long capacity that is being freed stays reserved
+CAPACITY_TOLERANCE = 1e-9  # allows for rounding errors in sums of resources
 
 
 class ReservationManager:
@@ -50,8 +50,8 @@
                 available[machine.index] = [f - s for f, s in zip(free, info.size, strict=True)]
                 reply.granted.add(task=target.task, attempt=target.attempt, session=machine.session)
             elif self._will_have_capacity(machine, info, free, message):
-                # Reserved although it isn't free yet: else the preempted task itself comes back
-                # first and is preempted again, or smaller work takes each bit that comes free.
+                # Reserved although it isn't free yet. Otherwise the preempted task itself returns
+                # first and is preempted again, or smaller tasks take each part that becomes free.
                 machine.reservations[key] = Reservation(
                     target.attempt, context.now() + EVICTION_RESERVATION_S
                 )
@@ -63,12 +63,16 @@
     def _will_have_capacity(
         self, machine: Machine, info: JobInfo, free: list[float], message: pb.ReserveRequest
     ) -> bool:
-        """Whether capacity is made by preemption, or may be accumulated as it comes free."""
+        """Return whether capacity will come free by preemption, begun here, or accumulation."""
         if message.preempt and self.preemptor.evict_for(machine, info, free, message):
             return True
         return message.accumulate and self._may_accumulate(machine, info, free)
 
     def _may_accumulate(self, machine: Machine, info: JobInfo, free: list[float]) -> bool:
-        """Whether what comes free may be kept for a task: for one at a time."""
+        """Return whether capacity may be kept for a task as it becomes free.
+
+        Only one task of a machine may accumulate capacity at a time: its reservation makes `free`
+        negative.
+        """
         total = self.state.capacity(machine)
         return total is not None and fits(info.size, total) and min(free) >= -CAPACITY_TOLERANCE
--- a/starlingdeck/machines/scoring.py
+++ b/starlingdeck/machines/scoring.py
@@ -1,4 +1,4 @@
-"""Scores: where a new task goes (DESIGN 2) and where a moved one goes (DESIGN 4)."""
+"""Scores machines for new tasks (DESIGN 2) and for descheduled ones (DESIGN 4)."""
 
 import heapq
 import random
@@ -8,11 +8,11 @@
 
 from starlingdeck.context import fits
 
-HIGH_UTILIZATION = 0.9  # of a resource: machines used more than this come last
-NO_RANK = 99  # above every rank: there is no preemptible work
-NO_PREEMPTIBLE_WORK_S = 1e6  # run time lost by preemption where there is no preemptible work
-HIGH_UTILIZATION_PENALTY = 2  # more than the range of the scores of machines below that use
-MIN_DRAW_WEIGHT = 1e-6  # keeps candidates of score 0 in the draw
+HIGH_UTILIZATION = 0.9  # share of a resource: machines used more than this come last
+NO_RANK = 99  # above every rank: no preemptible work
+NO_PREEMPTIBLE_WORK_S = 1e6  # the run time lost if there is no preemptible work
+HIGH_UTILIZATION_PENALTY = 2  # exceeds the range of scores below that use
+MIN_DRAW_WEIGHT = 1e-6  # lets candidates with a score of 0 be drawn
 
 
 class Candidate(Struct):
@@ -44,16 +44,16 @@
     fetching: set[str] = field(default_factory=set)
     youngest_s: list[float] = field(default_factory=list)  # by rank; -1: none
     tasks: set[tuple[int, int]] = field(default_factory=set)
-    unconfirmed_s: float = 0.0  # for how long it has reported without receiving answers
+    unconfirmed_s: float = 0.0  # how long it has reported without proof that it receives answers
     lowest_rank: int = NO_RANK  # of the preemptible work
 
     def __post_init__(self) -> None:
-        """Compute `lowest_rank` once: each scheduling cycle asks for it of every machine."""
+        """Compute `lowest_rank` once: each scheduling cycle reads it for every machine."""
         ranks = (rank for rank, age in enumerate(self.youngest_s) if age >= 0)
         self.lowest_rank = next(ranks, NO_RANK)
 
     def utilization_with(self, size: Sequence[float]) -> list[float]:
-        """The share of each resource in use once a task of this size is added."""
+        """Return the share of each resource in use once a task of this size is added."""
         return [
             (total - free + added) / total
             for total, free, added in zip(self.capacity, self.available, size, strict=True)
@@ -61,7 +61,10 @@
         ]
 
     def fetch_s(self, image: str, image_gb: float) -> float:
-        """How long a task would wait for its image. Fetches under way share the bandwidth."""
+        """Return how long a task would wait for its image, in seconds.
+
+        Fetches under way share the bandwidth.
+        """
         if image in self.images or self.fetch_gb_per_s <= 0:
             return 0.0
         if image in self.fetching:
@@ -69,24 +72,33 @@
         return image_gb / self.fetch_gb_per_s * (1 + len(self.fetching))
 
     def preemption_loss_s(self, rank: int, now: float) -> float:
-        """The run time lost by preempting work below a rank; NO_PREEMPTIBLE_WORK_S if none."""
+        """Return the least run time that preempting work below a rank would lose, in seconds.
+
+        Return NO_PREEMPTIBLE_WORK_S if there is no such work.
+        """
         ran = [age for age in self.youngest_s[:rank] if age >= 0]
         return min(ran) + now - self.observed_at if ran else NO_PREEMPTIBLE_WORK_S
 
     def fits(self, size: Sequence[float]) -> bool:
-        """Whether a task of this size fits beside all that is allocated."""
+        """Return whether a task of this size fits beside all that is allocated."""
         return fits(size, self.available)
 
 
 def start_score(utilization: Sequence[float]) -> float:
-    """DESIGN 2: 1 minus the highest share minus half the spread; highly used machines last."""
+    """Return the score of DESIGN 2: 1 minus the highest share minus half the spread.
+
+    Machines above HIGH_UTILIZATION come last.
+    """
     high, low = max(utilization), min(utilization)
     score = 1 - high - (high - low) / 2
     return score - HIGH_UTILIZATION_PENALTY if high > HIGH_UTILIZATION else score
 
 
 def refit_score(utilization: Sequence[float]) -> float:
-    """DESIGN 4: tight fits first; nothing above HIGH_UTILIZATION. Our own: mean minus spread."""
+    """Return a score for DESIGN 4, which asks for tight fits first and 0 above HIGH_UTILIZATION.
+
+    The formula is our own: the mean share minus the spread.
+    """
     high, low = max(utilization), min(utilization)
     if high > HIGH_UTILIZATION:
         return 0.0
@@ -94,11 +106,11 @@
 
 
 class CandidateSample:
-    """At most `limit` machines that fit a task of one size, best first (DESIGN 2).
+    """A sample of at most `limit` machines that fit a task of one size, best first (DESIGN 2).
 
     Exception to DESIGN 2, recorded in docs/design.md: among machines that fit, the one that
-    has the image soonest comes first, because the fetch is the longest part of a start.
-    A job's tasks are alike, so its machines are scored once, and a chosen one again.
+    will have the image soonest comes first, because the fetch is the longest part of a start.
+    A job's tasks are alike, so its machines are scored once, and only a chosen one again.
     """
 
     def __init__(
@@ -126,10 +138,10 @@
             -start_score(candidate.utilization_with(self.size)),
         )
 
-    def best(self, able: Callable[[Candidate], bool]) -> Candidate | None:
-        """The best that is able to take the task; None if there is none.
+    def best(self, is_eligible: Callable[[Candidate], bool]) -> Candidate | None:
+        """Return the best eligible machine that fits the task; None if there is none.
 
-        The caller may change its available resources until the next call, and not later.
+        The caller may change its available resources until the next call, but not later.
         """
         skipped, found = [], None
         if self.chosen is not None:
@@ -146,7 +158,7 @@
                 heapq.heappush(self.heap, rank)
                 continue
             skipped.append(entry)
-            if able(candidate):
+            if is_eligible(candidate):
                 found, self.chosen = candidate, entry[-1]
                 break
         for entry in skipped:
@@ -161,10 +173,10 @@
     candidates: int,
     rng: random.Random,
 ) -> list[Candidate]:
-    """Where a descheduled task may go: at most `candidates` of `limit` machines, best first.
+    """Return at most `candidates` machines for a descheduled task, best first.
 
-    Machines with enough available are drawn at random, weighted by score; those that fit the
-    task only by their whole capacity come last.
+    At most `limit` machines are considered. Those with enough available resources are drawn at
+    random, weighted by score; those that fit the task only by their whole capacity come last.
     """
     pool = rng.sample(list(machines), limit) if len(machines) > limit else list(machines)
     fitting: list[tuple[float, Candidate]] = []
@@ -182,10 +194,10 @@
 
 
 def _draw_weighted(weighted: list[tuple[float, Candidate]], rng: random.Random) -> Candidate:
-    """Remove one at random, with a probability in proportion to its weight."""
-    mark = rng.random() * sum(weight for weight, _ in weighted)
+    """Remove and return one at random, with a probability in proportion to its weight."""
+    remaining = rng.random() * sum(weight for weight, _ in weighted)
     for i, (weight, _) in enumerate(weighted):
-        mark -= weight
-        if mark <= 0:
+        remaining -= weight
+        if remaining <= 0:
             return weighted.pop(i)[1]
     return weighted.pop()[1]
--- a/starlingdeck/machines/shard_snapshot.py
+++ b/starlingdeck/machines/shard_snapshot.py
@@ -1,4 +1,4 @@
-"""A follower's copy of a machine shard's state, kept up to date from its snapshots."""
+"""A follower's copy of a machine shard's state, updated from the owner's snapshots."""
 
 from typing import NamedTuple
 
@@ -7,20 +7,20 @@
 from starlingdeck.context import ControllerContext
 from starlingdeck.protocol import peer_pb2 as pb
 
-TIMESTAMP_INTERVAL_S = 0.5  # the resolution of the recorded arrival times
+TIMESTAMP_INTERVAL_S = 0.5  # resolution of the recorded arrival times
 MAX_TIMESTAMPS = 60
-NEVER_S = -1e9  # before any time of a steady clock
+NEVER_S = -1e9  # earlier than any time of a steady clock
 
 
 class Timestamp(NamedTuple):
-    """When a snapshot was received and when it was built."""
+    """The times at which a snapshot was received and built."""
 
     received_at: float  # by our steady clock, in seconds
     built_ms: int  # by its owner's clock
 
 
 class ShardSnapshot(Struct):
-    """The state of one machine shard under one ownership, which `epoch` names."""
+    """The state of one machine shard during the ownership that `epoch` identifies."""
 
     context: ControllerContext
     shard: int
@@ -32,13 +32,15 @@
     machines: dict[int, pb.MachineState] = field(default_factory=dict)
     received_at: float = 0.0  # when a snapshot last arrived
     timestamps: list[Timestamp] = field(default_factory=list)  # the newest last
-    evaluated_at: float = NEVER_S  # when every attempt there was last evaluated
-    # By machine: its tasks by job, number and attempt; indexed when first asked for.
+    evaluated_at: float = NEVER_S  # when all attempts there were last evaluated
+    # Machine -> its tasks by job, number and attempt; built on the first lookup.
     tasks: dict[int, dict[tuple[str, int, int], pb.ObservedTask]] = field(default_factory=dict)
 
     def apply(self, message: pb.Snapshot) -> set[int] | None:
-        """Take a snapshot; returns the machines it changed, or None when it doesn't follow the
-        last one."""
+        """Apply a snapshot and return the machines it changed.
+
+        Return None when it doesn't follow the last one.
+        """
         if not message.full and message.seq != self.seq + 1:
             return None
         changed = self._apply_machines(message)
@@ -78,11 +80,11 @@
             self.timestamps = [*known[-MAX_TIMESTAMPS:], timestamp]
 
     def watermark_ms(self, before: float) -> int:
-        """The latest time of the owner's clock that had arrived here by then; 0 if none had."""
+        """Return the latest time of the owner's clock that had arrived by `before`, or 0."""
         return next((built for at, built in reversed(self.timestamps) if at <= before), 0)
 
     def task(self, machine: int, job: str, task: int, attempt: int) -> pb.ObservedTask | None:
-        """A task's attempt as its machine last reported it."""
+        """Return a task's attempt as its machine last reported it, or None."""
         found = self.tasks.get(machine)
         if found is None:
             entry = self.machines.get(machine)
--- a/starlingdeck/machines/shard_state.py
+++ b/starlingdeck/machines/shard_state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of a machine shard share: its machines, jobs, and pending changes."""
+"""The state shared by the parts of a machine shard: machines, jobs and pending changes."""
 
 from starlingdeck.cluster.sharding import shard_of_job
 from starlingdeck.context import ControllerContext, Resources, fits, machine_capacity
@@ -6,18 +6,18 @@
 from starlingdeck.machines.machine import JobInfo, Machine
 from starlingdeck.protocol import api
 
-HEARTBEAT_TIMEOUT_SHARE = 2 / 3  # (start) of a lease
-HEARTBEAT_FRESH_INTERVALS = 2.5  # report intervals for which a message counts as fresh
+HEARTBEAT_TIMEOUT_LEASES = 2 / 3  # as a share of the duration of a lease
+HEARTBEAT_FRESH_INTERVALS = 2.5  # how long a message counts as fresh, in report intervals
 HEARTBEAT_FRESH_MARGIN_S = 0.5
-DELETED_RETENTION_S = 600.0  # (start) for which late reports of a deleted machine are recognised
+DELETED_RETENTION_S = 600.0  # how long late reports of a deleted machine are recognised
 
 
 class ShardState:
     """The machines of one shard, and what is known of the jobs with tasks there.
 
-    `token` rises while the shard is owned; `base_token` is the first of this ownership. Work is
-    done for the machines that changed: `to_reconcile` are due for reconciling, `to_publish` for
-    the next snapshot. Times are seconds of the controller's steady clock.
+    `token` may rise while the shard is owned; `base_token` is the first one of this ownership. Only
+    machines that changed are processed: those in `to_reconcile` are to be reconciled, and those in
+    `to_publish` go into the next snapshot. Times are in seconds of the controller's steady clock.
     """
 
     def __init__(
@@ -28,16 +28,16 @@
         self.token = token
         self.base_token = token
         self.epoch = epoch
-        # Until then another controller may have been renewing the leases of silent workers.
+        # Until then workers that are silent here may hold leases renewed by another controller.
         self.former_leases_end_at = context.now() + wait_s + context.lease_expiry_s
         workers = context.settings.settings.workers
         self.heartbeat_fresh_s = (
             HEARTBEAT_FRESH_INTERVALS * workers.report_s + HEARTBEAT_FRESH_MARGIN_S
         )
         self.lease_s = workers.lease_s
-        # After so long without a report a machine is not schedulable, even if it answers commands.
+        # A machine without a report for so long is not schedulable, even if it answers commands.
         self.heartbeat_timeout_s = max(
-            self.heartbeat_fresh_s, workers.lease_s * HEARTBEAT_TIMEOUT_SHARE
+            self.heartbeat_fresh_s, workers.lease_s * HEARTBEAT_TIMEOUT_LEASES
         )
         self.machines: dict[int, Machine] = {}
         self.jobs: dict[int, JobInfo] = {}
@@ -47,51 +47,53 @@
         self.removed_machines: set[int] = set()  # since the last snapshot
         self.deleted_machines: dict[int, float] = {}  # machine -> when; late reports still come
         self.termination_noticed: set[int] = set()
-        # Published while one of their tasks was of an unknown job, so without free capacity.
+        # Machines published without free capacity, because a task there was of an unknown job.
         self.awaiting_job_info: set[int] = set()
         self.changed = True  # whether there is anything to publish
 
     def mark_changed(self, index: int) -> None:
-        """A machine changed: it is to be reconciled and published."""
+        """Schedule a machine to be reconciled and published."""
         self.schedule_reconcile(index)
         self.to_publish.add(index)
         self.changed = True
 
     def schedule_reconcile(self, index: int) -> None:
-        """A machine is to be reconciled, whether or not it is known yet."""
+        """Schedule a machine to be reconciled, whether or not it is known yet."""
         self.to_reconcile.add(index)
         machine = self.machines.get(index)
         if machine is not None:
             machine.reconciled = False
 
     def schedule_publish(self, machine: Machine) -> None:
-        """A machine is to be in the next snapshot."""
+        """Schedule a machine for the next snapshot."""
         self.to_publish.add(machine.index)
         self.changed = True
 
     def mark_unconfirmed(self, machine: Machine) -> None:
-        """The machine may not receive our messages: not schedulable until it has answered a
-        command or reported a later token."""
+        """Record that a machine may not receive our messages.
+
+        It is not schedulable until it has answered a command or reported a later token.
+        """
         if machine.unconfirmed_since is None:
             machine.unconfirmed_since = self.context.now()
             self.mark_changed(machine.index)
 
     def mark_confirmed(self, machine: Machine) -> None:
-        """The machine has proved that it receives our messages."""
+        """Record that a machine has proved that it receives our messages."""
         if machine.unconfirmed_since is not None:
             machine.unconfirmed_since = None
             self.mark_changed(machine.index)
 
     def is_fenced(self, machine: Machine) -> bool:
-        """Whether nothing sent under an older token, or sent without an answer, can still act."""
+        """Return whether nothing sent under an older token, or unanswered, can still act."""
         return machine.token >= self.base_token and machine.unconfirmed_token == 0
 
     def is_schedulable(self, machine: Machine) -> bool:
-        """Whether new tasks may be placed on a machine.
+        """Return whether new tasks may be placed on a machine.
 
-        After a network partition the first messages of a machine are reports that were delayed:
-        tasks placed there in a session long over were freed by the next report and placed again.
-        So it must have answered a command first, or gone on reporting for a while.
+        The first messages of a machine after a network partition are delayed reports. Tasks placed
+        there in a session long over were freed by the next report and placed again. So the machine
+        must first have answered a command or reported a later token.
         """
         return (
             not machine.lost
@@ -100,17 +102,17 @@
             and machine.unconfirmed_since is None
             and machine.token >= self.base_token
             and self.context.now() - machine.last_message_at < self.heartbeat_fresh_s
-            # Commands may reach a machine whose reports don't arrive: they renew no lease.
+            # Commands may reach a machine whose reports don't arrive, but they renew no lease.
             and self.context.now() - machine.last_heartbeat_at < self.heartbeat_timeout_s
         )
 
     def capacity(self, machine: Machine) -> Resources | None:
-        """All of a machine's resources; None while its type is not known."""
-        kind = self.context.machine_types.get(machine.type)
-        return None if kind is None else machine_capacity(kind)
+        """Return all of a machine's resources; None while its type is not known."""
+        machine_type = self.context.machine_types.get(machine.type)
+        return None if machine_type is None else machine_capacity(machine_type)
 
     def available(self, machine: Machine) -> list[float] | None:
-        """Resources left beside the reported tasks, pending launches and reservations.
+        """Return what the reported tasks, pending launches and reservations leave free.
 
         None while the machine's type or one of the jobs is not known.
         """
@@ -131,12 +133,12 @@
         return left
 
     def has_capacity_for(self, machine: Machine, info: JobInfo) -> bool:
-        """Whether a task of the job fits beside all that is allocated on the machine."""
+        """Return whether a task of the job fits beside all that is allocated on the machine."""
         free = self.available(machine)
         return free is not None and fits(info.size, free)
 
     def shard_of_task(self, key: int) -> int:
-        """The shard of a task's job."""
+        """Return the shard of a task's job."""
         job = split_key(key)[0]
         shard = self.job_shards.get(job)
         if shard is None:
@@ -146,12 +148,12 @@
         return shard
 
     def task_name(self, key: int) -> str:
-        """A task's name on the wire."""
+        """Return a task's name on the wire."""
         job, number = split_key(key)
         return api.task_name(self.context.job_names[job], number)
 
     def mark_deleted(self, name: str) -> None:
-        """The cloud has confirmed the deletion: the machine and everything on it are gone."""
+        """Record that the cloud has deleted a machine: it and everything on it are gone."""
         index = self.context.machine_names.intern(name)
         if index not in self.deleted_machines:
             self.deleted_machines[index] = self.context.now()
@@ -160,16 +162,16 @@
             self.changed = True
 
     def is_deleted(self, name: str) -> bool:
-        """Whether a machine is known to be deleted: a report of it is a late copy."""
+        """Return whether a machine is known to be deleted; any report of it is then a late copy."""
         return self.context.machine_names.find(name) in self.deleted_machines
 
     def retain_jobs(self, live: set[int]) -> None:
-        """Forget all jobs but these."""
+        """Keep only these jobs."""
         self.jobs = {j: info for j, info in self.jobs.items() if j in live}
         self.job_shards = {j: shard for j, shard in self.job_shards.items() if j in live}
 
     def retain_deleted(self, named: set[int]) -> None:
-        """Forget the machines deleted long ago that no desired state names."""
+        """Forget the machines deleted long ago, except those that desired states name."""
         kept_since = self.context.now() - DELETED_RETENTION_S
         self.deleted_machines = {
             m: at for m, at in self.deleted_machines.items() if at > kept_since or m in named
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes a machine shard's state: snapshots in full, or of what has changed."""
+"""Builds the snapshots of a machine shard's state, either in full or of what has changed."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,11 +10,11 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
-NO_TASK_S = -1.0  # the run time of the youngest task of a rank that has none
+NO_TASK_S = -1.0  # stands for a rank without preemptible tasks
 
 
 class SnapshotPublisher:
-    """Builds the snapshot messages to the followers of a shard; `seq` numbers the differences."""
+    """Builds the snapshot messages for the followers of a shard; `seq` numbers the updates."""
 
     def __init__(self, state: ShardState, desired: DesiredStateTracker) -> None:
         self.state = state
@@ -22,11 +22,11 @@
         self.seq = 0
 
     def update(self, valid: bool) -> pb.Snapshot:
-        """What has changed since the last snapshot.
+        """Return a snapshot of what has changed since the last one.
 
         A machine that became due again since the desired state was applied is shown as not fenced,
-        and once more later: left out, its last entry would stand beside the acknowledgement of
-        the desired state, and a start under way would pass for refused.
+        and published again later. If it were left out, its last entry would stand beside the
+        acknowledgement of the desired state, and a start under way would be taken for refused.
         """
         state = self.state
         self.seq += 1
@@ -39,7 +39,7 @@
         return message
 
     def full(self, valid: bool) -> pb.Snapshot:
-        """Everything, for a new follower; numbered like the last difference."""
+        """Return the whole state, for a new follower; it has the number of the last update."""
         state = self.state
         message = self._header(valid)
         message.full = True
@@ -58,7 +58,7 @@
         return message
 
     def _never_reported(self) -> Iterable[int]:
-        """Machines that jobs name and that are proven gone without ever reporting here."""
+        """Return machines that jobs name and that are proven gone without having reported here."""
         state = self.state
         expired = state.context.now() > state.former_leases_end_at
         return [
@@ -76,8 +76,8 @@
             before = len(message.machines)
             try:
                 self._add_entry(message, machine)
-            except Exception as error:  # the outermost edge for one machine: others are published
-                # Nothing may be concluded from what was published of it before.
+            except Exception as error:  # one machine must not stop the others
+                # Unfenced and without tasks, so that nothing is concluded from the last entry.
                 state.context.quarantine_failed("machine", machine.name, error)
                 del message.machines[before:]
                 message.machines.add(id=machine.name, session=machine.session)
@@ -94,12 +94,12 @@
             zone=context.zone_names[machine.zone],
             spot=machine.spot,
             session=machine.session,
-            # Of a machine that is due to be reconciled nothing may be called absent yet.
+            # No task may be taken for absent on a machine that is due to be reconciled.
             fenced=state.is_fenced(machine) and machine.index not in state.to_reconcile,
             lost=machine.lost,
             schedulable=free is not None and machine.published_schedulable,
             images=list(machine.images),
-            # Returned when it is empty: not before other jobs had the time to succeed on it.
+            # It is returned when empty, so other jobs must have had the time to succeed on it.
             draining=machine.draining
             or (
                 machine.faulty_since is not None
@@ -111,7 +111,7 @@
             unconfirmed_s=machine.unconfirmed_s(now, state.lease_s),
         )
         entry.fetching.extend(_fetching_images(machine, state.jobs))
-        entry.youngest_s.extend(self._youngest(machine))
+        entry.youngest_s.extend(self._youngest_s_by_rank(machine))
         if free is None:
             state.awaiting_job_info.add(machine.index)
         else:
@@ -136,8 +136,8 @@
                 state=api.TASK_PENDING,
             )
 
-    def _youngest(self, machine: Machine) -> list[float]:
-        """By rank: the shortest run time, in seconds, that preempting a task would lose."""
+    def _youngest_s_by_rank(self, machine: Machine) -> list[float]:
+        """Return, by rank, the least run time that preempting a task would lose, in seconds."""
         jobs, protected = self.state.jobs, self.desired.protected_tasks
         now = self.state.context.now()
         youngest = [NO_TASK_S] * len(api.RANKS)
@@ -160,7 +160,7 @@
 
 
 def _fetching_images(machine: Machine, jobs: Mapping[int, JobInfo]) -> set[str]:
-    """The images that are being fetched, or will be for the tasks about to start."""
+    """Return the images being fetched, or to be fetched for the tasks about to start."""
     waiting = {k for k, observed in machine.tasks.items() if observed.state == api.TASK_FETCHING}
     waiting |= machine.pending_launches.keys() | machine.reservations.keys()
     infos = [jobs.get(split_key(key)[0]) for key in waiting]
--- a/starlingdeck/machines/tabu_search.py
+++ b/starlingdeck/machines/tabu_search.py
@@ -1,4 +1,4 @@
-"""Tabu search for the tasks that an overcommitted machine gives up (DESIGN 3). Pure."""
+"""Tabu search for the tasks that are to leave an overcommitted machine (DESIGN 3). No I/O."""
 
 import math
 import random
@@ -8,8 +8,8 @@
 
 from starlingdeck.machines.scoring import start_score
 
-EXCESS_TOLERANCE = 1e-9  # a share of the capacity: rounding errors of sums of resources
-BASE_FITNESS = 3  # start_score is above -3, so the fitness of a set that fits is positive
+EXCESS_TOLERANCE = 1e-9  # share of the capacity, for rounding errors in sums of resources
+BASE_FITNESS = 3  # start_score is above -3, so sets that fit have positive fitness
 
 
 class RunningTask(Struct, frozen=True):
@@ -22,7 +22,10 @@
 
 
 def move_cost(ran_s: float, saves: bool, checkpoint_s: float, fetch_s: float) -> float:
-    """Our own: lost run time plus the fetch of an image the target doesn't have, in seconds."""
+    """Return the cost of moving a task, in seconds.
+
+    The formula is our own: lost run time plus the fetch of an image that the target doesn't have.
+    """
     lost = min(ran_s, checkpoint_s) if saves else ran_s
     return 1.0 + lost + fetch_s
 
@@ -35,10 +38,10 @@
     patience: int,
     rng: random.Random,
 ) -> list[int]:
-    """Keys of a cheap set of tasks whose removal makes the others fit into `total`.
+    """Return the keys of a cheap set of tasks whose removal makes the others fit into `total`.
 
-    `restarts` random starts, each followed by at most `steps` moves, given up after `patience`
-    moves without a better set.
+    The search makes `restarts` random starts. Each is followed by at most `steps` moves, and ends
+    after `patience` moves in a row without a better set.
     """
     search = _Search(total, tasks)
     if not search.movable or search.excess(frozenset()) <= EXCESS_TOLERANCE:
@@ -52,8 +55,8 @@
 class _Search:
     """The state of a search. A set holds the indices of the tasks to be removed.
 
-    Fitness is the score after removal over the move cost; a set that leaves the machine
-    overcommitted ranks by how much.
+    The fitness of a set is the score after its removal divided by the cost of the moves. For a set
+    that leaves the machine overcommitted it is the negated excess.
     """
 
     def __init__(self, total: Sequence[float], tasks: Sequence[RunningTask]) -> None:
@@ -65,7 +68,7 @@
         self.best_fitness = -math.inf
 
     def excess(self, removed: frozenset[int]) -> float:
-        """The largest share by which a resource is overcommitted after removal; at least 0."""
+        """Return the largest share by which a resource is overcommitted after removal, or 0."""
         total, use, tasks = self.total, self.use, self.tasks
         worst = 0.0
         for d in range(3):
@@ -75,7 +78,7 @@
         return worst
 
     def fitness(self, removed: frozenset[int]) -> float:
-        """How good a set is; negative when its removal isn't enough."""
+        """Return how good a set is; negative when its removal isn't enough."""
         excess = self.excess(removed)
         if excess > EXCESS_TOLERANCE:
             return -excess
@@ -95,7 +98,7 @@
             self.best, self.best_fitness = removed, fitness
 
     def random_start(self, rng: random.Random) -> frozenset[int]:
-        """Tasks in random order until the others fit."""
+        """Return a set of tasks, added in random order until the others fit."""
         order = self.movable[:]
         rng.shuffle(order)
         removed: frozenset[int] = frozenset()
@@ -106,17 +109,17 @@
         return removed
 
     def improve(self, removed: frozenset[int], steps: int, patience: int) -> None:
-        """Add or take out one task at a time, no task twice; the best set so far is kept."""
+        """Add or take out one task at a time, no task twice; keep the best set found."""
         tabu: set[int] = set()
-        idle = 0
+        moves_without_gain = 0
         for _ in range(steps):
             moves = [(self.fitness(removed ^ {i}), i) for i in self.movable if i not in tabu]
             if not moves:
                 break
             fitness, i = max(moves)
-            removed, idle = removed ^ {i}, idle + 1
+            removed, moves_without_gain = removed ^ {i}, moves_without_gain + 1
             tabu.add(i)
             if fitness > self.best_fitness:
-                self.best, self.best_fitness, idle = removed, fitness, 0
-            if idle >= patience:
+                self.best, self.best_fitness, moves_without_gain = removed, fitness, 0
+            if moves_without_gain >= patience:
                 break
