--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""The machine owner's part: reservations and preemption."""
+"""Machine shards: reservations, preemption, probes and commands."""
 
 from starlingdeck.jobs.desired_state import job_message
 from starlingdeck.jobs.job import new_job
@@ -21,8 +21,8 @@
 
 
 def test_capacity_freed_by_preemption_is_reserved_for_the_requester() -> None:
-    """A preempted task came back into the capacity freed for another before that one requested
-    it again, and was preempted again, up to eleven times."""
+    """A preempted task took the capacity freed for another task before that one requested it
+    again, and was preempted again, up to eleven times."""
     clock = Clock()
     machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
 
@@ -89,7 +89,7 @@
 
 
 def test_jobs_without_tasks_here_are_pruned() -> None:
-    """What was known of a job stayed for as long as the shard was owned."""
+    """The attributes of every job seen were kept for as long as the shard was owned."""
     clock = Clock()
     machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 1, 3), False)
@@ -114,8 +114,8 @@
 
 
 def test_a_machine_back_from_a_partition_is_schedulable_only_by_fresh_messages() -> None:
-    """Delayed reports of a session long over revived it; tasks were placed there, freed by the
-    next delayed report, which showed a newer session, and placed again."""
+    """Delayed reports of a session long over made the machine schedulable. Tasks were placed there,
+    freed by the next delayed report, which showed a newer session, and placed again."""
     clock = Clock()
     machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
 
@@ -139,7 +139,7 @@
     report(3, 6, renews=False)
     assert machine.session == 3
     assert request_capacity(machines, "j-2", False)
-    # One that answers no command is confirmed by reporting a later token: one is raised.
+    # A machine that answers no command is confirmed by reporting a later token, so one is raised.
     clock.at += 30.0
     report(3, 7)
     assert not request_capacity(machines, "j-3", False)
@@ -157,7 +157,7 @@
 
 def test_probes_in_flight_are_limited() -> None:
     """A controller partitioned from its workers gets their reports through its peers, and each
-    command to one of them hangs: two hundred at once would leave no socket for the state
+    command to one of them hangs. Two hundred at once would leave no socket for the state
     service."""
     clock = Clock()
     machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
@@ -193,7 +193,7 @@
 
 
 def test_unchanged_reports_are_answered_with_the_commands_that_became_due() -> None:
-    """An unchanged report is skipped, as most are; a stop desired since then must be sent."""
+    """An unchanged report is not processed again, but a stop desired since then must be sent."""
     clock = Clock()
     machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     seq = iter(range(1, 99))
@@ -252,7 +252,7 @@
     assert accumulate("j-8") == [True]
     assert accumulate("j-9") == []
     assert not machines.machines[0].evictions
-    # What comes free isn't given to the next small task, and goes to the large one in the end.
+    # Capacity that becomes free isn't given to the next small task; the large one gets it.
     machines.apply_report(api.Report("vm-1", "x", "small", "a", 1, 3, 3, tasks=running[:1]), False)
     assert request_capacity(machines, "j-7", False, **small) == []
     assert accumulate("j-8") == [True]
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -26,8 +26,8 @@
 
 
 @dataclass
-class Pair:
-    """A job shard, and the owner of the machine shard that vm-1 belongs to."""
+class ShardPair:
+    """A job shard, and the machine shard that vm-1 belongs to."""
 
     clock: Clock = field(default_factory=Clock)
     snapshots: dict[int, ShardSnapshot] = field(default_factory=dict)
@@ -35,14 +35,14 @@
     seq: int = 0
 
     def __post_init__(self) -> None:
-        self.world: ControllerContext = make_context(self.clock)
-        self.jobs = JobShard(self.world, shard_of_job("j-000001", 3), 3, 9)
+        self.context: ControllerContext = make_context(self.clock)
+        self.jobs = JobShard(self.context, shard_of_job("j-000001", 3), 3, 9)
         self.machines = self.change_owner()
 
     def change_owner(self, wait_s: float = 0.0) -> MachineShard:
-        """A new owner, without what the former one knew."""
+        """Replace the machine shard's owner by one without the former owner's state."""
         self.token += 1
-        self.machines = MachineShard(self.world, 1, self.token, self.token, wait_s)
+        self.machines = MachineShard(self.context, 1, self.token, self.token, wait_s)
         return self.machines
 
     def report(
@@ -53,43 +53,43 @@
         token: int | None = None,
         answer: bool = False,
     ) -> bool:
-        """A worker's report, or the answer to a command; returns whether it was newer."""
+        """Apply a worker's report, or its answer to a command; return whether it was newer."""
         self.seq = seq or self.seq + 1
         body = [api.ReportTask(n, a, s, "halted" if s == "exited" else None) for n, a, s in tasks]
         seen = self.token if token is None else token
         report = api.Report("vm-1", "x", "small", "b", session, self.seq, seen, tasks=body)
         before = self.machines.machines.get(0)
-        mark = (before.session, before.seq) if before is not None else None
+        position = (before.session, before.seq) if before is not None else None
         machine = self.machines.apply_report(report, not answer)
-        return (machine.session, machine.seq) != mark
+        return (machine.session, machine.seq) != position
 
     def place(self, attempt: int = 1) -> Job:
-        """A task recorded on vm-1."""
-        index = self.world.machine_names.intern("vm-1")
-        job = new_job(self.world, spec("j-000001", chores=1), self.jobs.shard, 0)
-        job.placements[0] = TaskPlacement(index, 1, attempt, 1, self.world.zone_names.intern("b"))
+        """Return a job with a task recorded on vm-1."""
+        index = self.context.machine_names.intern("vm-1")
+        job = new_job(self.context, spec("j-000001", chores=1), self.jobs.shard, 0)
+        job.placements[0] = TaskPlacement(index, 1, attempt, 1, self.context.zone_names.intern("b"))
         job.task_states[0] = 1
         self.jobs.adopt(job)
         return job
 
     def exchange(self) -> list[tuple[str, int]]:
-        """Desired state, reconciling and snapshots once; returns the starts sent."""
+        """Send desired state, reconcile and send a snapshot once; return the starts sent."""
         self.machines.apply_desired_state(
             self.jobs.desired_state_message(1, self.machines.epoch, True, self.clock.wall_ms())
         )
         sent = []
         for machine in self.machines.reconcile():
-            orders = self.machines.commands_for(machine, True)
-            sent += [(c.task, c.attempt) for c in orders.commands if c.op == api.START]
-        apply_snapshot_message(self.world, self.snapshots, self.machines.full_snapshot(True))
+            commands = self.machines.commands_for(machine, True)
+            sent += [(c.task, c.attempt) for c in commands.commands if c.op == api.START]
+        apply_snapshot_message(self.context, self.snapshots, self.machines.full_snapshot(True))
         self.jobs.apply_snapshot(self.snapshots[1], None)
         return sent
 
 
-def test_what_one_owner_refused_is_not_started_by_the_next() -> None:
-    """A refused start was freed and its end not yet recorded when its machine's owner crashed;
-    the next one got the attempt again and started it, 12 times beside a second one."""
-    pair = Pair()
+def test_an_attempt_refused_by_one_owner_is_not_started_by_the_next() -> None:
+    """A refused attempt's end was not yet recorded when the owner of its machine crashed. The next
+    owner was sent the attempt again and started it, 12 times while a second attempt ran."""
+    pair = ShardPair()
     full = ("j-000009/0", 1, "running"), ("j-000009/1", 1, "running")
     pair.report(*full)
     pair.machines.desired.learn_job(pb.Job(id="j-000009", cpus=2.0))
@@ -102,16 +102,16 @@
     assert job.pending_ends
 
 
-def test_stale_reports_renew_revive_and_prove_nothing() -> None:
-    """Each report renewed its machine's lease, a copy of an old one as well."""
-    pair = Pair()
+def test_stale_reports_neither_renew_leases_nor_revive_machines() -> None:
+    """Every report renewed its machine's lease, even a late copy of an old one."""
+    pair = ShardPair()
     running = ("j-000001/0", 1, "running")
     pair.report(running, seq=40)
     job = pair.place()
     assert pair.exchange() == []
     assert not job.pending_ends
     machine = pair.machines.machines[0]
-    for _ in range(3):  # it dies; copies come for longer than its lease
+    for _ in range(3):  # the machine dies; copies come for longer than its lease
         pair.clock.at += 5.0
         copy = api.Report("vm-1", "x", "small", "b", 1, 40, pair.token)
         assert pair.machines.is_stale_report(copy)
@@ -120,7 +120,7 @@
     assert pair.machines.stale_reports == 3
     pair.exchange()
     assert job.pending_ends
-    # Of a deleted machine they bring nothing back, at whatever time.
+    # Copies never bring a deleted machine back, however late they come.
     pair.machines.mark_deleted("vm-1")
     pair.clock.at += 100.0
     pair.machines.reconcile()
@@ -128,10 +128,10 @@
     assert not pair.machines.machines
 
 
-def test_a_stale_report_to_a_new_owner_proves_nothing() -> None:
-    """The worker is still answered by the former owner, whose token it has; what the new one got
-    is a copy, or a report whose answer was lost. Silence after it expired the lease."""
-    pair = Pair()
+def test_a_stale_report_to_a_new_owner_does_not_expire_the_former_owners_lease() -> None:
+    """The worker is still answered by the former owner, whose token it has. The new owner got
+    a copy, or a report whose answer was lost, and the silence after it expired the lease."""
+    pair = ShardPair()
     pair.report()
     former = pair.token
     pair.change_owner(wait_s=20.0)
@@ -152,13 +152,13 @@
     assert job.pending_ends
 
 
-def test_a_session_shown_by_a_command_answer_lasts_a_lease_from_then() -> None:
-    """A machine's reports are lost, and commands reach it. Its lease had just ended when the
-    answer to a command showed the next session: capacity there was allocated, and by the earlier
-    silence the machine was lost at once; what had been started there ran twice."""
-    pair = Pair()
+def test_a_session_shown_by_a_command_answer_lasts_a_lease_from_that_answer() -> None:
+    """A machine's reports are lost, but commands reach it. Its lease had just ended when the answer
+    to a command showed the next session. Tasks were placed there, the machine was marked lost at
+    once because of the earlier silence, and the tasks just started there ran twice."""
+    pair = ShardPair()
     pair.report()
-    pair.clock.at += 10.1  # its lease is over, and surely so only 0.2 s later
+    pair.clock.at += 10.1  # its lease is over, but certainly so only 0.2 s later
     pair.report(session=2, seq=1, answer=True)
     job = pair.place()
     job.placements[0].session = 2
@@ -168,7 +168,7 @@
     for _ in range(99):
         assert not machine.lost
         assert not job.pending_ends
-        # Nothing new is begun there: no start renews a lease.
+        # No new task is placed there, because commands renew no lease.
         assert not pair.machines.is_schedulable(machine)
         pair.clock.at += 0.1
         pair.machines.expire_leases()
@@ -183,7 +183,7 @@
 def test_an_unreachable_machine_that_reports_is_counted_and_not_schedulable() -> None:
     """Its reports alone kept it schedulable, and each start that it didn't answer raised the
     token of its whole shard, which all other machines had to learn."""
-    pair = Pair()
+    pair = ShardPair()
     pair.report(answer=True)
     machine, machines, first = pair.machines.machines[0], pair.machines, pair.token
     assert machines.is_schedulable(machine)
@@ -201,8 +201,8 @@
     assert tokens <= 3
     assert not machines.is_schedulable(machine)
     assert max(machines.unreachable_ages_s()) > 20.0
-    assert job.pending_ends  # its session ended: proven
-    # Once it answers it is used again.
+    assert job.pending_ends  # a later session proves that its session ended
+    # It is used again once it answers.
     pair.token = machines.token
     pair.report(session=5, answer=True)
     assert machines.is_schedulable(machine)
@@ -211,7 +211,7 @@
 
 @pytest.mark.parametrize("sign", ["two unanswered commands", "a new session", "silence"])
 def test_each_sign_of_an_unreachable_machine_suffices_alone(sign: str) -> None:
-    pair = Pair()
+    pair = ShardPair()
     pair.report(answer=True)
     machine, machines = pair.machines.machines[0], pair.machines
     for _ in range(2 if sign.startswith("two") else 0):
@@ -232,9 +232,9 @@
 
 
 def test_a_new_incarnation_is_recognised_only_by_a_command_answer() -> None:
-    """Its low numbers passed for stale ones, and it was ignored for ever. A late copy looks just
-    the same, and a start sent to its former incarnation may still arrive."""
-    pair = Pair()
+    """A restarted machine's low numbers were taken for stale ones, and it was ignored for ever. A
+    late copy looks just the same, and a start sent to the former incarnation may still arrive."""
+    pair = ShardPair()
     machines = pair.machines
     pair.report(("j-000001/0", 1, "running"), seq=40)
     job = pair.place()
@@ -245,31 +245,31 @@
     assert machines.is_stale_report(body)
     assert machine.probe_needed
     assert machine in machines.reconcile()  # it is to be sent a command
-    asked = machine.position()
-    assert asked == (1, 40)
-    # The answer may come before a start for its former incarnation, whose token it must not have,
-    # or after the start, which must then be stopped.
+    sent_position = machine.position()
+    assert sent_position == (1, 40)
+    # The answer may be made before a start for the former incarnation arrives, so it must have a
+    # later token than that start; or after it, and then the task must be stopped.
     held = api.ReportTask("j-000001/0", 1, "running")
     for token, tasks in ((6, []), (7, [held])):
         body = api.Report("vm-1", "x", "small", "b", 1, 4, token, tasks=tasks)
-        machines.apply_report(body, False, asked)
+        machines.apply_report(body, False, sent_position)
         assert machine.session == 1
         assert machines.needs_new_token()
         assert not job.pending_ends
-        orders = machines.commands_for(machine, True)
-        assert [c.op for c in orders.commands] == [api.STOP] * len(tasks)
-        assert orders.session == 1
+        commands = machines.commands_for(machine, True)
+        assert [c.op for c in commands.commands] == [api.STOP] * len(tasks)
+        assert commands.session == 1
     machines.token = pair.token = 7
-    machines.apply_report(api.Report("vm-1", "x", "small", "b", 1, 5, 7), False, asked)
+    machines.apply_report(api.Report("vm-1", "x", "small", "b", 1, 5, 7), False, sent_position)
     assert machine.session == 2
     assert machines.commands_for(machine, True).session == 1
     pair.exchange()
     assert job.pending_ends
     assert machines.is_schedulable(machine)
-    # What comes late of its former incarnation is stale: by its token.
+    # A late report of the former incarnation is recognised as stale by its token.
     assert machines.is_stale_report(api.Report("vm-1", "x", "small", "b", 1, 900, 6))
     assert not machines.is_stale_report(api.Report("vm-1", "x", "small", "b", 1, 6, 7))
-    # A new owner learns from the desired state that it had earlier incarnations.
+    # A new owner learns from the desired state that the machine had earlier incarnations.
     pair.change_owner()
     job.pending_ends.clear()
     job.placements[0].session = 2
@@ -278,7 +278,7 @@
     assert pair.machines.machines[0].session == 2
 
 
-def failing(
+def record_failures(
     failures: FailureAttribution,
     jobs: range,
     machine: int,
@@ -307,7 +307,7 @@
 ) -> None:
     """Three tasks of one broken job marked a large machine faulty, and it was returned."""
     failures = FailureAttribution(3)
-    failing(failures, jobs, 5, succeeds, fails_elsewhere)
+    record_failures(failures, jobs, 5, succeeds, fails_elsewhere)
     for attempt in range(30):
         failures.record_error(5, jobs[0], attempt)
     assert failures.is_faulty(5) is faulty, case
@@ -316,7 +316,7 @@
 
 
 def test_thousands_of_jobs_that_fail_everywhere_mark_a_limited_number_of_machines() -> None:
-    """And a faulty machine is recognised in spite of them."""
+    """A machine that is faulty is still recognised."""
     clock = Clock()
     machines = MachineShard(make_context(clock), 0, 3, 9, 0.0)
     rng = random.Random(4)
@@ -354,7 +354,7 @@
 
 
 def test_starts_whose_reservation_expired_are_not_recorded() -> None:
-    pair = Pair()
+    pair = ShardPair()
     job = pair.place()
     placement = job.placements.pop(0)
     placement.reserved_until = pair.clock.at + 1.0
@@ -367,26 +367,27 @@
 
 
 def test_a_restarted_owner_waits_until_former_leases_ended() -> None:
-    """A controller took a shard over from one that is partitioned and goes on answering its
-    workers, crashed and restarted at once: it took its own key over, and expired leases at once."""
+    """A controller took a shard over from a partitioned one that still answers its workers, crashed
+    and restarted at once. It took over its own key and expired the leases at once."""
     clock = Clock()
     context = make_context(clock)
     taken = ShardValue(0, 7, context.wall_clock_ms() + int(context.outage_renewal_s * 1000))
-    off_s = 2 * context.settings.settings.skew_ms / 1000
-    for later, left in (
+    clock_error_s = 2 * context.settings.settings.skew_ms / 1000
+    for elapsed_s, left_s in (
         (0.3, context.outage_renewal_s),
-        (5.3, context.outage_renewal_s - 5.3 + off_s),
+        (5.3, context.outage_renewal_s - 5.3 + clock_error_s),
         (60.0, 0.0),
     ):
-        clock.at = 1000.0 + later
+        clock.at = 1000.0 + elapsed_s
         assert (
-            abs(former_owner_renewal_s(context, taken) - min(left, context.outage_renewal_s)) < 1e-3
+            abs(former_owner_renewal_s(context, taken) - min(left_s, context.outage_renewal_s))
+            < 1e-3
         )
-    assert former_owner_renewal_s(context, ShardValue(0, 7)) == 0.0  # nobody was before
+    assert former_owner_renewal_s(context, ShardValue(0, 7)) == 0.0  # no former owner
 
 
 def test_a_misrouted_worker_is_not_redirected_again_to_an_owner_that_does_not_answer() -> None:
-    """The owner was partitioned from its workers and the third controller was down: a worker was
+    """The owner was partitioned from its workers and the third controller was down. A worker came
     back 10 s after its redirect, 2 s too late to be recognised, and was redirected each time."""
     clock = Clock()
     node = Controller(make_context(clock, zones=("a",) * 3, node=1))
@@ -403,7 +404,7 @@
     node.peers.call = call  # type: ignore[method-assign, assignment]  # fake
 
     def report(name: str) -> bool:
-        """Whether it is redirected to its owner."""
+        """Send a report; return whether the machine is redirected to its owner."""
         body = {
             "host": name, "endpoint": "x:1", "build": "small", "roost": "a", "tenure": 1,
             "tally": int(clock.at * 100), "baton": 7, "chores": [],
@@ -412,18 +413,18 @@
         return bool(reply.status == 421)
 
     report(mine[0])
-    clock.at += 60.0  # the ownership is an old one: who comes now was served by it
+    clock.at += 60.0  # the ownership is old: the owner has served these workers before
     sent: dict[str, int] = dict.fromkeys(mine, 0)
-    until = dict.fromkeys(mine, clock.at)  # when each is here (again)
+    until = dict.fromkeys(mine, clock.at)  # when each reports (again)
     for _ in range(90):
         for name in mine:
             if clock.at >= until[name] and report(name):
                 sent[name] += 1
-                until[name] = clock.at + 10.5  # two controllers that don't answer
+                until[name] = clock.at + 10.5  # it tries two controllers that don't answer
         clock.at += 1.0
     assert sum(sent.values()) <= 4
     assert len(forwarded) > 60 * len(mine)
-    # When one doesn't come back, the others follow.
+    # When a redirected worker doesn't come back, the others are redirected too.
     for _ in range(40):
         for name in mine:
             if clock.at >= until[name] and report(name):
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -1,4 +1,4 @@
-"""Pure decisions against slow plain models."""
+"""Scoring, descheduling, guarantees and scheduling, in part against simple models."""
 
 import itertools
 import random
@@ -90,11 +90,11 @@
         Candidate(i, 0, 0, False, 0, (8.0, 0.0, 8.0), [float(i), 0.0, 8.0]) for i in range(9)
     ]
     got = scoring.choose_refit(candidates, (2.0, 0.0, 2.0), 2000, 15, random.Random(3))
-    open_ = [candidate.index for candidate in got if candidate.available[0] >= 2]
+    with_space = [candidate.index for candidate in got if candidate.available[0] >= 2]
     assert sorted(candidate.index for candidate in got) == list(range(9))
-    assert len(open_) == 7
-    # Forced candidates, fitting only by their whole capacity, come last.
-    assert [candidate.index for candidate in got][: len(open_)] == open_
+    assert len(with_space) == 7
+    # Machines that fit the task only by their whole capacity come last.
+    assert [candidate.index for candidate in got][: len(with_space)] == with_space
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -122,7 +122,7 @@
 def test_the_jobs_exchanged_between_controllers_decide_the_guarantees(
     jobs: list[tuple[int, int, int, int]],
 ) -> None:
-    """Each sends only its jobs that bear on them; together they decide as all jobs would."""
+    """Each sends only its jobs that affect the guarantees; these must give the same result."""
     context = make_context(Clock())
     found = [
         TeamJob(team, at, f"j-{i:02d}", float(cpus), 0.0, rank)
@@ -136,8 +136,8 @@
     )
 
 
-def test_a_guarantee_is_its_own_teams() -> None:
-    """The first team's lack of one was taken for the second's: it had all processors."""
+def test_a_team_without_a_guarantee_does_not_affect_anothers_guarantee() -> None:
+    """The first team's lack of a guarantee was applied to the second, whose jobs all counted."""
     context = make_context(Clock())
     teams = [Team("red"), Team("blue", cpus=8.0)]
     deployment = msgspec.structs.replace(context.settings.settings, teams=teams)
@@ -181,7 +181,7 @@
     full = Candidate(
         0, kind, 0, False, 0, total, [0.0, 0.0, 8.0], images={"img"}, youngest_s=[-1, 5, -1, -1]
     )
-    # Has the image too, and nothing that may be preempted.
+    # It has the image too, but nothing that may be preempted.
     stuck = Candidate(
         2, kind, 0, False, 0, total, [0.0, 0.0, 8.0], images={"img"}, youngest_s=[-1, -1, -1, 5]
     )
@@ -191,8 +191,8 @@
     job.reserving.clear()
     again, _ = scheduler.schedule(context, [job], [stuck, full, empty], lambda j: 9, 9)
     assert [(p.candidate.index, p.preempt) for p in again] == [(1, False)]
-    calm = new_job(context, spec("j-2", chores=1, rank="normal", image_gb=8.0), 0, 0)
-    decisions, _ = scheduler.schedule(context, [calm], [full, empty], lambda j: 9, 9)
+    normal_job = new_job(context, spec("j-2", chores=1, rank="normal", image_gb=8.0), 0, 0)
+    decisions, _ = scheduler.schedule(context, [normal_job], [full, empty], lambda j: 9, 9)
     assert [(p.candidate.index, p.preempt) for p in decisions] == [(1, False)]
 
 
