--- a/starlingdeck/machines/commands.py
+++ b/starlingdeck/machines/commands.py
@@ -24,7 +24,7 @@
         self.desired = desired
 
     def pending(self, machine: Machine, reaps: bool) -> list[api.Command]:
-        """Return the stops and reaps that the newest report calls for."""
+        """Return the stops and reaps that the newest report calls for, but no starts."""
         if machine.reconciled:
             return []
         find_desired, is_synced = self.desired.find, self.desired.is_synced
@@ -79,7 +79,7 @@
         return commands
 
     def commands_for(self, machine: Machine, starts: bool) -> api.Commands:
-        """Return what to send to a worker now, counting the starts in it as delivered."""
+        """Return what to send to a worker now. Starts count as delivered before they are sent."""
         token = self.state.token
         if machine.new_incarnation_session:
             return api.Commands(token, machine.new_incarnation_session, machine.orphan_stops)
