--- a/starlingdeck/admission/quota.py
+++ b/starlingdeck/admission/quota.py
@@ -53,13 +53,13 @@
         remaining = self.pending_transfers.get((team, shard), own)
         return ResourceAmount(min(own[0], remaining[0]), min(own[1], remaining[1]))
 
-    def learn(self, team: int, shares: Sequence[tuple[float, float]], version: int) -> None:
+    def record_shares(self, team: int, shares: Sequence[tuple[float, float]], version: int) -> None:
         """Record the shares read from a team's key; an older version changes nothing."""
         if version > self.versions.get(team, 0) and len(shares) == self.context.shard_count:
             self.shares[team] = [ResourceAmount(float(c), float(g)) for c, g in shares]
             self.versions[team] = version
 
-    def transfer(
+    def begin_transfer(
         self,
         team: int,
         giver: int,
@@ -69,7 +69,7 @@
     ) -> list[ResourceAmount] | None:
         """The split after `giver` has given away what it doesn't use; None if that is nothing.
 
-        From here until `settle` the giver's share is the smaller one, whatever the write does.
+        From here until `end_transfer` the giver has the smaller share, whatever the write does.
         """
         if giver == receiver or (team, giver) in self.pending_transfers:
             return None
@@ -87,6 +87,6 @@
         self.pending_transfers[(team, giver)] = after[giver]
         return after
 
-    def settle(self, team: int, giver: int) -> None:
+    def end_transfer(self, team: int, giver: int) -> None:
         """End a transfer: its key has been read again and says what the share is."""
         self.pending_transfers.pop((team, giver), None)
--- a/starlingdeck/admission/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -107,7 +107,7 @@
             withheld = self.demand.withheld_from(team, giver, receiver, smallest)
             if withheld is None:
                 continue
-            after = self.quota.transfer(team, giver, receiver, needed, withheld)
+            after = self.quota.begin_transfer(team, giver, receiver, needed, withheld)
             if after is not None:
                 await curio.spawn(
                     self._write_transfer, team, giver, writer.shard, after, daemon=True
@@ -124,7 +124,7 @@
         }
         try:
             version = await self.state.transact(conditions, [put_change(key, after)])
-            self.quota.learn(team, after, version)
+            self.quota.record_shares(team, after, version)
             shares = [tuple(share) for share in after]
             log.info("quota transferred: team=%d giver=%d shares=%s", team, giver, shares)
         except (StateError, TransactionConflictError) as error:
@@ -135,7 +135,7 @@
                 # It may still be executed; only a later write of the key, or its trace, rules
                 # that out.
                 await self._invalidate_late_write(key, team)
-        self.quota.settle(team, giver)
+        self.quota.end_transfer(team, giver)
         await self.wake.set()
 
     async def _invalidate_late_write(self, key: str, team: int) -> None:
@@ -151,13 +151,13 @@
             except StateError:
                 await self._retry_wait()
             else:
-                self.quota.learn(team, shares, new_version)
+                self.quota.record_shares(team, shares, new_version)
                 return
 
     def on_key_changed(self, key: str, value: msgspec.Raw, version: int) -> None:
         """Take over a team's shares from the value of its key; msgspec.DecodeError if invalid."""
         shares = msgspec.json.decode(value, type=list[ResourceAmount])
-        self.quota.learn(int(key[len(records.QUOTA) :]), shares, version)
+        self.quota.record_shares(int(key[len(records.QUOTA) :]), shares, version)
 
     async def _reread_quota(self, key: str) -> None:
         """Read a team's shares, however long that takes."""
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -226,7 +226,7 @@
         await node.planner.run_cycle()
         await curio.sleep(0)
 
-    node.quota_transfer.quota.learn(0, [(3.0, 0.0), (10.0, 0.0), (11.0, 0.0)], 9)
+    node.quota_transfer.quota.record_shares(0, [(3.0, 0.0), (10.0, 0.0), (11.0, 0.0)], 9)
     node.planner.reservations.reserve_local = reserve
     node.peers.last_heard_at[0] = 1e9
     curio.run(drive)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -47,7 +47,9 @@
         """Transfer quota to the next controller; the write may be late or lost."""
         quota = self.controllers[own]
         need = ResourceAmount(float(self.rng.randint(1, 12)), 0.0)
-        after = quota.transfer(0, own, (own + 1) % 3, need, ResourceAmount(self.used[own], 0.0))
+        after = quota.begin_transfer(
+            0, own, (own + 1) % 3, need, ResourceAmount(self.used[own], 0.0)
+        )
         if after is None:
             return
         outcome, expected = self.rng.random(), quota.versions.get(0, 0)
@@ -65,8 +67,8 @@
         if own in self.unread:
             version += 1
             self.stored = (shares, version)
-        self.controllers[own].learn(0, shares, version)
-        self.controllers[own].settle(0, own)
+        self.controllers[own].record_shares(0, shares, version)
+        self.controllers[own].end_transfer(0, own)
         self.unread.discard(own)
 
 
@@ -84,11 +86,11 @@
     context = make_context(Clock())
     quota = Quota(context)
     for giver in (1, 2):
-        after = quota.transfer(0, giver, 0, ResourceAmount(12.0, 0.0), ZERO)
+        after = quota.begin_transfer(0, giver, 0, ResourceAmount(12.0, 0.0), ZERO)
         assert after is not None
-        quota.learn(0, after, giver)
-        quota.settle(0, giver)
+        quota.record_shares(0, after, giver)
+        quota.end_transfer(0, giver)
     assert quota.share(0, 0) == (24.0, quota.share(0, 0)[1])
     assert (
-        quota.transfer(1, 1, 0, ResourceAmount(12.0, 0.0), ZERO) is None
+        quota.begin_transfer(1, 1, 0, ResourceAmount(12.0, 0.0), ZERO) is None
     )  # no limit, nothing to move
