--- a/starlingdeck/counts/allocation.py
+++ b/starlingdeck/counts/allocation.py
@@ -1,4 +1,4 @@
-"""The ledgers' part in a transaction of a job shard: units allocated to starts, freed by ends."""
+"""Allocates units to starts and frees those of ends, in the transactions of a job shard."""
 
 import logging
 from collections.abc import Callable
@@ -15,9 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-WITHHELD_S = 1.0  # how long a start waits for its units before its reservation is given up
-RETRY_S = 0.1  # before such a task is placed again
-MAX_RELEASE_TIMES = 200  # ends per resource remembered for the latency "unit idle"
+MAX_WITHHELD_S = 1.0  # how long a start waits for its units before its reservation is given up
+WITHHELD_RETRY_S = 0.1  # before the task of such a start is placed again
+MAX_RELEASE_TIMES_PER_RESOURCE = 200  # ends remembered for the latency "unit idle"
 
 
 class _Savepoint(NamedTuple):
@@ -28,10 +28,10 @@
 
 
 class LedgerTransaction:
-    """A `TransactionReservation`: keeps the units in use within those allocated to the shard.
+    """A `TransactionReservation` that keeps the units in use within those allocated to the shard.
 
-    Every ledger that a start depends on is a condition of the transaction, and is changed in it
-    if the shard's number must grow or can shrink.
+    The version of every ledger that a start depends on is a condition of the transaction. The
+    ledger is changed in the same transaction if the shard's allocation must grow or can shrink.
     """
 
     def __init__(
@@ -39,12 +39,12 @@
     ) -> None:
         self.store = store
         self.shard = shard
-        self.is_wanted = is_wanted  # whether tasks of a shard wait for units of a resource
+        self.is_wanted = is_wanted  # (shard, resource): see `UnitHeadroom.is_wanted`
         self.updates: list[JobUpdate] = []
-        self._use: dict[int, int] = {}  # units in use by resource, with all updates
-        self._ledgers: dict[int, Ledger] = {}  # as they must be for the updates
+        self._use: dict[int, int] = {}  # resource -> units in use after all updates
+        self._ledgers: dict[int, Ledger] = {}  # resource -> ledger after all updates
         self._savepoint = _Savepoint({}, {})
-        self._versions: dict[int, int] = {}  # of the ledgers, once the conditions are made
+        self._versions: dict[int, int] = {}  # resource -> version of its ledger that is a condition
         self._changed: dict[int, Ledger] = {}
 
     def _used(self, resource: int) -> int:
@@ -54,14 +54,14 @@
         return self._ledgers.get(resource, self.store.ledgers.get(resource))
 
     def admit(self, job: Job) -> None:
-        """Withhold the starts of a job for which there are no units now.
+        """Withhold those starts of a job for which no units are available now.
 
-        A start withheld for longer than `WITHHELD_S` is dropped, and its task placed again.
+        A start withheld for longer than `MAX_WITHHELD_S` is dropped, and its task placed again.
         """
         job.withheld = frozenset()
         if not (job.resource_needs and job.pending_starts) or job.cancelled:
             return
-        # Only the first chunk is written: ends in another one free nothing yet.
+        # Only the lowest chunk is sure to be written: ends in others may free nothing yet.
         chunk = min(t // TASKS_PER_CHUNK for t in (*job.pending_ends, *job.pending_starts))
         ends = sum(t in job.placements and t // TASKS_PER_CHUNK == chunk for t in job.pending_ends)
         startable = min(
@@ -70,13 +70,13 @@
         now = self.store.context.now()
         withheld = list(job.pending_starts)[max(0, startable) :]
         for task in withheld:
-            if now - job.pending_starts[task].state_since > WITHHELD_S:
+            if now - job.pending_starts[task].state_since > MAX_WITHHELD_S:
                 del job.pending_starts[task]
-                job.retry_at[task] = now + RETRY_S
+                job.retry_at[task] = now + WITHHELD_RETRY_S
         job.withheld = frozenset(withheld) & job.pending_starts.keys()
 
     def _startable(self, resource: int, units: int, ends: int) -> int:
-        """How many tasks of so many units may start while `ends` such tasks end."""
+        """Return how many tasks of `units` units each may start while `ends` such tasks end."""
         ledger = self._ledger(resource)
         if ledger is None or self.store.is_uncertain(self.shard.shard, resource):
             return 0
@@ -84,11 +84,11 @@
         return free // units
 
     def add(self, update: JobUpdate) -> bool:
-        """Add a job's update; False, and nothing added, if its starts don't get their units."""
+        """Add a job's update. Return False and add nothing if its starts don't get their units."""
         self._savepoint = _Savepoint(dict(self._use), dict(self._ledgers))
-        more_tasks = len(update.pending_starts) - len(update.pending_ends)
+        added_tasks = len(update.pending_starts) - len(update.pending_ends)
         for resource, units in update.job.resource_needs:
-            used = self._used(resource) + units * more_tasks
+            used = self._used(resource) + units * added_tasks
             ledger = self._ledger(resource)
             if update.pending_starts:
                 granted = grant(ledger, self.shard.shard, used) if ledger else None
@@ -103,7 +103,7 @@
         return True
 
     def _is_released(self, resource: int, ledger: Ledger, used: int) -> bool:
-        """Whether units that the shard no longer uses are released together with the end."""
+        """Return whether units that the shard no longer uses are released in this transaction."""
         shard = self.shard.shard
         if ledger.allocated[shard] <= used or self.store.is_uncertain(shard, resource):
             return False
@@ -111,7 +111,7 @@
         return ledger.removed or over_ceiling or not self._is_needed_here(resource)
 
     def _is_needed_here(self, resource: int) -> bool:
-        """Whether tasks of this shard wait for units of a resource, or are about to start."""
+        """Return whether tasks of this shard wait for units of a resource or are about to start."""
         if self.is_wanted(self.shard.shard, resource):
             return True
         jobs = self.shard.jobs
@@ -126,16 +126,19 @@
         self._use, self._ledgers = self._savepoint
 
     def remove_last(self) -> None:
-        """Remove the update added last: the transaction has no room for it."""
+        """Remove the update added last, for which the transaction has no room."""
         self.updates.pop()
         self._restore()
 
     def key_count(self) -> int:
-        """How many ledgers the transaction depends on so far."""
+        """Return the number of ledgers that the transaction depends on so far."""
         return len(self._ledgers)
 
     def conditions_and_changes(self) -> tuple[dict[str, int], list[api.Change]]:
-        """The versions that the ledgers must have, and their changes; nothing is added after."""
+        """Return the versions that the ledgers must have, and their changes.
+
+        No update may be added after this call.
+        """
         store = self.store
         self._versions = {resource: store.versions[resource] for resource in self._ledgers}
         self._changed = {
@@ -147,7 +150,10 @@
         return conditions, [put_change(store.key(r), new) for r, new in self._changed.items()]
 
     def on_committed(self, revision: int) -> None:
-        """The transaction was executed: record the ledgers, and log the units of each task."""
+        """Record the ledgers of the executed transaction, and log the units of each task.
+
+        `revision` is the new version of the ledgers that the transaction changed.
+        """
         store = self.store
         for resource, new in self._changed.items():
             if new.total < store.ledgers[resource].total:
@@ -159,7 +165,7 @@
                 released_at = store.released_at.setdefault(resource, [])
                 self._log_ends(update, resource, units, released_at, now)
                 self._log_starts(update, resource, units, released_at, now)
-                del released_at[:-MAX_RELEASE_TIMES]
+                del released_at[:-MAX_RELEASE_TIMES_PER_RESOURCE]
             if update.job.end_proofs:
                 proofs = update.job.end_proofs.items()
                 update.job.end_proofs = {t: p for t, p in proofs if t not in update.pending_ends}
@@ -185,11 +191,11 @@
                 self.store.context.latencies.record("unit idle", now - released_at.pop(0))
 
     async def on_conflict(self, failed: list[str]) -> bool:
-        """Read the ledgers among the failed conditions again; True if there were any."""
+        """Read the ledgers among the failed conditions again; return True if there were any."""
         return await self.store.reread_failed(failed)
 
     def on_unknown_outcome(self) -> None:
-        """The transaction may still be executed."""
+        """Mark the ledgers as uncertain: the transaction may still be executed."""
         if self._versions:
             jobs = [update.job for update in self.updates if update.job.resource_needs]
             self.store.mark_uncertain(self.shard, self._versions, jobs)
--- a/starlingdeck/counts/declaration.py
+++ b/starlingdeck/counts/declaration.py
@@ -11,21 +11,21 @@
 log = logging.getLogger(__name__)
 
 FIRST_REVISION = 1
-AUTHOR = "declared"  # of the first change in the history
+AUTHOR = "declared"  # of the first change in a declared resource's history
 
 
 class LedgerDeclaration:
-    """Makes sure that each declared resource has a ledger; one that exists is left as it is."""
+    """Creates a ledger for each declared resource without one; never changes an existing ledger."""
 
     def __init__(self, store: LedgerStore, settings: CountSettings) -> None:
         self.store = store
         self.settings = settings
-        self._done: set[str] = set()
+        self._done: set[str] = set()  # names of resources that have a ledger
 
     async def declare(self) -> None:
         """Create missing ledgers; log once which existing ones differ from their declaration.
 
-        StateError if the state service can't be used; the rest is then done by a later call.
+        Raises StateError if the state service can't be used; a later call then does the rest.
         """
         for name, declared in self.settings.declare.items():
             if name in self._done:
--- a/starlingdeck/counts/gossip.py
+++ b/starlingdeck/counts/gossip.py
@@ -8,13 +8,13 @@
 from starlingdeck.interning import InternTable
 from starlingdeck.protocol import peer_pb2 as pb
 
-MAX_ENTRIES = 200  # of each kind in one message, or for one resource
+MAX_ENTRIES = 200  # waiters sent per message, uses sent per resource, either received per message
 
 
 def add_to_gossip(
     context: ControllerContext, queue: WaitingQueue, preemption: UnitPreemption, gossip: pb.Gossip
 ) -> None:
-    """Add the first waiters here, and the tasks with units of resources that lack some."""
+    """Add this controller's first waiters, and its tasks with units that preemption may free."""
     names = context.resource_names
     for (shard, resource), waiter in islice(queue.own.items(), MAX_ENTRIES):
         gossip.resource_waiters.add(
@@ -51,7 +51,7 @@
     sender: int,
     gossip: pb.Gossip,
 ) -> None:
-    """Replace what is known of a peer; resources that are not known here are left out."""
+    """Replace the waiters and uses known of a peer; skip resources that are unknown here."""
     now, names = context.now(), context.resource_names
     queue.by_peer[sender] = PeerWaiters(now, _waiters_by_resource(gossip, names))
     preemption.by_peer[sender] = PeerUses(now, _uses(gossip, names))
--- a/starlingdeck/counts/headroom.py
+++ b/starlingdeck/counts/headroom.py
@@ -1,4 +1,4 @@
-"""How many tasks of each job may start in a scheduling cycle, for the units that they need."""
+"""Limits how many tasks of each job may start in a scheduling cycle to the available units."""
 
 from collections.abc import Mapping, Sequence
 
@@ -14,20 +14,20 @@
 
 
 class AllocationCycle(Struct):
-    """The units that remain during a scheduling cycle, and which shards found too few."""
+    """The units still available in a scheduling cycle, and the shards that found too few."""
 
     unused: dict[ShardResource, int] = field(default_factory=dict)  # allocated and not in use
     # resource -> units allocated to no shard; negative: excess over the ceiling
     unallocated: dict[int, int] = field(default_factory=dict)
-    reserved: dict[int, int] = field(default_factory=dict)  # for tasks that need several units
+    reserved: dict[int, int] = field(default_factory=dict)  # units, for tasks that need several
     planned: dict[ShardResource, int] = field(default_factory=dict)  # see `planned_units`
-    waiters: dict[ShardResource, Waiter] = field(default_factory=dict)  # first that found too few
-    deferred: set[int] = field(default_factory=set)  # resources left to better work elsewhere
+    waiters: dict[ShardResource, Waiter] = field(default_factory=dict)  # first to find too few
+    deferred: set[int] = field(default_factory=set)  # resources left to waiters of other shards
     requested: set[ShardResource] = field(default_factory=set)  # for tasks placed in this cycle
 
 
 class UnitHeadroom:
-    """Splits the units that are free over the waiting jobs, in the order of the cycle."""
+    """Divides the free units among the waiting jobs, in scheduling order."""
 
     def __init__(self, store: LedgerStore, queue: WaitingQueue, settings: CountSettings) -> None:
         self.context: ControllerContext = store.context
@@ -37,10 +37,10 @@
         self.settings = settings
         self.cycle = AllocationCycle()
         self._short_since: dict[int, float] = {}  # job -> since when it finds too few units
-        self._deferred_since: dict[int, float] = {}  # resource -> since when it is left to others
+        self._deferred_since: dict[int, float] = {}  # resource -> since when others go first
 
     def is_due(self) -> bool:
-        """Whether units came free since the last cycle."""
+        """Return whether units became free since the last cycle."""
         return self.store.has_new_units or any(
             writer.shard.units_released for writer in self.writers.values()
         )
@@ -51,7 +51,7 @@
             writer.shard.units_released = False
 
     def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        """Start over; `jobs` have tasks to place."""
+        """Begin a scheduling cycle, in which `jobs` have tasks to place."""
         self._clear_due()
         waiting = {job.index for job in jobs}
         self._short_since = {j: at for j, at in self._short_since.items() if j in waiting}
@@ -64,12 +64,12 @@
         self.cycle = AllocationCycle(planned=self.planned_units())
 
     def on_idle(self) -> None:
-        """No task waits."""
+        """Clear the cycle and the queue of this controller: no task waits."""
         self._clear_due()
         self.queue.own, self.cycle = {}, AllocationCycle()
 
     def planned_units(self) -> dict[ShardResource, int]:
-        """Units that starts not yet recorded will use, less those of ends not yet recorded."""
+        """Return the units of unrecorded starts, less those of unrecorded ends."""
         planned: dict[ShardResource, int] = {}
         for writer in self.writers.values():
             shard = writer.shard
@@ -85,7 +85,7 @@
         return planned
 
     def headroom(self, job: Job) -> int:
-        """For how many more of the job's tasks there are units."""
+        """Return for how many more of the job's tasks units are available."""
         if not job.resource_needs:
             return UNBOUNDED
         tasks = min(self._units(job, resource) // units for resource, units in job.resource_needs)
@@ -94,11 +94,11 @@
         return max(0, tasks)
 
     def _units(self, job: Job, resource: int) -> int:
-        """How many units of a resource the job may use."""
+        """Return how many units of a resource the job may use."""
         ledger = self.store.ledgers.get(resource)
         if ledger is None or ledger.removed or job.shard not in self.writers:
             return 0
-        self._open(job.shard, resource, ledger)
+        self._init_available(job.shard, resource, ledger)
         cycle = self.cycle
         units = cycle.unused[(job.shard, resource)] + cycle.unallocated[resource]
         units -= cycle.reserved.get(resource, 0)
@@ -110,7 +110,7 @@
                 units -= sum(waiter.units for waiter in ahead)
         return units
 
-    def _open(self, shard: int, resource: int, ledger: Ledger) -> None:
+    def _init_available(self, shard: int, resource: int, ledger: Ledger) -> None:
         """Compute, once per cycle, the units that a shard may use of a resource."""
         cycle, key = self.cycle, (shard, resource)
         unallocated = cycle.unallocated.setdefault(resource, ledger.ceiling - ledger.total)
@@ -121,15 +121,15 @@
             cycle.unallocated[resource] = unallocated + min(0, unused)
 
     def _deferral_s(self, ahead: Sequence[Waiter]) -> float:
-        """How long units are left to these waiters of other shards."""
+        """Return for how many seconds units are left to these waiters of other shards."""
         reserve_s, patience_s = self.settings.reserve_s, self.settings.patience_s
         return max(reserve_s if waiter.reserving else patience_s for waiter in ahead)
 
     def _record_shortage(self, job: Job) -> None:
-        """Note that a job found too few units.
+        """Record that a job found too few units.
 
-        For a task that needs several, units that come free are reserved half of the time; in the
-        other half tasks that need fewer have their turn.
+        For a task that needs several, units that become free are reserved in every other period
+        of `reserve_s`. In the periods between, tasks that need fewer may use them.
         """
         now, reserve_s, cycle = self.context.now(), self.settings.reserve_s, self.cycle
         since = self._short_since.setdefault(job.index, now)
@@ -160,13 +160,13 @@
             self._deferred_since.pop(resource, None)
 
     def is_wanted(self, shard: int, resource: int) -> bool:
-        """Whether tasks of a shard wait for units, or were placed in this cycle."""
+        """Return whether tasks of a shard wait for a resource, or were placed in this cycle."""
         key = (shard, resource)
         cycle = self.cycle
         return key in self.queue.own or key in cycle.waiters or key in cycle.requested
 
 
 def _planned_tasks(job: Job) -> int:
-    """The job's starts less its ends that are not recorded yet."""
+    """Return the number of the job's unrecorded starts less that of its unrecorded ends."""
     starts = len(job.pending_starts) + sum(task not in job.placements for task in job.reserving)
     return starts - sum(task in job.placements for task in job.pending_ends)
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -19,15 +19,18 @@
 )
 from starlingdeck.transport.server import Request, Response
 
-HISTORY = "history"  # the path segment
-MAX_HISTORY = 50  # changes kept of each resource
-MAX_ATTEMPTS = 20  # to write a change while shards change the ledger
-MAX_TASKS = 1000  # shown of one resource
+HISTORY = "history"  # last path segment of the request for a resource's history
+MAX_HISTORY_CHANGES = 50  # kept of each resource
+MAX_WRITE_ATTEMPTS = 20  # to write a change while shards change the ledger
+MAX_TASKS_SHOWN = 1000  # of one resource
 REVISION_DIGITS = 8  # at the end of the key of a change
 
 
 class SetCountRequest(Struct, omit_defaults=True):
-    """An operator's change of a resource; `revision` is the one seen, 0 to create it."""
+    """An operator's change of a resource.
+
+    `revision` is the one that the operator saw, 0 to create the resource.
+    """
 
     ceiling: Annotated[int, Meta(ge=0, le=api.MAX_UNITS)]
     revision: Annotated[int, Meta(ge=0)] = field(name="rev")
@@ -82,7 +85,7 @@
     async def handle(self, request: Request) -> Response:
         """Route a request.
 
-        503 means that nothing is known to have changed, 504 that a change may have been made.
+        Status 503 means that no change is known to have been made, 504 that one may have been.
         """
         name, _, subpath = request.path[len(api.COUNTS) + 1 :].partition("/")
         if name and not api.COUNT.fullmatch(name):
@@ -109,7 +112,7 @@
         return StoredLedger(msgspec.json.decode(entry.value, type=Ledger), entry.version)
 
     async def show_all(self) -> Response:
-        """All resources, without their tasks."""
+        """Return all resources, without their tasks."""
         entries, _ = await self.store.state.read(records.COUNTS)
         counts = []
         for entry in entries:
@@ -118,7 +121,7 @@
         return json_response(200, {"counts": counts})
 
     async def show(self, name: str) -> Response:
-        """One resource, with the tasks of this controller's shards that have units of it."""
+        """Return one resource, with the tasks of this controller's shards that have units of it."""
         stored = await self._read(name)
         if stored.ledger is None:
             return error_response(404, "no such count")
@@ -126,7 +129,7 @@
         info.shards = sorted(self.store.writers)
         resource = self.store.context.resource_names.intern(name)
         info.tasks = [self._task_info(found) for found in self.store.tasks_with_units(resource)]
-        del info.tasks[MAX_TASKS:]
+        del info.tasks[MAX_TASKS_SHOWN:]
         return json_response(200, info)
 
     def _task_info(self, found: TaskUnits) -> TaskInfo:
@@ -145,7 +148,7 @@
         )
 
     async def show_history(self, name: str) -> Response:
-        """The last changes of a resource by operators."""
+        """Return the last changes of a resource: its declaration, and those by operators."""
         prefix = records.count_change_key(name, 0)[:-REVISION_DIGITS]
         entries, _ = await self.store.state.read(prefix)
         changes = [msgspec.json.decode(entry.value, type=LedgerChange) for entry in entries]
@@ -156,27 +159,27 @@
     async def change(self, name: str, body: bytes) -> Response:
         """Change a resource if it still has the revision that the operator saw.
 
-        The change is durable before it is answered.
+        The response is sent only once the change is durable.
         """
         try:
-            wanted = msgspec.json.decode(body, type=SetCountRequest)
+            request = msgspec.json.decode(body, type=SetCountRequest)
         except msgspec.DecodeError as error:
             return error_response(400, str(error))
         store = self.store
-        for _ in range(MAX_ATTEMPTS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             stored = await self._read(name)
             old = stored.ledger or Ledger(0, (0,) * store.context.shard_count, revision=0)
-            if wanted.revision != old.revision:
+            if request.revision != old.revision:
                 return error_response(
                     409, f"count {name} has been changed by another operator: look again"
                 )
-            new = changed_ledger(old, wanted)
-            changes = self._changes(name, new, wanted)
+            new = changed_ledger(old, request)
+            changes = self._changes(name, new, request)
             conditions = {records.count_key(name): stored.version}
             try:
                 version = await store.state.transact(conditions, changes, True)
             except TransactionConflictError:
-                # A shard allocated or released units meanwhile: no matter to the operator.
+                # A shard may have allocated or released units, which does not concern the operator.
                 continue
             except OutcomeUnknownError:
                 return error_response(504, "not known whether it was changed: look again")
@@ -185,8 +188,8 @@
             return json_response(status, count_info(name, new, version))
         return error_response(503, "the count is too busy: ask again")
 
-    def _changes(self, name: str, new: Ledger, wanted: SetCountRequest) -> list[api.Change]:
-        """What is written for a change: the ledger, its history, and what is too old there."""
+    def _changes(self, name: str, new: Ledger, request: SetCountRequest) -> list[api.Change]:
+        """Return the writes of a change: ledger, history entry, and deletion of an old entry."""
         change = LedgerChange(
             revision=new.revision,
             at_ms=self.store.context.wall_clock_ms(),
@@ -194,20 +197,20 @@
             preempt=new.preempt,
             removed=new.removed,
             preempt_excess=new.preempt_excess,
-            author=wanted.author,
+            author=request.author,
         )
         changes = [
             put_change(records.count_key(name), new),
             put_change(records.count_change_key(name, new.revision), change),
         ]
-        if new.revision > MAX_HISTORY:
-            expired = records.count_change_key(name, new.revision - MAX_HISTORY)
+        if new.revision > MAX_HISTORY_CHANGES:
+            expired = records.count_change_key(name, new.revision - MAX_HISTORY_CHANGES)
             changes.append(delete_change(expired))
         return changes
 
 
 def count_info(name: str, ledger: Ledger, version: int) -> CountInfo:
-    """A resource as it is shown, without its tasks."""
+    """Return a resource as it is shown to operators, without its tasks."""
     return CountInfo(
         name=name,
         ceiling=ledger.ceiling,
@@ -219,13 +222,13 @@
     )
 
 
-def changed_ledger(old: Ledger, wanted: SetCountRequest) -> Ledger:
-    """The ledger after an operator's change."""
+def changed_ledger(old: Ledger, request: SetCountRequest) -> Ledger:
+    """Return the ledger after an operator's change."""
     return msgspec.structs.replace(
         old,
-        ceiling=wanted.ceiling,
-        preempt=old.preempt if wanted.preempt is None else wanted.preempt,
-        removed=wanted.removed,
-        preempt_excess=wanted.preempt_excess,
+        ceiling=request.ceiling,
+        preempt=old.preempt if request.preempt is None else request.preempt,
+        removed=request.removed,
+        preempt_excess=request.preempt_excess,
         revision=old.revision + 1,
     )
--- a/starlingdeck/counts/ledger.py
+++ b/starlingdeck/counts/ledger.py
@@ -1,8 +1,8 @@
 """The ledger of a counted resource, and how many units a shard may allocate from it.
 
-Pure functions: values in, values out. A ledger's key is changed by compare-and-set only. A shard
-changes its own number alone, under its fencing token, and the tasks in the records of a shard
-never use more units than its number says.
+The functions have no side effects. A ledger's key is changed by compare-and-set only. A shard
+changes only its own allocation, under its fencing token, and the tasks in a shard's records never
+use more units than are allocated to it.
 """
 
 import msgspec
@@ -10,7 +10,8 @@
 
 from starlingdeck.protocol.api import MAX_UNITS
 
-# A shard and the interned name of a counted resource. A plain tuple: headroom builds one per job.
+# A shard and the interned name of a counted resource; a plain tuple, as headroom builds one per
+# job.
 ShardResource = tuple[int, int]
 
 
@@ -19,11 +20,11 @@
 
     ceiling: int
     allocated: tuple[int, ...] = field(name="held")  # units of each shard
-    preempt: bool = False  # higher work that waits may preempt lower work
+    preempt: bool = False  # waiting tasks may preempt running ones of lower priority
     removed: bool = False
     preempt_excess: bool = field(
         default=False, name="stop"
-    )  # what is over the ceiling is preempted
+    )  # tasks are preempted while more than the ceiling is allocated
     revision: int = field(default=1, name="rev")  # number of changes by operators
 
     @property
@@ -33,7 +34,7 @@
 
 
 class LedgerChange(Struct, omit_defaults=True):
-    """An operator's change of a ledger, as the history keeps it."""
+    """A change of a ledger as stored in its history: its declaration, or an operator's."""
 
     revision: int = field(name="rev")
     at_ms: int
@@ -45,30 +46,30 @@
 
 
 def is_valid(ledger: Ledger, shards: int) -> bool:
-    """Whether a ledger that was read has a number for each shard, all within bounds."""
+    """Return whether a ledger that was read has an amount for each shard, all within bounds."""
     amounts = (ledger.ceiling, *ledger.allocated)
     return len(ledger.allocated) == shards and all(0 <= n <= MAX_UNITS for n in amounts)
 
 
 def max_units(ledger: Ledger, shard: int) -> int:
-    """How many units a shard may have allocated, given those of the others."""
+    """Return how many units a shard may have allocated, given those of the other shards."""
     if ledger.removed:
         return 0
     return ledger.ceiling - (ledger.total - ledger.allocated[shard])
 
 
 def with_units(ledger: Ledger, shard: int, units: int) -> Ledger:
-    """The ledger with another number of units for a shard."""
+    """Return the ledger with `units` units allocated to a shard."""
     allocated = list(ledger.allocated)
     allocated[shard] = units
     return msgspec.structs.replace(ledger, allocated=tuple(allocated))
 
 
 def grant(ledger: Ledger, shard: int, units: int) -> Ledger | None:
-    """The ledger with which a shard may have `units` units in use; None if it may not.
+    """Return the ledger under which a shard may use `units` units; None if it may not.
 
-    The same ledger if as many are allocated to it already. Where more are allocated than a
-    lowered ceiling, the shard's number falls to what it uses.
+    This is the same ledger if that many are allocated to the shard already. While the total is
+    over a lowered ceiling, the shard's allocation is reduced to `units` instead.
     """
     if units > max_units(ledger, shard):
         return None
@@ -78,7 +79,7 @@
 
 
 def describe(ledger: Ledger) -> str:
-    """A ledger as key=value pairs, for log lines."""
+    """Return a ledger as key=value pairs, for log lines."""
     return (
         f"ceiling={ledger.ceiling} allocated={ledger.total}"
         f" by_shard={list(ledger.allocated)} removed={ledger.removed}"
--- a/starlingdeck/counts/ledger_store.py
+++ b/starlingdeck/counts/ledger_store.py
@@ -1,4 +1,4 @@
-"""The ledgers as this controller knows them, and the writes on them whose outcome is unknown."""
+"""Caches the ledgers, and tracks the writes on them whose outcome is unknown."""
 
 import logging
 from collections.abc import Iterator, Mapping, Sequence
@@ -19,14 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-CONFLICT_WAIT_S = (0.005, 0.020)  # before a ledger that another shard changed is read again
+CONFLICT_WAIT_RANGE_S = (0.005, 0.020)  # before a ledger that another shard changed is reread
 
 
 class UncertainWrite(Struct):
     """Writes of a shard that may still be executed while these ledgers have these versions."""
 
     shard: JobShard
-    versions: dict[int, int] = field(default_factory=dict)  # by resource; not invalidated yet
+    versions: dict[int, int] = field(default_factory=dict)  # resource -> version not replaced yet
     resources: set[int] = field(default_factory=set)
     jobs: set[int] = field(default_factory=set)
 
@@ -43,7 +43,7 @@
 class LedgerStore:
     """Caches the ledgers from the watch on their keys.
 
-    A ledger out of date costs a transaction conflict, never a unit beyond the ceiling.
+    An outdated ledger causes a transaction conflict, but never a unit over the ceiling.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         self.state = state
         self.writers = writers
         self.ledgers: dict[int, Ledger] = {}  # by resource
-        self.versions: dict[int, int] = {}  # of the ledgers' keys
+        self.versions: dict[int, int] = {}  # resource -> version of its ledger's key
         self.uncertain_writes: dict[int, UncertainWrite] = {}  # by shard
         # resource -> when tasks with units were proven to have ended, for the latency "unit idle"
         self.released_at: dict[int, list[float]] = {}
-        self.has_new_units = False  # since the last cycle units of a ledger became unallocated
+        self.has_new_units = False  # units became unallocated since the last cycle
 
     def on_key_changed(self, key: str, value: bytes, version: int) -> None:
-        """Take over a ledger from the value of its key; ValueError if it is not valid."""
+        """Update a ledger from the value of its key. Raises ValueError if it is not valid."""
         name = key[len(records.COUNTS) :]
         if not api.COUNT.fullmatch(name):
             raise ValueError(f"key {key!r}: expected the name of a counted resource")
@@ -73,7 +73,7 @@
         self.update(self.context.resource_names.intern(name), new, version)
 
     def update(self, resource: int, new: Ledger, version: int) -> None:
-        """Record a ledger as it is in the state service; an older version changes nothing."""
+        """Record a ledger as it is in the state service, if its version is newer."""
         if version <= self.versions.get(resource, 0):
             return
         old = self.ledgers.get(resource)
@@ -84,28 +84,28 @@
             log.info("counted resource changed: resource=%s %s", name, describe(new))
 
     def find(self, name: str) -> Ledger | None:
-        """The ledger of a resource by name.
+        """Return the ledger of a resource by name; None if there is none.
 
-        Users may ask for any name; one without a ledger is not interned.
+        Users may send any name; names without a ledger are not interned.
         """
         resource = self.context.resource_names.find(name)
         return self.ledgers.get(resource) if resource is not None else None
 
     def key(self, resource: int) -> str:
-        """The key of a resource's ledger."""
+        """Return the key of a resource's ledger."""
         return records.count_key(self.context.resource_names[resource])
 
     async def reread(self, name: str) -> None:
-        """Read a resource's ledger from the state service; StateError if that fails."""
+        """Read a resource's ledger from the state service. Raises StateError if that fails."""
         entry = await self.state.get(records.count_key(name), True)
         if entry is not None:
             self.on_key_changed(entry.key, bytes(entry.value), entry.version)
 
     async def reread_failed(self, failed: Sequence[str]) -> bool:
-        """Read the ledgers among the failed conditions again; True if there were any."""
+        """Read the ledgers among the failed conditions again; return True if there were any."""
         keys = [key for key in failed if key.startswith(records.COUNTS)]
         if keys:
-            await curio.sleep(self.context.rng.uniform(*CONFLICT_WAIT_S))
+            await curio.sleep(self.context.rng.uniform(*CONFLICT_WAIT_RANGE_S))
         for key in keys:
             await self.reread(key[len(records.COUNTS) :])
         return bool(keys)
@@ -113,14 +113,14 @@
     # --- writes whose outcome is unknown
 
     def is_uncertain(self, shard: int, resource: int) -> bool:
-        """Whether a write of a shard that depends on this ledger may still be executed."""
+        """Return whether a write of a shard that depends on this ledger may still be executed."""
         write = self.uncertain_writes.get(shard)
         return write is not None and resource in write.resources
 
     def mark_uncertain(
         self, shard: JobShard, versions: Mapping[int, int], jobs: Sequence[Job]
     ) -> None:
-        """Note that a write which depends on these ledgers may still be executed."""
+        """Record that a write which depends on these ledgers may still be executed."""
         write = self.uncertain_writes.get(shard.shard)
         if write is None or write.shard is not shard:
             write = self.uncertain_writes[shard.shard] = UncertainWrite(shard)
@@ -129,11 +129,11 @@
         write.jobs |= {job.index for job in jobs}
 
     async def settle(self, shard: JobShard) -> None:
-        """Invalidate the uncertain writes of a shard, then have its jobs read again.
+        """Invalidate the uncertain writes of a shard, then mark their jobs as stale.
 
-        Every ledger that such a write depends on is changed to a new version. Without that a
-        start or a release within the units of a shard, which leaves the ledger as it is, could
-        be executed minutes late with all its conditions true, after another task got the unit.
+        Every ledger that such a write depends on gets a new version. Otherwise a start or a
+        release within the shard's allocation, which does not change the ledger, could be executed
+        minutes late with all its conditions true, after another task got the unit.
         """
         write = self.uncertain_writes.get(shard.shard)
         if write is None:
@@ -158,12 +158,12 @@
     # --- the tasks with units
 
     def used(self, shard: int, resource: int) -> int:
-        """Units in use by the recorded tasks of a shard; 0 for one of another controller."""
+        """Return the units in use by a shard's recorded tasks; 0 for another controller's shard."""
         writer = self.writers.get(shard)
         return writer.shard.resource_use.get(resource, 0) if writer is not None else 0
 
     def tasks_with_units(self, resource: int) -> Iterator[TaskUnits]:
-        """The recorded tasks of this controller's shards that have units of a resource."""
+        """Yield the recorded tasks of this controller's shards that have units of a resource."""
         for writer in self.writers.values():
             for job in writer.shard.jobs.values():
                 units = dict(job.resource_needs).get(resource, 0) if job.resource_needs else 0
--- a/starlingdeck/counts/plugin.py
+++ b/starlingdeck/counts/plugin.py
@@ -1,4 +1,4 @@
-"""Counted resources as an admission plugin: the parts of the package put together."""
+"""The admission plugin of counted resources, assembled from the parts of this package."""
 
 import logging
 from collections.abc import Mapping, Sequence
@@ -31,14 +31,14 @@
 
 log = logging.getLogger(__name__)
 
-INTERVAL_S = 0.1  # between two rounds of upkeep
+MAINTENANCE_INTERVAL_S = 0.1
 MIN_RETRY_S = 0.2  # after the state service could not be used; a random part is added
 MAX_RETRY_JITTER_S = 0.3
 MAX_LOGGED_RESOURCES = 200
 
 
 class CountedResourcePlugin:
-    """This controller's part in all counted resources: a `DurablePlugin` of admission."""
+    """The `DurablePlugin` that limits tasks by counted resources on this controller."""
 
     prefix = records.COUNTS
     path = api.COUNTS
@@ -57,8 +57,8 @@
         self.settings = settings
         self.store = LedgerStore(context, state, writers)
         self.queue = WaitingQueue(context, writers, settings.turn_s)
-        self.units = UnitHeadroom(self.store, self.queue, settings)
-        self.releaser = UnitReleaser(self.store, self.queue, self.units, settings.idle_s)
+        self.unit_headroom = UnitHeadroom(self.store, self.queue, settings)
+        self.releaser = UnitReleaser(self.store, self.queue, self.unit_headroom, settings.idle_s)
         self.preemption = UnitPreemption(self.store, self.queue)
         self.declaration = LedgerDeclaration(self.store, settings)
         self.api = CountsApi(self.store)
@@ -66,65 +66,65 @@
     # --- which tasks may start
 
     def is_due(self) -> bool:
-        """Whether units came free since the last cycle."""
-        return self.units.is_due()
+        """Return whether units became free since the last cycle."""
+        return self.unit_headroom.is_due()
 
     async def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        """A scheduling cycle begins; `jobs` have tasks to place."""
-        self.units.begin_cycle(jobs)
+        """Begin a scheduling cycle, in which `jobs` have tasks to place."""
+        self.unit_headroom.begin_cycle(jobs)
 
     def on_idle(self) -> None:
-        """No task waits."""
-        self.units.on_idle()
+        """Clear what was computed for waiting tasks: none waits."""
+        self.unit_headroom.on_idle()
 
     def headroom(self, job: Job) -> int:
-        """For how many more of the job's tasks there are units."""
-        return self.units.headroom(job)
+        """Return for how many more of the job's tasks units are available."""
+        return self.unit_headroom.headroom(job)
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Machines are being asked for that many more of the job's tasks."""
-        self.units.on_requested(job, tasks)
+        """Count the units of that many more of the job's tasks as used."""
+        self.unit_headroom.on_requested(job, tasks)
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
-        """Every reason why the job's next task may not start now."""
+        """Return every reason why the job's next task may not start now."""
         return wait_reasons.wait_reasons(self.store, self.queue, job)
 
     async def rejection_reason(self, spec: api.JobSpec) -> str:
-        """Why the tasks of a job can never have their units; empty if they can."""
+        """Return why the tasks of a job can never have their units; empty if they can."""
         return await wait_reasons.rejection_reason(self.store, spec)
 
-    # --- the durable side
+    # --- ledgers and transactions
 
     def on_key_changed(self, key: str, value: bytes, version: int) -> None:
-        """Take over a ledger from the value of its key; ValueError if it is not valid."""
+        """Update a ledger from the value of its key. Raises ValueError if it is not valid."""
         self.store.on_key_changed(key, value, version)
 
     def begin_transaction(self, shard: JobShard) -> LedgerTransaction:
-        """The ledgers' part in a transaction of a job shard."""
-        return LedgerTransaction(self.store, shard, self.units.is_wanted)
+        """Return the ledgers' part of a transaction of a job shard."""
+        return LedgerTransaction(self.store, shard, self.unit_headroom.is_wanted)
 
     async def settle(self, shard: JobShard) -> None:
         """Invalidate the writes of a shard whose outcome is unknown."""
         await self.store.settle(shard)
 
-    # --- between controllers
+    # --- gossip between controllers
 
     def add_to_gossip(self, gossip: pb.Gossip) -> None:
-        """Add what peers must know of waiting and running work here."""
+        """Add what peers must know of this controller's waiting and running tasks."""
         counts_gossip.add_to_gossip(self.context, self.queue, self.preemption, gossip)
 
     def receive_gossip(self, sender: int, gossip: pb.Gossip) -> None:
-        """Replace what is known of a peer."""
+        """Replace what is known of a peer's waiting and running tasks."""
         counts_gossip.receive_gossip(self.context, self.queue, self.preemption, sender, gossip)
 
-    # --- operators
+    # --- operators' requests and log
 
     async def serve(self, request: Request) -> Response:
         """Answer an operator's request under `path`."""
         return await self.api.handle(request)
 
     def lines(self) -> list[str]:
-        """One log line for each resource that is allocated or waited for."""
+        """Return one log line for each resource that is allocated or waited for."""
         waiting: dict[int, int] = {}
         for writer in self.writers.values():
             for job in writer.shard.jobs.values():
@@ -132,19 +132,19 @@
                     tasks = job.unfinished - len(job.placements)
                     waiting[resource] = waiting.get(resource, 0) + tasks
         names, ledgers = self.context.resource_names, self.store.ledgers
-        active = [r for r, ledger in ledgers.items() if ledger.total or waiting.get(r)]
+        in_demand = [r for r, ledger in ledgers.items() if ledger.total or waiting.get(r)]
         return [
             f"counted resource: resource={names[r]} {describe(ledgers[r])}"
             f" waiting_tasks={waiting.get(r, 0)}"
-            for r in active[:MAX_LOGGED_RESOURCES]
+            for r in in_demand[:MAX_LOGGED_RESOURCES]
         ]
 
-    # --- upkeep
+    # --- maintenance
 
     async def run(self) -> None:
         """Declare resources, release idle units and preempt, until cancelled."""
         while True:
-            await curio.sleep(INTERVAL_S)
+            await curio.sleep(MAINTENANCE_INTERVAL_S)
             if not (self.membership.lease_is_valid() and self.membership.synced):
                 continue
             try:
--- a/starlingdeck/counts/unit_preemption.py
+++ b/starlingdeck/counts/unit_preemption.py
@@ -1,4 +1,4 @@
-"""Preempts running tasks for units: over a lowered ceiling, or for higher work that waits."""
+"""Preempts running tasks to free units, over a lowered ceiling or for work of higher priority."""
 
 import logging
 from collections.abc import Iterable, Sequence
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-AGREEMENT_S = 0.6  # before tasks are preempted; every peer has sent its gossip meanwhile
+PREEMPTION_DELAY_S = 0.6  # after units are first required; every peer sends gossip meanwhile
 
 
 class UnitUse(Struct, frozen=True):
@@ -33,18 +33,18 @@
     rank: int
     started_ms: int  # 0 if not known
     units: int
-    releasing: bool = False  # preempted already
+    releasing: bool = False  # has been told to stop already
 
 
 class PeerUses(NamedTuple):
-    """The tasks with units of a peer's shards, as its last gossip had them."""
+    """The tasks with units at a peer's shards, as of its last gossip."""
 
     received_at: float
-    uses: Sequence[tuple[int, UnitUse]]  # resource, use
+    uses: Sequence[tuple[int, UnitUse]]  # (resource, use)
 
 
 class RequiredUnits(NamedTuple):
-    """How many units preemption has to free, and for whom; None: for a lowered ceiling."""
+    """How many units preemption has to free, and for which waiter; None: for a lowered ceiling."""
 
     units: int
     waiter: Waiter | None
@@ -53,10 +53,11 @@
 def choose_victims(
     uses: Iterable[UnitUse], units: int, waiter: Waiter | None = None
 ) -> list[UnitUse]:
-    """Which tasks to preempt so that `units` units come free: lowest rank, youngest first.
+    """Return the tasks to preempt so that `units` units become free.
 
-    Tasks that are releasing already count first. For a waiter only tasks that it may preempt
-    are chosen, and none if they would not free enough.
+    Tasks that are releasing already come first, then the lowest ranks, and within a rank the
+    youngest. For a waiter only tasks that it may preempt or that are releasing are chosen, and
+    none if they would not free enough.
     """
     victims = []
     for use in sorted(uses, key=lambda u: (not u.releasing, u.rank, -u.started_ms, u.job, u.task)):
@@ -71,7 +72,7 @@
 def _use_of(found: TaskUnits, now: float, now_ms: int) -> UnitUse:
     job, placement = found.job, found.placement
     started_ms = 0
-    # Not known of placements read from a record: those started long ago.
+    # The start is not known of placements read from a record: those started long ago.
     if placement.state_since > 0:
         started_ms = int(now_ms - (now - placement.state_since) * MS_PER_S)
     return UnitUse(
@@ -88,9 +89,9 @@
 
 
 class UnitPreemption:
-    """Chooses victims over all shards, and preempts those at this controller's shards.
+    """Chooses victims among all shards' tasks, and preempts those of this controller's shards.
 
-    Each controller chooses for itself, from its own tasks and its peers' gossip.
+    Each controller chooses independently, from its own tasks and its peers' gossip.
     """
 
     def __init__(self, store: LedgerStore, queue: WaitingQueue) -> None:
@@ -102,14 +103,18 @@
         self.by_peer: dict[int, PeerUses] = {}
 
     def own_uses(self, resource: int) -> list[UnitUse]:
-        """The tasks of this controller's shards with units, those to preempt first in front."""
+        """Return the uses by this controller's tasks, in the order in which they are preempted."""
         now, now_ms = self.context.now(), self.context.wall_clock_ms()
         tasks = self.store.tasks_with_units(resource)
         uses = [_use_of(found, now, now_ms) for found in tasks]
         return sorted(uses, key=lambda u: (not u.releasing, u.rank, -u.started_ms))
 
     def preempt(self) -> None:
-        """Preempt the tasks here that are to give up units, once the peers agree on them."""
+        """Preempt this controller's tasks for units that have been required for long enough.
+
+        After `PREEMPTION_DELAY_S` the gossip of all peers has arrived, and all choose the same
+        victims.
+        """
         now = self.context.now()
         required: dict[int, RequiredUnits] = {}
         for resource, ledger in self.store.ledgers.items():
@@ -117,11 +122,11 @@
                 required[resource] = needed
         self.required_since = {r: self.required_since.get(r, now) for r in required}
         for resource, needed in required.items():
-            if now - self.required_since[resource] >= AGREEMENT_S:
+            if now - self.required_since[resource] >= PREEMPTION_DELAY_S:
                 self._preempt_for(resource, needed, now)
 
     def _required(self, resource: int, ledger: Ledger) -> RequiredUnits | None:
-        """The units that preemption has to free; None if it has none to free."""
+        """Return the units that preemption has to free; None if there are none."""
         excess = ledger.total - ledger.ceiling
         if ledger.preempt_excess and excess > 0:
             return RequiredUnits(excess, None)
@@ -137,8 +142,8 @@
         for peer in self.by_peer.values():
             if now - peer.received_at < GOSSIP_VALID_S:
                 uses += [u for r, u in peer.uses if r == resource and u.shard not in self.writers]
-        # A peer that can't be reached chooses for itself. The units of tasks that are not known
-        # here count as freed already, so that both sides of a partition don't free the same.
+        # A peer that can't be reached chooses independently. The units of tasks that are not known
+        # here count as freed already, so that the sides of a partition don't both free as many.
         remaining = self.store.ledgers[resource].total - required.units
         known = sum(use.units for use in uses)
         for use in choose_victims(uses, known - remaining, required.waiter):
--- a/starlingdeck/counts/unit_release.py
+++ b/starlingdeck/counts/unit_release.py
@@ -1,4 +1,4 @@
-"""Gives units that a shard does not use back to its ledgers."""
+"""Returns units that a shard does not use to their ledgers."""
 
 import logging
 
@@ -21,8 +21,8 @@
 class UnitReleaser:
     """Finds allocated units that are idle, and writes the ledgers without them.
 
-    Units stay with a shard for a short time after they came free: its next start then needs no
-    change of the ledger.
+    Units that are not needed elsewhere stay allocated to a shard for `idle_s` after they became
+    free: a start within that time needs no change of the ledger.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._idle_since: dict[ShardResource, float] = {}
 
     async def release(self, writer: RecordWriter) -> None:
-        """Release the idle units of a writer's shard; StateError if the write fails."""
+        """Release the idle units of a writer's shard. Raises StateError if the write fails."""
         shard = writer.shard
         if not any(
             ledger.allocated[shard.shard] > shard.resource_use.get(resource, 0)
@@ -53,7 +53,7 @@
                 await self._write(shard, changed)
 
     def _without_idle_units(self, shard: JobShard, now: float) -> dict[int, Ledger]:
-        """The ledgers to change, by resource."""
+        """Return the ledgers to change, without the idle units, by resource."""
         planned = self.headroom.planned_units()
         changed: dict[int, Ledger] = {}
         for resource, ledger in self.store.ledgers.items():
@@ -66,12 +66,12 @@
             since = self._idle_since.setdefault(key, now)
             if needed >= allocated:
                 self._idle_since[key] = now
-            elif now - since > self.idle_s or self._is_needed_back(key, ledger):
+            elif now - since > self.idle_s or self._is_released_at_once(key, ledger):
                 changed[resource] = with_units(ledger, shard.shard, needed)
         return changed
 
-    def _is_needed_back(self, key: ShardResource, ledger: Ledger) -> bool:
-        """Whether idle units are released without waiting for `idle_s`."""
+    def _is_released_at_once(self, key: ShardResource, ledger: Ledger) -> bool:
+        """Return whether idle units are released without waiting for `idle_s`."""
         over_ceiling = ledger.total > ledger.ceiling
         return ledger.removed or over_ceiling or self.queue.is_wanted_elsewhere(key)
 
--- a/starlingdeck/counts/wait_reasons.py
+++ b/starlingdeck/counts/wait_reasons.py
@@ -7,11 +7,11 @@
 from starlingdeck.jobs.job import Job
 from starlingdeck.protocol import api
 
-OTHER_CHANGES = 2  # of a start's transaction, beside the ledgers: the job's record, the shard's key
+OTHER_KEYS_PER_START = 2  # in its transaction besides the ledgers: job record and shard key
 
 
 def wait_reasons(store: LedgerStore, queue: WaitingQueue, job: Job) -> list[WaitReason]:
-    """Every reason that holds now, at most one per resource; empty if the next task may start."""
+    """Return every reason to wait, at most one per resource; empty if the next task may start."""
     reasons = (
         _wait_reason(store, queue, job, resource, units) for resource, units in job.resource_needs
     )
@@ -40,17 +40,17 @@
 
 
 async def rejection_reason(store: LedgerStore, spec: api.JobSpec) -> str:
-    """Why the tasks of a job can never have their units; empty if they can.
+    """Return why the tasks of a job can never have their units; empty if they can.
 
-    StateError if a ledger must be read for that and can't be.
+    Raises StateError if a ledger has to be read for this and can't be.
     """
     needs = {name: units for name, units in (spec.counts or {}).items() if units}
-    limit = store.context.settings.settings.state.txn_ops - OTHER_CHANGES
+    limit = store.context.settings.settings.state.txn_ops - OTHER_KEYS_PER_START
     if len(needs) > limit:
         return f"counts: at most {limit} here, of one transaction"
     for name, units in needs.items():
         if not _may_suffice(store.find(name), units):
-            # The watch may lag behind the operator who has just declared it.
+            # An operator may have changed it just now, and the watch may lag behind.
             await store.reread(name)
         ledger = store.find(name)
         if not _may_suffice(ledger, units):
@@ -61,8 +61,10 @@
 
 
 def _may_suffice(ledger: Ledger | None, units: int) -> bool:
-    """Whether a task could ever have that many units: a closed resource (ceiling 0) is expected
-    to be opened again."""
+    """Return whether a task could ever have that many units.
+
+    A closed resource (ceiling 0) is expected to be opened again.
+    """
     if ledger is None or ledger.removed:
         return False
     return units <= ledger.ceiling or not ledger.ceiling
--- a/starlingdeck/counts/waiting_queue.py
+++ b/starlingdeck/counts/waiting_queue.py
@@ -1,4 +1,4 @@
-"""Which work waits for units of a counted resource, and in which order shards serve it."""
+"""The tasks that wait for units of counted resources, and the order in which shards serve them."""
 
 from collections.abc import Iterator, Mapping
 
@@ -9,7 +9,7 @@
 from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.record_writer import RecordWriter
 
-GOSSIP_VALID_S = 2.0  # how long a peer's gossip on waiting and running work is used
+GOSSIP_VALID_S = 2.0  # how long a peer's gossip on waiting and running tasks is used
 MS_PER_S = 1000
 
 
@@ -22,12 +22,12 @@
     guaranteed: bool
     rank: int
     submitted_ms: int
-    units: int  # that are missing
+    units: int  # number missing
     reserving: bool = False  # units that come free are reserved for it
 
 
 def waiter_of(job: Job, units: int, reserving: bool = False) -> Waiter:
-    """A job's next task as a waiter for that many units."""
+    """Return a job's next task as a waiter for `units` units."""
     return Waiter(
         shard=job.shard,
         job=job.id,
@@ -41,11 +41,11 @@
 
 
 def outranks(one: Waiter, other: Waiter, turn_ms: float) -> bool:
-    """Whether `one` goes before `other`, which waits at another shard.
+    """Return whether `one` goes before `other`, which waits at another shard.
 
-    Guarantee first, then rank; among equals, the one submitted earlier by more than `turn_ms`:
-    strictly by submission, units would move between shards at every end of a task. A waiter
-    with a reservation goes by submission alone.
+    A guarantee decides first, then the rank. Of equals, the one submitted earlier by more than
+    `turn_ms` goes first: in strict order of submission, units would move between shards at every
+    end of a task. If one of two equals reserves units, their order of submission is strict.
     """
     first, second = (one.guaranteed, one.rank), (other.guaranteed, other.rank)
     if first != second:
@@ -56,14 +56,14 @@
 
 
 class PeerWaiters(Struct):
-    """The first waiters of a peer's shards, as its last gossip had them."""
+    """The first waiters of a peer's shards, as of its last gossip."""
 
     received_at: float
     by_resource: dict[int, list[Waiter]] = field(default_factory=dict)
 
 
 class WaitingQueue:
-    """The first waiters of all shards: this controller's, and its peers' from their gossip."""
+    """The first waiters of all shards: this controller's, and its peers' as of their gossip."""
 
     def __init__(
         self, context: ControllerContext, writers: Mapping[int, RecordWriter], turn_s: float
@@ -75,7 +75,7 @@
         self.by_peer: dict[int, PeerWaiters] = {}
 
     def first_waiters(self, resource: int) -> Iterator[Waiter]:
-        """The first waiter of each shard that has one."""
+        """Yield the first waiter of each shard that has one."""
         now = self.context.now()
         for peer in self.by_peer.values():
             if now - peer.received_at < GOSSIP_VALID_S:
@@ -87,7 +87,7 @@
                 yield own
 
     def ahead_of(self, waiter: Waiter, resource: int) -> list[Waiter]:
-        """The waiters of other shards that go before `waiter`."""
+        """Return the waiters of other shards that go before `waiter`."""
         return [
             other
             for other in self.first_waiters(resource)
@@ -95,7 +95,7 @@
         ]
 
     def is_wanted_elsewhere(self, key: ShardResource) -> bool:
-        """Whether another shard's waiter goes before those of this shard, or this has none."""
+        """Return whether a waiter of another shard goes before this shard's waiter, if any."""
         shard, resource = key
         own = self.own.get(key)
         others = [w for w in self.first_waiters(resource) if w.shard != shard]
