--- a/starlingdeck/admission/quota.py
+++ b/starlingdeck/admission/quota.py
@@ -2,8 +2,8 @@
 
 One key per team in the state service holds the shares of all shards; they sum to the team's
 limit. A shard gives away part of its own share by compare-and-set. From before that write until
-its outcome is known the giver counts the part as gone, while the receiver counts it only once it
-has read the key, so the shares in use never add up to more than the limit.
+its outcome is known, the giver does not use this part. The receiver uses it only once it has read
+the key. The shares in use therefore never add up to more than the limit.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 from starlingdeck.context import ControllerContext
 
-UNLIMITED = 1e12  # the limit of a resource for which a team has none
+UNLIMITED = 1e12  # CPUs or GPUs, as the limit of a team that has none
 EPSILON = 1e-6  # amounts up to this are rounding errors
 
 
@@ -37,24 +37,27 @@
     pending_transfers: dict[tuple[int, int], ResourceAmount] = field(default_factory=dict)
 
     def limit(self, team: int) -> ResourceAmount:
-        """A team's limit over all shards."""
+        """Return a team's limit over all shards."""
         item = self.context.settings.settings.teams[team]
         return ResourceAmount(item.cpus_max or UNLIMITED, item.gpus_max or UNLIMITED)
 
     def split(self, team: int) -> list[ResourceAmount]:
-        """The shares last read, or equal ones while the key has never been written."""
+        """Return a team's shares as last read; equal ones while its key has never been written."""
         cpus, gpus = self.limit(team)
         n = self.context.shard_count
         return self.shares.get(team, [ResourceAmount(cpus / n, gpus / n)] * n)
 
     def share(self, team: int, shard: int) -> ResourceAmount:
-        """The amount that a shard may use for a team now."""
+        """Return the amount that a shard may use for a team now."""
         own = self.split(team)[shard]
         remaining = self.pending_transfers.get((team, shard), own)
         return ResourceAmount(min(own[0], remaining[0]), min(own[1], remaining[1]))
 
     def record_shares(self, team: int, shares: Sequence[tuple[float, float]], version: int) -> None:
-        """Record the shares read from a team's key; an older version changes nothing."""
+        """Record the shares read from a team's key, if their version is newer.
+
+        A value for another number of shards is ignored.
+        """
         if version > self.versions.get(team, 0) and len(shares) == self.context.shard_count:
             self.shares[team] = [ResourceAmount(float(c), float(g)) for c, g in shares]
             self.versions[team] = version
@@ -65,18 +68,19 @@
         giver: int,
         receiver: int,
         need: ResourceAmount,
-        used: ResourceAmount,
+        withheld: ResourceAmount,
     ) -> list[ResourceAmount] | None:
-        """The split after `giver` has given away what it doesn't use; None if that is nothing.
+        """Begin a transfer and return the team's shares after it; None if there is nothing to give.
 
-        From here until `end_transfer` the giver has the smaller share, whatever the write does.
+        The giver gives up to `need` of what exceeds `withheld`. Until `end_transfer` it has only
+        the share that the transfer leaves it, whatever the outcome of the write.
         """
         if giver == receiver or (team, giver) in self.pending_transfers:
             return None
         own = self.split(team)[giver]
         given = [
-            max(0.0, min(n, o - u)) if limit < UNLIMITED else 0.0
-            for n, o, u, limit in zip(need, own, used, self.limit(team), strict=True)
+            max(0.0, min(n, o - w)) if limit < UNLIMITED else 0.0
+            for n, o, w, limit in zip(need, own, withheld, self.limit(team), strict=True)
         ]
         if sum(given) <= EPSILON:
             return None
@@ -88,5 +92,5 @@
         return after
 
     def end_transfer(self, team: int, giver: int) -> None:
-        """End a transfer: its key has been read again and says what the share is."""
+        """End a transfer: the recorded shares include its outcome now."""
         self.pending_transfers.pop((team, giver), None)
--- a/starlingdeck/admission/quota_demand.py
+++ b/starlingdeck/admission/quota_demand.py
@@ -1,4 +1,4 @@
-"""What the shards of this controller use of each team's quota, and what they lack."""
+"""What the shards of this controller use of each team's quota, and how much more they need."""
 
 from collections.abc import Mapping, Sequence
 
@@ -8,7 +8,7 @@
 from starlingdeck.jobs.record_writer import RecordWriter
 
 ROUNDING = 1e-9  # tolerance when a task is fitted into what is left of a share
-MAX_COUNTED_TASKS = 1000  # waiting tasks of one job that count as demand
+MAX_DEMAND_TASKS_PER_JOB = 1000  # waiting tasks that count as demand
 
 TeamShard = tuple[int, int]
 
@@ -30,12 +30,12 @@
         self._use_cache: dict[tuple[int, int], ResourceAmount] = {}
 
     def is_limited(self, team: int) -> bool:
-        """Whether a team has a limit at all."""
+        """Return whether a team has a limit."""
         teams = self.context.settings.settings.teams
         return team < len(teams) and (teams[team].cpus_max > 0 or teams[team].gpus_max > 0)
 
     def used(self, shard: int, team: int) -> ResourceAmount:
-        """What a team's active attempts at a shard may use, counted until they have ended."""
+        """Return what a team's attempts at a shard may use; each counts until it has ended."""
         cpus = gpus = 0.0
         for job in self.writers[shard].shard.jobs.values():
             if job.team == team:
@@ -44,7 +44,7 @@
         return ResourceAmount(cpus, gpus)
 
     def headroom(self, job: Job) -> int:
-        """For how many more tasks of a job its shard has quota."""
+        """Return for how many more tasks of a job its shard has quota."""
         if not self.is_limited(job.team):
             return UNBOUNDED
         key = (self.writers[job.shard].shard.epoch, job.team)
@@ -71,15 +71,15 @@
             )
 
     def drop_cached_use(self) -> None:
-        """Compute the use of every team again when it is next asked for."""
+        """Clear the cached use of every team, so that it is computed again when next needed."""
         self._use_cache = {}
 
     def clear(self) -> None:
-        """No task waits."""
+        """Clear the shortages and task sizes: no task waits."""
         self.shortages, self.task_sizes = {}, {}
 
     def begin_cycle(self, jobs: Sequence[Job]) -> dict[TeamShard, ResourceAmount]:
-        """Start over; returns the demand of the waiting tasks of teams with a limit."""
+        """Begin a cycle, and return the demand of the waiting tasks of teams with a limit."""
         demand: dict[TeamShard, ResourceAmount] = {}
         task_sizes: dict[TeamShard, set[ResourceAmount]] = {}
         for job in jobs:
@@ -88,7 +88,7 @@
             key = (job.team, job.shard)
             size = ResourceAmount(job.spec.cpus, job.spec.gpus)
             before = demand.get(key, ZERO)
-            tasks = len(job.pending(MAX_COUNTED_TASKS))
+            tasks = len(job.pending(MAX_DEMAND_TASKS_PER_JOB))
             if tasks:
                 task_sizes.setdefault(key, set()).add(size)
             demand[key] = ResourceAmount(
@@ -101,7 +101,7 @@
     def record_shortage(
         self, team: int, shard: int, demand: ResourceAmount
     ) -> ResourceAmount | None:
-        """By how much a shard's free quota is less than the demand; None if it suffices."""
+        """Record and return by how much a shard's free quota falls short; None if it suffices."""
         used, share = self.used(shard, team), self.quota.share(team, shard)
         cpus, gpus = (d - (s - u) for d, s, u in zip(demand, share, used, strict=True))
         if max(cpus, gpus) <= EPSILON:
@@ -111,22 +111,23 @@
         return shortage
 
     def smallest_task(self, team: int, shard: int) -> ResourceAmount:
-        """The smallest task that waits at a shard for its team's quota; zeros if none does."""
+        """Return the smallest task that waits at a shard for its team's quota; zeros if none."""
         return min(self.task_sizes.get((team, shard), ()), default=ZERO)
 
     def withheld_from(
         self, team: int, giver: int, receiver: int, task: ResourceAmount
     ) -> ResourceAmount | None:
-        """What of its share `giver` must not give to `receiver`; None if it may give nothing.
+        """Return what `giver` must keep of its share in a transfer; None if it may give nothing.
 
-        `task` is the smallest task that waits at the receiver. A giver without a shortage
+        `task` is the smallest task that waits at `receiver`. A giver without a shortage
         withholds what it uses. One with a shortage may be left with a remainder in which none of
         its waiting tasks fits. If every shard kept such a remainder, all would wait while their
         team is below its limit by more than a task. Remainders therefore move to the shard where
         the smallest task waits (of equal ones, the lowest shard). That task starts if any can,
         and no remainder moves back, as transfers don't change the order of shards. The giver
-        withholds as much as its largest waiting task that the share can hold: else that much,
-        released piece by piece as the shard's own work ends, would go to small tasks elsewhere.
+        withholds as much as its largest waiting task that the share can hold. Otherwise that
+        much, released piece by piece as the shard's own work ends, would go to small tasks
+        elsewhere.
         """
         used = self.used(giver, team)
         if (team, giver) not in self.shortages:
--- a/starlingdeck/admission/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -25,12 +25,12 @@
 
 log = logging.getLogger(__name__)
 
-MIN_RETRY_S = 0.5  # before the state service is asked again; a random part is added
+MIN_RETRY_S = 0.5  # before a failed request is repeated; a random part is added
 MAX_RETRY_JITTER_S = 0.5
 
 
 class QuotaTransfer:
-    """Limits what each team runs at each shard; moves unused quota to the shards that lack it."""
+    """Limits what each team runs at each shard, and moves unused quota to shards that lack it."""
 
     def __init__(
         self,
@@ -51,22 +51,22 @@
     # --- admission plugin
 
     async def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        """Find which shards lack quota for their waiting tasks, and move some to them."""
+        """Find which shards lack quota for their waiting tasks, and start transfers to them."""
         for (team, shard), demand in self.demand.begin_cycle(jobs).items():
             shortage = self.demand.record_shortage(team, shard, demand)
             if shortage is not None:
                 await self.transfer_to(team, shard, shortage, self.smallest_task(team, shard))
 
     def headroom(self, job: Job) -> int:
-        """For how many more tasks of a job its shard has quota."""
+        """Return for how many more tasks of a job its shard has quota."""
         return self.demand.headroom(job)
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Count that many more tasks of a job as used."""
+        """Count the quota of that many more tasks of a job as used."""
         self.demand.add_requested(job, tasks)
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
-        """Why the job's next task must wait for quota; empty if it need not."""
+        """Return why the job's next task must wait for quota; empty if it need not."""
         self.demand.drop_cached_use()
         if self.headroom(job):
             return []
@@ -74,27 +74,27 @@
         return [WaitReason(reason, "an end of its work, or a higher limit")]
 
     def on_idle(self) -> None:
-        """No task waits: no shard lacks quota."""
+        """Clear the shortages: no task waits, so no shard lacks quota."""
         self.demand.clear()
 
     # --- transfers
 
     @property
     def quota_needs(self) -> Mapping[TeamShard, ResourceAmount]:
-        """By how much shards of this controller lack quota, for the gossip to its peers."""
+        """How much quota shards of this controller lack, for the gossip to its peers."""
         return self.demand.shortages
 
     def smallest_task(self, team: int, shard: int) -> ResourceAmount:
-        """The smallest task that waits at a shard for its team's quota; zeros if none does."""
+        """Return the smallest task that waits at a shard for its team's quota; zeros if none."""
         return self.demand.smallest_task(team, shard)
 
     async def transfer_to(
         self, team: int, receiver: int, need: tuple[float, float], task: tuple[float, float]
     ) -> None:
-        """Give quota that a shard of this controller can spare to `receiver`, any shard.
+        """Give quota that a shard of this controller can spare to the shard `receiver`.
 
-        `need` is what the receiver lacks, `task` the smallest task that waits for it there. At
-        most one transfer is begun per call; it is written in the background.
+        The receiver may belong to any controller. `need` is what it lacks, `task` the smallest task
+        that waits there. At most one transfer is begun per call; it is written in the background.
         """
         if not self.membership.lease_is_valid() or team >= len(
             self.context.settings.settings.teams
@@ -129,17 +129,17 @@
             log.info("quota transferred: team=%d giver=%d shares=%s", team, giver, shares)
         except (StateError, TransactionConflictError) as error:
             log.info("quota transfer failed: team=%d giver=%d error=%r", team, giver, error)
-            # Until the key has been read again the transfer counts as made.
+            # Until the key has been read again, the giver counts the transfer as made.
             await self._reread_quota(key)
             if isinstance(error, OutcomeUnknownError):
-                # It may still be executed; only a later write of the key, or its trace, rules
-                # that out.
+                # The write may still be executed. Only a newer version of the key, from this write
+                # or a later one, rules that out.
                 await self._invalidate_late_write(key, team)
         self.quota.end_transfer(team, giver)
         await self.wake.set()
 
     async def _invalidate_late_write(self, key: str, team: int) -> None:
-        """Rewrite the key unchanged: a transfer still on its way then fails its condition."""
+        """Rewrite the key unchanged, so that a transfer still on its way fails its condition."""
         while True:
             try:
                 version = self.quota.versions.get(team, 0)
@@ -155,12 +155,12 @@
                 return
 
     def on_key_changed(self, key: str, value: msgspec.Raw, version: int) -> None:
-        """Take over a team's shares from the value of its key; msgspec.DecodeError if invalid."""
+        """Record a team's shares from its key's value. Raises msgspec.DecodeError if invalid."""
         shares = msgspec.json.decode(value, type=list[ResourceAmount])
         self.quota.record_shares(int(key[len(records.QUOTA) :]), shares, version)
 
     async def _reread_quota(self, key: str) -> None:
-        """Read a team's shares, however long that takes."""
+        """Read a team's shares again, and retry until that succeeds."""
         while True:
             try:
                 entry = await self.state.get(key)
