--- a/tests/support/counted_resources.py
+++ b/tests/support/counted_resources.py
@@ -19,22 +19,22 @@
 from tests.support.reference_model import FakeStateClient, FakeStateService, InvariantViolationError
 
 
-class CountedState(FakeStateService):
-    """Checks every change: a start may never bring a resource over its ceiling."""
+class CountedResourceState(FakeStateService):
+    """A fake state service that checks, at every change, that no start exceeds a ceiling."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
         self.used: Counter[str] = Counter()
 
     def apply(self, conditions: dict[str, int], changes: list[api.Change]) -> list[str]:
-        """Apply a transaction, and check the invariants if it was not refused."""
+        """Apply a transaction; check the invariants if its conditions hold."""
         failed = super().apply(conditions, changes)
         if not failed:
             self.check()
         return failed
 
     def use(self) -> Counter[tuple[str, int]]:
-        """Units in use by resource and shard, from the records alone."""
+        """Return the units in use by resource and shard, computed from the records alone."""
         found: Counter[tuple[str, int]] = Counter()
         specs = {}
         for key, (value, _) in self.keys.items():
@@ -71,7 +71,7 @@
         self.used = total
 
     def set(self, name: str, ceiling: int, shards: int, **fields: Any) -> None:
-        """An operator's change."""
+        """Change a resource as an operator does."""
         key = records.count_key(name)
         old = self.ledger(name) if key in self.keys else Ledger(0, (0,) * shards, revision=0)
         fields = {"removed": False, **fields}
--- a/tests/test_counted_resources_cases.py
+++ b/tests/test_counted_resources_cases.py
@@ -24,7 +24,7 @@
 from starlingdeck.storage.state import OutcomeUnknownError, StateError
 from tests.support import fuzz_targets
 from tests.support.builders import job_body, spec
-from tests.support.counted_resources import CountedState, deliver_changes
+from tests.support.counted_resources import CountedResourceState, deliver_changes
 from tests.support.reference_model import FakeStateClient, run_without_waiting
 from tests.test_counted_resources import LedgerStateMachine
 from tests.test_resource_bounds import SingleControllerCluster
@@ -33,7 +33,7 @@
 CORPUS = ROOT / "tests" / "corpus" / "counts"
 
 
-class SingleShard(LedgerStateMachine):
+class SingleShardHarness(LedgerStateMachine):
     """Shard 0 and its ledgers, driven step by step."""
 
     def __init__(self, ceiling: int, **fields: Any) -> None:
@@ -59,18 +59,18 @@
 
     def start(self, job: Job, task: int = 0) -> None:
         placement = TaskPlacement(
-            self.worlds[0].machine_names.intern("vm-1"),
+            self.contexts[0].machine_names.intern("vm-1"),
             1,
             job.attempts[task] + 1,
             0,
-            self.worlds[0].zone_names.intern("a"),
+            self.contexts[0].zone_names.intern("a"),
             state_since=self.clock.at,
         )
         job.pending_starts[task] = placement
         self.shard.dirty_jobs.add(job.index)
 
     def headroom(self, *jobs: Job) -> list[int]:
-        """Run a cycle: the headroom of each job, in this order, which it then uses."""
+        """Run a cycle in which each job, in this order, uses its headroom; return the headrooms."""
         run_without_waiting(self.plugin.begin_cycle(jobs))
         found = []
         for job in jobs:
@@ -89,184 +89,186 @@
         return self.state.ledger("engine").total
 
 
-def idle_unit(site: SingleShard) -> tuple[Job, Job]:
-    """Two jobs that wait, and a unit that is allocated to their shard and not in use."""
-    first, second, third = (site.job() for _ in range(3))
-    site.start(first)
-    site.flush()
-    site.headroom(second, third)
-    site.finish(first)
-    site.flush()
-    assert site.total() == 1
-    assert not site.shard.resource_use[0]
+def jobs_waiting_for_idle_unit(harness: SingleShardHarness) -> tuple[Job, Job]:
+    """Return two waiting jobs; one unit is allocated to their shard and not in use."""
+    first, second, third = (harness.job() for _ in range(3))
+    harness.start(first)
+    harness.flush()
+    harness.headroom(second, third)
+    harness.finish(first)
+    harness.flush()
+    assert harness.total() == 1
+    assert not harness.shard.resource_use[0]
     return second, third
 
 
 def test_a_late_start_within_the_units_of_its_shard_fails_after_another_start() -> None:
-    """It leaves the ledger as it is: only the job's own record, the token and the ledger's version
-    could show that another task had started, and all three were as before."""
-    site = SingleShard(1)
-    second, third = idle_unit(site)
-    site.start(second)
-    site.clients[0].failure_rate = 2.0  # applied later, answered never
+    """Neither start changes the ledger, and the late one's job record and token stay as they are.
+
+    Its conditions would all hold unless the ledger is rewritten after the unknown outcome.
+    """
+    harness = SingleShardHarness(1)
+    second, third = jobs_waiting_for_idle_unit(harness)
+    harness.start(second)
+    harness.clients[0].failure_rate = 2.0  # the write is applied later and never answered
     with pytest.raises(OutcomeUnknownError):
-        site.flush()
-    site.clients[0].failure_rate = 0.0
+        harness.flush()
+    harness.clients[0].failure_rate = 0.0
     second.pending_starts.clear()
-    site.start(third)
-    site.flush()
+    harness.start(third)
+    harness.flush()
     assert third.placements
-    assert len(site.state.delayed_transactions) == 1
-    assert site.state.apply(*site.state.delayed_transactions.pop())
+    assert len(harness.state.delayed_transactions) == 1
+    assert harness.state.apply(*harness.state.delayed_transactions.pop())
 
 
-def test_a_start_recorded_without_an_answer_is_read_before_the_next() -> None:
-    site = SingleShard(1)
-    second, third = idle_unit(site)
-    site.start(second)
-    site.clients[0].failure_rate = 2.0
+def test_a_start_recorded_without_an_answer_is_reread_before_the_next_start() -> None:
+    harness = SingleShardHarness(1)
+    second, third = jobs_waiting_for_idle_unit(harness)
+    harness.start(second)
+    harness.clients[0].failure_rate = 2.0
     with pytest.raises(OutcomeUnknownError):
-        site.flush()
-    site.clients[0].failure_rate = 0.0
-    (late,) = site.state.delayed_transactions
+        harness.flush()
+    harness.clients[0].failure_rate = 0.0
+    (late,) = harness.state.delayed_transactions
     second.pending_starts.clear()
-    site.start(third)
-    reread = site.plugin.store.reread
+    harness.start(third)
+    reread = harness.plugin.store.reread
 
-    async def applied_first(name: str) -> None:
-        assert not site.state.apply(*late)
-        site.plugin.store.reread = reread  # type: ignore[method-assign]  # the test is in between
+    async def apply_late_write_first(name: str) -> None:
+        assert not harness.state.apply(*late)
+        harness.plugin.store.reread = reread  # type: ignore[method-assign]  # intercepts one call
         await reread(name)
 
-    site.plugin.store.reread = applied_first  # type: ignore[method-assign]  # the test is in between
-    site.flush()
-    again = site.shard.jobs[second.index]
-    assert again.placements
+    harness.plugin.store.reread = apply_late_write_first  # type: ignore[method-assign]  # intercepts one call
+    harness.flush()
+    reloaded = harness.shard.jobs[second.index]
+    assert reloaded.placements
     assert not third.placements
     assert third.withheld
 
 
 def test_a_late_release_takes_no_unit_from_a_task() -> None:
-    site = SingleShard(1)
-    second, _ = idle_unit(site)
-    site.release()
-    site.clock.at += 1.0
-    site.clients[0].failure_rate = 2.0
+    harness = SingleShardHarness(1)
+    second, _ = jobs_waiting_for_idle_unit(harness)
+    harness.release()
+    harness.clock.at += 1.0
+    harness.clients[0].failure_rate = 2.0
     with pytest.raises(OutcomeUnknownError):
-        run_without_waiting(site.plugin.releaser.release(site.writers[0][1]))
-    site.clients[0].failure_rate = 0.0
-    site.start(second)
-    site.flush()
+        run_without_waiting(harness.plugin.releaser.release(harness.writers[0][1]))
+    harness.clients[0].failure_rate = 0.0
+    harness.start(second)
+    harness.flush()
     assert second.placements
-    assert site.state.apply(*site.state.delayed_transactions.pop())
+    assert harness.state.apply(*harness.state.delayed_transactions.pop())
 
 
 def test_a_unit_moves_from_task_to_task_without_a_change_of_its_ledger() -> None:
-    """The end and the next start are written as they would be without the resource."""
-    site = SingleShard(1)
-    first, second = site.job(), site.job()
-    site.start(first)
-    site.flush()
-    at = site.state.keys[records.count_key("engine")][1]
-    site.headroom(second)
-    site.finish(first)
-    site.start(second)
-    site.flush()
+    """The end and the next start are written as for tasks without resource needs."""
+    harness = SingleShardHarness(1)
+    first, second = harness.job(), harness.job()
+    harness.start(first)
+    harness.flush()
+    version = harness.state.keys[records.count_key("engine")][1]
+    harness.headroom(second)
+    harness.finish(first)
+    harness.start(second)
+    harness.flush()
     assert second.placements
-    assert site.state.keys[records.count_key("engine")][1] == at
+    assert harness.state.keys[records.count_key("engine")][1] == version
 
 
 def test_units_of_several_resources_are_allocated_together_or_not_at_all() -> None:
-    site = SingleShard(1)
-    site.state.set("seat", 0, 3)
-    site.deliver(0)
-    site.submit(0, 1, 1, 1)
-    (job,) = site.shard.jobs.values()
-    assert site.headroom(job) == [0]
-    site.start(job)
-    site.flush()
+    harness = SingleShardHarness(1)
+    harness.state.set("seat", 0, 3)
+    harness.deliver(0)
+    harness.submit(0, 1, 1, 1)
+    (job,) = harness.shard.jobs.values()
+    assert harness.headroom(job) == [0]
+    harness.start(job)
+    harness.flush()
     assert not job.placements
-    assert site.total() == 0
+    assert harness.total() == 0
     assert job.withheld
-    site.clock.at += 2.0
-    site.flush()
+    harness.clock.at += 2.0
+    harness.flush()
     assert not job.pending_starts
-    assert job.retry_at[0] > site.clock.at
-    whys = [w.reason for w in site.plugin.wait_reasons(job)]
-    assert whys == ["1 of seat needed, its ceiling is 0"]
+    assert job.retry_at[0] > harness.clock.at
+    reasons = [w.reason for w in harness.plugin.wait_reasons(job)]
+    assert reasons == ["1 of seat needed, its ceiling is 0"]
 
 
 def test_small_tasks_do_not_starve_a_task_of_many_units() -> None:
-    site = SingleShard(3)
-    running, large = site.job(), site.job(units=3)
-    site.start(running)
-    site.flush()
-    small = [site.job() for _ in range(3)]
-    assert site.headroom(large, *small) == [0, 0, 0, 0]
-    site.clock.at += site.plugin.settings.reserve_s + 1
-    assert site.headroom(large, *small) == [0, 1, 1, 0]  # their turn
-    site.clock.at += site.plugin.settings.reserve_s
-    assert site.headroom(large, *small) == [0, 0, 0, 0]
-    site.finish(running)
-    assert site.headroom(large, *small) == [1, 0, 0, 0]
+    harness = SingleShardHarness(3)
+    running, large = harness.job(), harness.job(units=3)
+    harness.start(running)
+    harness.flush()
+    small = [harness.job() for _ in range(3)]
+    assert harness.headroom(large, *small) == [0, 0, 0, 0]
+    harness.clock.at += harness.plugin.settings.reserve_s + 1
+    assert harness.headroom(large, *small) == [0, 1, 1, 0]  # no reservation in this period
+    harness.clock.at += harness.plugin.settings.reserve_s
+    assert harness.headroom(large, *small) == [0, 0, 0, 0]
+    harness.finish(running)
+    assert harness.headroom(large, *small) == [1, 0, 0, 0]
 
 
 def test_a_free_unit_is_deferred_to_higher_work_elsewhere_for_a_limited_time() -> None:
-    site = SingleShard(1)
-    job = site.job()
+    harness = SingleShardHarness(1)
+    job = harness.job()
     gossip = pb.Gossip()
     gossip.resource_waiters.add(
-        resource="engine", shard=1, job="j-9", rank=3, submitted_ms=site.clock.wall_ms(), units=1
+        resource="engine", shard=1, job="j-9", rank=3, submitted_ms=harness.clock.wall_ms(), units=1
     )
-    site.plugin.receive_gossip(1, gossip)
-    assert site.headroom(job) == [0]
-    site.clock.at += 0.5
-    assert site.headroom(job) == [0]
-    site.clock.at += 0.6
-    assert site.headroom(job) == [1]
-    site.clock.at += 3.0  # gossip that is too old defers nothing
-    assert site.headroom(job) == [1]
+    harness.plugin.receive_gossip(1, gossip)
+    assert harness.headroom(job) == [0]
+    harness.clock.at += 0.5
+    assert harness.headroom(job) == [0]
+    harness.clock.at += 0.6
+    assert harness.headroom(job) == [1]
+    harness.clock.at += 3.0  # outdated gossip defers nothing
+    assert harness.headroom(job) == [1]
 
 
 def test_a_unit_that_higher_work_elsewhere_waits_for_is_released_at_once() -> None:
-    site = SingleShard(1)
-    second, third = idle_unit(site)
+    harness = SingleShardHarness(1)
+    second, third = jobs_waiting_for_idle_unit(harness)
     gossip = pb.Gossip()
     gossip.resource_waiters.add(resource="engine", shard=1, job="j-9", rank=3, units=1)
-    site.plugin.receive_gossip(1, gossip)
-    site.headroom(second, third)
-    site.headroom(second, third)
-    run_without_waiting(site.plugin.releaser.release(site.writers[0][1]))
-    assert site.total() == 0
+    harness.plugin.receive_gossip(1, gossip)
+    harness.headroom(second, third)
+    harness.headroom(second, third)
+    run_without_waiting(harness.plugin.releaser.release(harness.writers[0][1]))
+    assert harness.total() == 0
 
 
 def test_a_lowered_ceiling_preempts_nothing_unless_requested() -> None:
-    site = SingleShard(3)
-    low, old, young = site.job(priority="idle"), site.job(), site.job()
+    harness = SingleShardHarness(3)
+    low, old, young = harness.job(priority="idle"), harness.job(), harness.job()
     for job in (low, old, young):
-        site.clock.at += 1.0
-        site.start(job)
-        site.flush()
-    waiting = site.job()
-    site.state.set("engine", 1, 3)
-    site.deliver(0)
-    site.plugin.preemption.preempt()
-    site.clock.at += 1.0
-    site.plugin.preemption.preempt()
+        harness.clock.at += 1.0
+        harness.start(job)
+        harness.flush()
+    waiting = harness.job()
+    harness.state.set("engine", 1, 3)
+    harness.deliver(0)
+    harness.plugin.preemption.preempt()
+    harness.clock.at += 1.0
+    harness.plugin.preemption.preempt()
     assert not any(job.placements[0].releasing for job in (low, old, young))
-    site.finish(low)
-    assert site.headroom(waiting) == [0]
-    site.start(waiting)
-    site.flush()
+    harness.finish(low)
+    assert harness.headroom(waiting) == [0]
+    harness.start(waiting)
+    harness.flush()
     assert not waiting.placements
-    assert site.total() == 2
-    site.state.set("engine", 1, 3, preempt_excess=True)
-    site.deliver(0)
-    site.plugin.preemption.preempt()
-    site.clock.at += 1.0
-    site.plugin.preemption.preempt()
+    assert harness.total() == 2
+    harness.state.set("engine", 1, 3, preempt_excess=True)
+    harness.deliver(0)
+    harness.plugin.preemption.preempt()
+    harness.clock.at += 1.0
+    harness.plugin.preemption.preempt()
     assert (old.placements[0].releasing, young.placements[0].releasing) == (False, True)
-    message = site.shard.desired_state_message(0, 1, True)
+    message = harness.shard.desired_state_message(0, 1, True)
     assert [item.stop for item in message.tasks] == [
         item.job == next(i for i, j in enumerate(message.jobs) if j.id == young.id)
         for item in message.tasks
@@ -274,36 +276,36 @@
 
 
 def test_both_sides_of_a_partition_preempt_no_more_than_the_excess() -> None:
-    site = SingleShard(3)
-    here = [site.job() for _ in range(2)]
+    harness = SingleShardHarness(3)
+    here = [harness.job() for _ in range(2)]
     for job in here:
-        site.start(job)
-        site.flush()
-    site.submit(1, 1, 1, 0)
-    site.deliver(1)
-    (there,) = site.writers[1][1].shard.jobs.values()
-    there.pending_starts[0] = TaskPlacement(0, 1, 1, 0, site.worlds[1].zone_names.intern("a"))
-    site.worlds[1].machine_names.intern("vm-1")
-    site.writers[1][1].shard.dirty_jobs.add(there.index)
-    site.write(0.0)
-    assert site.total() == 3
-    site.state.set("engine", 1, 3, preempt_excess=True)
+        harness.start(job)
+        harness.flush()
+    harness.submit(1, 1, 1, 0)
+    harness.deliver(1)
+    (there,) = harness.writers[1][1].shard.jobs.values()
+    there.pending_starts[0] = TaskPlacement(0, 1, 1, 0, harness.contexts[1].zone_names.intern("a"))
+    harness.contexts[1].machine_names.intern("vm-1")
+    harness.writers[1][1].shard.dirty_jobs.add(there.index)
+    harness.write(0.0)
+    assert harness.total() == 3
+    harness.state.set("engine", 1, 3, preempt_excess=True)
     for node in (0, 1):
-        site.deliver(node)
-        site.plugins[node].preemption.preempt()
-    site.clock.at += 1.0
+        harness.deliver(node)
+        harness.plugins[node].preemption.preempt()
+    harness.clock.at += 1.0
     for node in (0, 1):
-        site.plugins[node].preemption.preempt()
+        harness.plugins[node].preemption.preempt()
     assert sum(job.placements[0].releasing for job in here) == 1
     assert not there.placements[0].releasing
 
 
-def snapshot_with(seen: bool, proof: str, site: SingleShard) -> pb.Snapshot:
+def snapshot_with(seen: bool, proof: str, harness: SingleShardHarness) -> pb.Snapshot:
     """A snapshot of the machine of the first task's attempt 1, with or without proof of its end."""
-    sent = site.shard.outboxes[0].seq
+    sent = harness.shard.outboxes[0].seq
     found = pb.Snapshot(shard=0, epoch=1, seq=1, valid=proof != "not valid", full=True)
     found.acks.add(
-        shard=0, token=site.shard.base_token, seq=sent if proof != "list on its way" else 0
+        shard=0, token=harness.shard.base_token, seq=sent if proof != "list on its way" else 0
     )
     if proof == "gone":
         found.lost_machines.append("vm-1")
@@ -335,33 +337,33 @@
     ],
 )
 def test_a_unit_is_released_once_and_only_by_proof(seen: bool, proof: str, frees: bool) -> None:
-    site = SingleShard(1)
-    job = site.job()
-    site.start(job)
-    site.flush()
-    site.shard.desired_state_message(0, 1, True)
-    snapshot = ShardSnapshot(site.worlds[0], 0, 1)
-    snapshot.apply(snapshot_with(seen, proof, site))
+    harness = SingleShardHarness(1)
+    job = harness.job()
+    harness.start(job)
+    harness.flush()
+    harness.shard.desired_state_message(0, 1, True)
+    snapshot = ShardSnapshot(harness.contexts[0], 0, 1)
+    snapshot.apply(snapshot_with(seen, proof, harness))
     for _ in range(2):
-        site.shard.apply_snapshot(snapshot, None)
-        site.flush()
-        site.clock.at += 1.0
-        run_without_waiting(site.plugin.releaser.release(site.writers[0][1]))
-    assert site.total() == (0 if frees else 1)
-    assert site.shard.resource_use[0] == site.total()
+        harness.shard.apply_snapshot(snapshot, None)
+        harness.flush()
+        harness.clock.at += 1.0
+        run_without_waiting(harness.plugin.releaser.release(harness.writers[0][1]))
+    assert harness.total() == (0 if frees else 1)
+    assert harness.shard.resource_use[0] == harness.total()
     assert bool(job.placements) is not frees
 
 
 def test_higher_work_preempts_lower_work_for_a_unit_only_where_enabled() -> None:
     for preempt in (False, True):
-        site = SingleShard(1, preempt=preempt)
-        low, high = site.job(), site.job(priority="prod")
-        site.start(low)
-        site.flush()
+        harness = SingleShardHarness(1, preempt=preempt)
+        low, high = harness.job(), harness.job(priority="prod")
+        harness.start(low)
+        harness.flush()
         for _ in range(3):
-            site.headroom(high)
-            site.clock.at += 1.0
-            site.plugin.preemption.preempt()
+            harness.headroom(high)
+            harness.clock.at += 1.0
+            harness.plugin.preemption.preempt()
         assert low.placements[0].releasing is preempt
 
 
@@ -390,19 +392,19 @@
     freed = [u.units for u in chosen]
     assert sum(freed) >= min(excess, sum(u.units for u in uses))
     assert not chosen or sum(freed[:-1]) < excess
-    fresh = [u for u in chosen if not u.releasing]
+    newly_chosen = [u for u in chosen if not u.releasing]
     remaining = [u for u in uses if u not in chosen and not u.releasing]
-    assert all(u.rank <= k.rank for u in fresh for k in remaining)
-    new = Waiter(0, "j-2", 0, False, 2, 0, excess)
-    assert all(u.releasing or u.rank < 2 for u in choose_victims(uses, excess, new))
+    assert all(u.rank <= k.rank for u in newly_chosen for k in remaining)
+    waiter = Waiter(0, "j-2", 0, False, 2, 0, excess)
+    assert all(u.releasing or u.rank < 2 for u in choose_victims(uses, excess, waiter))
 
 
-class CountedSite(SingleControllerCluster):
+class CountedResourceCluster(SingleControllerCluster):
     """A whole controller with counted resources."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.state = CountedState(self.state.rng)
+        self.state = CountedResourceState(self.state.rng)
         self.client = type(self.client)(self.state, 0.0)
         self.settings = CountSettings({"engine": DeclaredCount(2)})
 
@@ -428,26 +430,28 @@
     async def post(self, name: str, **fields: Any) -> tuple[int, Any]:
         return await self.ask("POST", f"{api.COUNTS}/{name}", msgspec.json.encode(fields))
 
-    def live(self) -> int:
+    def live_tasks(self) -> int:
         return sum(t.state != "exited" for w in self.workers.values() for t in w.tasks.values())
 
 
 def test_a_controller_withholds_tasks_and_a_restart_loses_no_unit() -> None:
     async def drive() -> None:
-        site = CountedSite()
-        await site.start()
-        await site.run_rounds(1)
-        assert await site.submit(uid="j-1", chores=9, counts={"engine": 1}) == 201
-        limit = 0
-        for turn in range(120):
-            if turn in (9, 20):
-                await site.start()
-            await site.run_rounds(1)
-            limit = max(limit, site.live())
-        assert limit == 2
-        assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
-        assert cast(CountedState, site.state).ledger("engine").total == 0
-        assert not any(site.plugin.store.is_uncertain(0, c) for c in site.plugin.store.ledgers)
+        cluster = CountedResourceCluster()
+        await cluster.start()
+        await cluster.run_rounds(1)
+        assert await cluster.submit(uid="j-1", chores=9, counts={"engine": 1}) == 201
+        max_live = 0
+        for number in range(120):
+            if number in (9, 20):
+                await cluster.start()
+            await cluster.run_rounds(1)
+            max_live = max(max_live, cluster.live_tasks())
+        assert max_live == 2
+        assert (await cluster.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
+        assert cast(CountedResourceState, cluster.state).ledger("engine").total == 0
+        assert not any(
+            cluster.plugin.store.is_uncertain(0, c) for c in cluster.plugin.store.ledgers
+        )
 
     curio.run(drive)
 
@@ -470,10 +474,10 @@
 )
 def test_a_rejected_submission_names_its_field(counts: Any, status: int, named: str) -> None:
     async def drive() -> None:
-        site = CountedSite()
-        await site.start()
+        cluster = CountedResourceCluster()
+        await cluster.start()
         body = msgspec.json.encode(job_body("j-7", counts=counts))
-        code, reply = await site.ask("POST", api.JOBS, body)
+        code, reply = await cluster.ask("POST", api.JOBS, body)
         assert code == status
         assert named in reply.get("error", "")
 
@@ -482,43 +486,51 @@
 
 def test_each_replica_of_a_daemon_has_its_own_units() -> None:
     async def drive() -> None:
-        site = CountedSite()
-        await site.start()
+        cluster = CountedResourceCluster()
+        await cluster.start()
         body = {"shape": "daemon", "guess_s": 0.0, "chores": 3, "counts": {"engine": 1}}
-        assert await site.submit(uid="j-1", **body) == 201
-        await site.run_rounds(12)
-        assert site.live() == 2 == cast(CountedState, site.state).ledger("engine").total
-        assert (await site.ask("POST", f"{api.JOBS}/j-1/{api.CANCEL}"))[0] == 200
-        await site.run_rounds(20)
-        assert site.live() == 0 == cast(CountedState, site.state).ledger("engine").total
+        assert await cluster.submit(uid="j-1", **body) == 201
+        await cluster.run_rounds(12)
+        assert (
+            cluster.live_tasks()
+            == 2
+            == cast(CountedResourceState, cluster.state).ledger("engine").total
+        )
+        assert (await cluster.ask("POST", f"{api.JOBS}/j-1/{api.CANCEL}"))[0] == 200
+        await cluster.run_rounds(20)
+        assert (
+            cluster.live_tasks()
+            == 0
+            == cast(CountedResourceState, cluster.state).ledger("engine").total
+        )
 
     curio.run(drive)
 
 
 def test_unknown_resource_names_are_not_interned() -> None:
     async def drive() -> None:
-        site = CountedSite()
-        await site.start()
-        known = len(site.node.context.resource_names.names)
+        cluster = CountedResourceCluster()
+        await cluster.start()
+        known = len(cluster.node.context.resource_names.names)
         for i in range(30):
-            assert await site.submit(uid=f"j-{i}", counts={f"made-up-{i}": 1}) == 422
-        assert len(site.node.context.resource_names.names) == known
+            assert await cluster.submit(uid=f"j-{i}", counts={f"made-up-{i}": 1}) == 422
+        assert len(cluster.node.context.resource_names.names) == known
 
     curio.run(drive)
 
 
-def test_without_the_section_no_resource_is_known() -> None:
+def test_without_the_counts_section_jobs_with_resource_needs_are_rejected_or_wait() -> None:
     async def drive() -> None:
-        site = SingleControllerCluster()
-        await site.start()
-        await site.run_rounds(1)
-        assert await site.submit(counts={"engine": 1}) == 422
-        assert await site.submit(counts={}) == 201
-        # Accepted while counted resources were enabled, it waits now.
-        job = new_job(site.node.context, spec("j-2", counts={"engine": 1}), 0, 0)
-        assert site.node.admission.headroom(job) == 0
-        assert site.node.admission.wait_reasons(job)
-        writer = site.node.writers[0]
+        cluster = SingleControllerCluster()
+        await cluster.start()
+        await cluster.run_rounds(1)
+        assert await cluster.submit(counts={"engine": 1}) == 422
+        assert await cluster.submit(counts={}) == 201
+        # A job that was accepted while counted resources were enabled waits now.
+        job = new_job(cluster.node.context, spec("j-2", counts={"engine": 1}), 0, 0)
+        assert cluster.node.admission.headroom(job) == 0
+        assert cluster.node.admission.wait_reasons(job)
+        writer = cluster.node.writers[0]
         job.key_versions[0] = 0
         job.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
         writer.shard.jobs[job.index] = job
@@ -532,42 +544,42 @@
 
 def test_a_change_on_an_outdated_revision_is_rejected() -> None:
     async def drive() -> None:
-        site = CountedSite()
-        await site.start()
-        assert (await site.post("engine", ceiling=5, rev=1, by="ana"))[0] == 200
-        assert (await site.post("engine", ceiling=1, rev=1, by="bor"))[0] == 409
-        assert (await site.post("seat", ceiling=4, rev=0))[0] == 201
-        assert (await site.post("seat", ceiling=-4, rev=1))[0] == 400
-        _, reply = await site.ask("GET", api.COUNTS)
+        cluster = CountedResourceCluster()
+        await cluster.start()
+        assert (await cluster.post("engine", ceiling=5, rev=1, by="ana"))[0] == 200
+        assert (await cluster.post("engine", ceiling=1, rev=1, by="bor"))[0] == 409
+        assert (await cluster.post("seat", ceiling=4, rev=0))[0] == 201
+        assert (await cluster.post("seat", ceiling=-4, rev=1))[0] == 400
+        _, reply = await cluster.ask("GET", api.COUNTS)
         assert {c["name"]: c["ceiling"] for c in reply["counts"]} == {"engine": 5, "seat": 4}
-        _, reply = await site.ask("GET", f"{api.COUNTS}/engine/history")
+        _, reply = await cluster.ask("GET", f"{api.COUNTS}/engine/history")
         assert [(c["ceiling"], c.get("by")) for c in reply["changes"]] == [
             (2, "declared"),
             (5, "ana"),
         ]
-        assert (await site.ask("GET", f"{api.COUNTS}/nothing"))[0] == 404
-        assert (await site.ask("DELETE", f"{api.COUNTS}/engine"))[0] == 405
-        site.client.cut = True
-        assert (await site.post("engine", ceiling=3, rev=2))[0] == 503
+        assert (await cluster.ask("GET", f"{api.COUNTS}/nothing"))[0] == 404
+        assert (await cluster.ask("DELETE", f"{api.COUNTS}/engine"))[0] == 405
+        cluster.client.cut = True
+        assert (await cluster.post("engine", ceiling=3, rev=2))[0] == 503
 
     curio.run(drive)
 
 
 def test_jobs_that_wait_for_a_removed_resource_keep_waiting_and_show_it() -> None:
     async def drive() -> None:
-        site = CountedSite()
-        await site.start()
-        await site.post("engine", ceiling=0, rev=1)  # closed: to be opened again
-        assert await site.submit(uid="j-1", chores=1, counts={"engine": 1}) == 201
-        await site.post("engine", ceiling=0, rev=2, removed=True)
-        assert await site.submit(uid="j-2", chores=1, counts={"engine": 1}) == 422
-        await site.run_rounds(20)
-        _, answer = await site.ask("GET", f"{api.JOBS}/j-1")
+        cluster = CountedResourceCluster()
+        await cluster.start()
+        await cluster.post("engine", ceiling=0, rev=1)  # closed: expected to be opened again
+        assert await cluster.submit(uid="j-1", chores=1, counts={"engine": 1}) == 201
+        await cluster.post("engine", ceiling=0, rev=2, removed=True)
+        assert await cluster.submit(uid="j-2", chores=1, counts={"engine": 1}) == 422
+        await cluster.run_rounds(20)
+        _, answer = await cluster.ask("GET", f"{api.JOBS}/j-1")
         assert answer["status"] == api.QUEUED
         assert answer["waits"] == ["count engine was removed"]
-        await site.post("engine", ceiling=1, rev=3)
-        await site.run_rounds(40)
-        assert (await site.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
+        await cluster.post("engine", ceiling=1, rev=3)
+        await cluster.run_rounds(40)
+        assert (await cluster.ask("GET", f"{api.JOBS}/j-1"))[1]["status"] == api.DONE
 
     curio.run(drive)
 
@@ -576,13 +588,15 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def drive() -> None:
-        site = CountedSite()
-        await site.start()
-        site.settings = CountSettings({"engine": DeclaredCount(7)})
+        cluster = CountedResourceCluster()
+        await cluster.start()
+        cluster.settings = CountSettings({"engine": DeclaredCount(7)})
         with caplog.at_level("INFO"):
-            await site.start()
+            await cluster.start()
         assert (
-            site.plugin.store.ledgers[site.node.context.resource_names.intern("engine")].ceiling
+            cluster.plugin.store.ledgers[
+                cluster.node.context.resource_names.intern("engine")
+            ].ceiling
             == 2
         )
         assert "declared_ceiling=7" in caplog.text
@@ -618,20 +632,20 @@
 
 @pytest.mark.parametrize("path", sorted(CORPUS.iterdir()), ids=lambda path: path.name)
 def test_invalid_data_is_rejected(path: Path) -> None:
-    """The fuzzer's corpus, without the fuzzer: scripts/fuzz_counts.py."""
+    """Decodes the corpus of scripts/fuzz_counts.py without the fuzzer."""
     outcome = fuzz_targets.decode(path.read_bytes())
     assert outcome == EXPECTED_OUTCOMES.get(path.name, outcome)
     assert path.name in EXPECTED_OUTCOMES or outcome.endswith(("Error", "FieldFault"))
 
 
 def test_an_unreachable_state_service_changes_nothing() -> None:
-    site = SingleShard(1)
-    job = site.job()
-    site.start(job)
-    assert isinstance(site.clients[0], FakeStateClient)
-    site.clients[0].cut = True
+    cluster = SingleShardHarness(1)
+    job = cluster.job()
+    cluster.start(job)
+    assert isinstance(cluster.clients[0], FakeStateClient)
+    cluster.clients[0].cut = True
     with pytest.raises(StateError):
-        site.flush()
+        cluster.flush()
     assert not job.placements
-    assert site.total() == 0
-    assert not site.plugin.store.uncertain_writes
+    assert cluster.total() == 0
+    assert not cluster.plugin.store.uncertain_writes
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Quota shares under lost, late and repeated writes: use never exceeds the limit."""
+"""Quota shares under lost and late writes: use never exceeds the limit."""
 
 import random
 
@@ -21,10 +21,10 @@
         self.late: list[tuple[list[ResourceAmount], int]] = []
         self.controllers = [Quota(context) for _ in range(3)]
         self.used = [0.0] * 3
-        self.unread: set[int] = set()
+        self.uncertain: set[int] = set()
 
     def step(self) -> None:
-        """One random action of a random controller."""
+        """Run one random action of a random controller."""
         own = self.rng.randrange(3)
         action = self.rng.choice(["use", "use", "stop", "give", "read", "late"])
         if action == "use" and self.used[own] + 1 <= self.controllers[own].share(0, own)[0] + 1e-9:
@@ -39,7 +39,7 @@
             self.write(*self.late.pop())
 
     def write(self, shares: list[ResourceAmount], expected: int) -> None:
-        """A transaction: applied if the key still has the expected version."""
+        """Execute a transaction: its write is applied if the key still has the expected version."""
         if expected == self.stored[1]:
             self.stored = (shares, self.stored[1] + 1)
 
@@ -57,19 +57,19 @@
             self.late.append((after, expected))
         else:
             self.write(after, expected)
-        self.unread.add(own)
+        self.uncertain.add(own)
 
     def read(self, own: int) -> None:
-        """After an unknown outcome it reads the key and rewrites it: no late write applies then."""
+        """Read the key; after a transfer also rewrite it, so that no late write applies."""
         shares, version = self.stored
         if not version:
             return
-        if own in self.unread:
+        if own in self.uncertain:
             version += 1
             self.stored = (shares, version)
         self.controllers[own].record_shares(0, shares, version)
         self.controllers[own].end_transfer(0, own)
-        self.unread.discard(own)
+        self.uncertain.discard(own)
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -82,7 +82,8 @@
         assert not version or abs(sum(cpus for cpus, _ in shares) - LIMIT) < 1e-6
 
 
-def test_a_job_of_nearly_the_whole_limit_gets_its_quota() -> None:
+def test_transfers_from_all_other_shards_give_one_shard_the_whole_limit() -> None:
+    """A job that needs nearly the whole limit can then start."""
     context = make_context(Clock())
     quota = Quota(context)
     for giver in (1, 2):
