--- a/starlingdeck/jobs/commit_log.py
+++ b/starlingdeck/jobs/commit_log.py
@@ -175,7 +175,7 @@
     def prepare(
         self, changes: list[JobChange], encoded: list[bytes], jobs: list[int]
     ) -> PreparedCommit:
-        """The next commit and the key that takes it. It counts only once `written` was called.
+        """The next commit and the key that takes it. It counts only once `on_written` was called.
 
         A key whose content is in the records altogether is started afresh, without that content.
         """
@@ -195,7 +195,7 @@
             jobs=jobs,
         )
 
-    def written(self, commit: PreparedCommit, version: int) -> None:
+    def on_written(self, commit: PreparedCommit, version: int) -> None:
         """The commit is durable: its key has this version."""
         slot = self.slots[commit.slot]
         slot.version = version
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -192,7 +192,7 @@
         except StateError:
             _clear_uncertain(uncertain)
             raise
-        self.shard.commit_log.written(commit, revision)
+        self.shard.commit_log.on_written(commit, revision)
         self.has_more = batch.has_more
         await self._apply(batch, uncertain, revision)
         return True
@@ -281,7 +281,7 @@
     def _read_outcome(self, commit: PreparedCommit, entry: api.Entry) -> None:
         """Whether the commit was executed, by what its key holds now."""
         if commit.position in read_segments([entry]).newest_positions.values():
-            self.shard.commit_log.written(commit, entry.version)
+            self.shard.commit_log.on_written(commit, entry.version)
             log.info("unanswered commit resolved: shard=%d outcome=executed", self.shard.shard)
         else:
             self.shard.commit_log.fenced(commit, entry.version)
--- a/starlingdeck/jobs/write_batch.py
+++ b/starlingdeck/jobs/write_batch.py
@@ -93,8 +93,8 @@
         self.state = state
         self.shard = shard
         self.group_commit = group_commit
-        self.since: dict[int, float] = {}  # job -> since when it has had something to be written
-        self.spent: dict[int, float] = {}  # team -> changes written lately
+        self.waiting_since: dict[int, float] = {}  # job -> since when it has waited to be written
+        self.recent_changes: dict[int, float] = {}  # team -> changes written lately
         self.halved_at = 0.0
         self.overdue_turn = 0
 
@@ -107,8 +107,8 @@
             jobs.sort(
                 key=lambda job: (
                     job.index not in overdue,
-                    self.spent.get(job.team, 0.0),
-                    self.since[job.index],
+                    self.recent_changes.get(job.team, 0.0),
+                    self.waiting_since[job.index],
                 )
             )
         limit = self.context.settings.settings.state.txn_ops
@@ -131,9 +131,9 @@
 
     def on_written(self, update: JobUpdate) -> None:
         """An update is durable: its job waits no longer, and its team has used changes."""
-        self.since.pop(update.job.index, None)
+        self.waiting_since.pop(update.job.index, None)
         team = update.job.team
-        self.spent[team] = self.spent.get(team, 0.0) + len(update.changes)
+        self.recent_changes[team] = self.recent_changes.get(team, 0.0) + len(update.changes)
 
     def _dirty_jobs(self) -> list[Job]:
         """Jobs whose records are to be written, in order of urgency."""
@@ -158,11 +158,13 @@
         In a flood of urgent starts a batch that begins with one takes nothing else. The ends of
         all other work waited, which free its quota and finish its jobs.
         """
-        self.since = {job.index: self.since.get(job.index, now) for job in jobs}
+        self.waiting_since = {job.index: self.waiting_since.get(job.index, now) for job in jobs}
         if now - self.halved_at > HALVED_BATCH_S:
             self.halved_at = now
-            self.spent = {team: changes / 2 for team, changes in self.spent.items()}
-        late = {index for index, since in self.since.items() if now - since > OVERDUE_S}
+            self.recent_changes = {
+                team: changes / 2 for team, changes in self.recent_changes.items()
+            }
+        late = {index for index, since in self.waiting_since.items() if now - since > OVERDUE_S}
         self.overdue_turn = (self.overdue_turn + 1) % OVERDUE_TURN if late else 0
         return late if self.overdue_turn == 1 else set()
 
--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -936,7 +936,7 @@
                 shard.dirty_jobs,
                 shard.tasks_by_machine,
                 shard.pending_cancellations,
-                writer.batches.since,
+                writer.batches.waiting_since,
             )
             assert not any(kept)
             assert len(shard.terminal_states) == len(shard.terminal_completed) <= 20
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -440,7 +440,7 @@
         changes = [msgspec.json.decode(raw, type=commit_log.JobChange) for raw in encoded]
         commit = log.prepare(changes, encoded, [names.index(change.job) for change in changes])
         assert (commit.key, bytes(commit.value)) == (key, bytes(value))
-        log.written(commit, commit.version + 1)
+        log.on_written(commit, commit.version + 1)
         stored[key] = api.Entry(key, commit.value, commit.version + 1)
     assert len(stored) == 3
 
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -264,7 +264,7 @@
     for one in ended:
         one.placements[0] = TaskPlacement(0, 1, 1, 0, 0)
         one.pending_ends[0] = api.CAUSE_DONE
-    writer.batches.spent[cluster.team] = 50.0
+    writer.batches.recent_changes[cluster.team] = 50.0
     seen: list[list[Job]] = []
     for _ in range(8):
         clock.at += 0.4
@@ -274,7 +274,7 @@
         assert urgent
         seen.append([d.job for d in batch])
         for update in batch:  # as if written; its next start and the next ends are there at once
-            del writer.batches.since[update.job.index]
+            del writer.batches.waiting_since[update.job.index]
     assert seen == [*[[cluster]] * 3, [ended[1], ended[0], cluster]] * 2
 
 
