--- a/starlingdeck/jobs/admission.py
+++ b/starlingdeck/jobs/admission.py
@@ -1,4 +1,4 @@
-"""Admission: how many of a job's tasks may be placed, whatever kind of limit applies.
+"""Admission control: limits how many of a job's tasks may start.
 
 Each kind of limit is a plugin. It says how many more of a job's tasks may start, and why the next
 one may not. A durable plugin also takes part in the transactions that start and end tasks.
@@ -26,91 +26,97 @@
 
 
 class AdmissionPlugin(Protocol):
-    """One kind of limit."""
+    """One kind of limit on starting tasks."""
 
     async def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        """A scheduling cycle begins; these jobs have tasks to place, in no order."""
+        """Called when a scheduling cycle begins; `jobs` have tasks to place and are in no order."""
 
     def headroom(self, job: Job) -> int:
-        """How many more of the job's tasks may start; called in scheduling order."""
+        """Return how many more of the job's tasks may start; called in scheduling order."""
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Reservations are being requested for that many more of the job's tasks."""
+        """Called when reservations are requested for `tasks` more of the job's tasks."""
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
-        """Every reason that applies now; empty if the next task may start."""
+        """Return every reason that applies now; empty if the next task may start."""
 
     def on_idle(self) -> None:
-        """No task waits for placement."""
+        """Called when no task waits for placement."""
 
 
 class TransactionReservation(Protocol):
-    """What one transaction of a job shard takes from a plugin's limits and gives back."""
+    """What one transaction of a job shard reserves from a plugin's limits and releases."""
 
     def admit(self, job: Job) -> None:
-        """Withhold those of the job's starts that the limits don't allow now."""
+        """Withhold the job's pending starts that the limits don't allow now."""
 
     def add(self, update: JobUpdate) -> bool:
-        """Take up a job's update; False if its starts aren't allowed."""
+        """Add a job's update; return False if its starts aren't allowed."""
 
     def remove_last(self) -> None:
-        """Take the last update out again: the transaction has no room for it."""
+        """Remove the last update again because the transaction has no room for it."""
 
     def key_count(self) -> int:
-        """Keys so far, beside those of the jobs: each is a condition, and may be a change."""
+        """Return how many keys are needed so far, in addition to the keys of the jobs' records.
+
+        Each is a condition of the transaction, and may be a change.
+        """
 
     def conditions_and_changes(self) -> tuple[dict[str, int], list[api.Change]]:
-        """Conditions and changes; after this nothing is added."""
+        """Return the conditions and changes for these keys; no update is added afterwards."""
 
     def on_committed(self, revision: int) -> None:
-        """The transaction is durable: `revision` is the version of the keys that it wrote."""
+        """Called when the transaction is durable; `revision` is the version of its keys."""
 
     async def on_conflict(self, failed: list[str]) -> bool:
-        """The transaction met a conflict; True if it was (also) ours, and may be retried."""
+        """Called when the conditions on the keys `failed` did not hold.
+
+        Return True if any of them belongs to the plugin; the transaction may then be retried.
+        """
 
     def on_unknown_outcome(self) -> None:
-        """The transaction was not answered: it may still be executed."""
+        """Called when the transaction was not answered: it may still be executed."""
 
 
 class DurablePlugin(AdmissionPlugin, Protocol):
-    """A plugin whose grants are written together with the starts and ends they are for."""
+    """A plugin whose grants are written in the transactions that start and end the tasks."""
 
-    prefix: str  # of its keys; the cluster's watch reports their changes
-    path: str  # of the operators' requests that it answers
+    prefix: str  # of the plugin's keys; the cluster's watch reports their changes
+    path: str  # prefix of the paths of the operators' requests that the plugin answers
 
     def is_due(self) -> bool:
-        """Whether something was released that is too scarce to wait for the next cycle."""
+        """Return whether a resource too scarce to wait for the next cycle was released."""
 
     def on_key_changed(self, key: str, value: bytes, version: int) -> None:
-        """One of its keys has changed, by the cluster's watch."""
+        """Called when the cluster's watch reports a change to one of the plugin's keys."""
 
     def begin_transaction(self, shard: JobShard) -> TransactionReservation:
-        """A transaction of this shard is about to be put together."""
+        """Return an empty reservation for the next transaction of this shard."""
 
     async def settle(self, shard: JobShard) -> None:
-        """Find out what became of unanswered transactions; marks the jobs to be read again."""
+        """Resolve transactions of unknown outcome, and mark their jobs to be read again."""
 
     async def rejection_reason(self, spec: api.JobSpec) -> str:
-        """Why a job can never run; "" if it can."""
+        """Return why a job can never run; "" if it can."""
 
     def add_to_gossip(self, gossip: pb.Gossip) -> None:
         """Add to a gossip message what other controllers' plugins need."""
 
     def receive_gossip(self, sender: int, gossip: pb.Gossip) -> None:
-        """Take in what another controller's plugin added to its gossip."""
+        """Apply what another controller's plugin added to its gossip."""
 
     async def serve(self, request: Request) -> Response:
         """Answer an operator's request under `path`."""
 
     async def run(self) -> None:
-        """The plugin's own loop, for as long as the controller runs."""
+        """Run the plugin's own loop for as long as the controller runs."""
 
     def lines(self) -> list[str]:
-        """Lines for the log, once a minute."""
+        """Return the lines to be logged once a minute."""
 
 
 class AdmissionController:
-    """All admission plugins together."""
+    """Combines all admission plugins."""
 
     def __init__(self, plugins: list[AdmissionPlugin]) -> None:
         self.plugins = plugins
@@ -124,12 +130,12 @@
         return self.plugins if self.durable is None else [*self.plugins, self.durable]
 
     async def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        """A scheduling cycle begins; these jobs have tasks to place, in no order."""
+        """Notify all plugins that a scheduling cycle begins for `jobs`, which are in no order."""
         for plugin in self._all():
             await plugin.begin_cycle(jobs)
 
     def headroom(self, job: Job) -> int:
-        """How many more of the job's tasks may start by all limits; in scheduling order."""
+        """Return how many more of the job's tasks all limits allow; called in scheduling order."""
         headroom = UNBOUNDED
         for plugin in self.plugins:
             headroom = min(headroom, plugin.headroom(job))
@@ -140,27 +146,27 @@
         return headroom
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Reservations are being requested for that many more of the job's tasks."""
+        """Notify all plugins that reservations are requested for `tasks` more of a job's tasks."""
         for plugin in self._all() if tasks else ():
             plugin.on_requested(job, tasks)
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
-        """Every reason that applies now; empty if the next task may start."""
+        """Return every reason that applies now; empty if the next task may start."""
         if job.resource_needs and self.durable is None:
             return [WaitReason("counts are switched off here", "a controller that keeps them")]
         return [reason for plugin in self._all() for reason in plugin.wait_reasons(job)]
 
     def is_due(self) -> bool:
-        """Whether something was released that is too scarce to wait for the next cycle."""
+        """Return whether a resource too scarce to wait for the next cycle was released."""
         return self.durable is not None and self.durable.is_due()
 
     async def rejection_reason(self, spec: api.JobSpec) -> str:
-        """Why a job can never run; "" if it can."""
+        """Return why a job can never run; "" if it can."""
         if self.durable is not None:
             return await self.durable.rejection_reason(spec)
         return "counts: none are kept here" if any((spec.counts or {}).values()) else ""
 
     def on_idle(self) -> None:
-        """No task waits for placement."""
+        """Notify all plugins that no task waits for placement."""
         for plugin in self._all():
             plugin.on_idle()
--- a/starlingdeck/jobs/attempt_evaluation.py
+++ b/starlingdeck/jobs/attempt_evaluation.py
@@ -1,7 +1,8 @@
-"""Which recorded attempts are over, by the snapshots that machine shards publish.
+"""Determines from the snapshots of machine shards which recorded attempts are over.
 
-An attempt ends only by proof: its task exited, its machine's lease has expired or its machine is
-gone, the machine has a newer session, or its owner has applied our desired state without it.
+An attempt ends only on proof: its task exited, its machine's lease expired, its machine is gone,
+its machine has a newer session, or the machine's owner has applied the desired state that names the
+attempt and doesn't report it.
 """
 
 import logging
@@ -25,10 +26,10 @@
 PROOF_LEASE_EXPIRED = "lease_expired"
 PROOF_NOT_STARTED = "not_started"
 
-MAX_BACKOFF_S = 60.0  # of a job that fails on whatever machine it runs
+MAX_BACKOFF_S = 60.0  # for a job that fails on every machine it runs on
 BACKOFF_BASE_S = 2.0
 MAX_BACKOFF_DOUBLINGS = 6
-BUSY_RETRY_S = 1.0  # after a machine was busy, or for an unknown cause
+BUSY_RETRY_S = 1.0  # after a machine was busy ("in_use") or didn't know the task ("no_such")
 NO_CAPACITY_RETRY_S = 0.2  # after a machine had no capacity left
 
 
@@ -42,13 +43,14 @@
     def apply_snapshot(self, snapshot: ShardSnapshot, touched: set[int] | None) -> bool:
         """Evaluate the attempts that a snapshot may say something new about.
 
-        These are the ones on the machines `touched` (None: on all), on machines proven gone, and
-        those whose first publication the owner has just applied. True if anything changed.
+        These are the attempts on the machines in `touched` (None: on all machines), those on
+        machines proven gone, and those whose first publication the machines' owner has just
+        applied. Return True if anything changed.
         """
         shard = self.shard
         outbox = shard.outboxes[snapshot.shard]
         token, seq = snapshot.applied_seqs.get(shard.shard, (0, 0))
-        # Only the owner that our desired state was made for may say that something is absent.
+        # Only from the owner that the desired state was built for does absence prove anything.
         current = outbox.epoch == snapshot.epoch
         if current and token == shard.base_token:
             outbox.acked_seq = max(outbox.acked_seq, seq)
@@ -83,7 +85,7 @@
         task: int,
         placement: TaskPlacement,
     ) -> bool:
-        """Whether the snapshot says anything new about an attempt; ends it if that is a proof."""
+        """End an attempt if the snapshot proves it over; return True if anything is new."""
         changed, proof, cause = False, "", api.CAUSE_NONE
         machine = snapshot.machines.get(placement.machine)
         if placement.machine in snapshot.lost_machines and current and snapshot.owner_valid:
@@ -128,7 +130,7 @@
     def _change_observed_state(
         self, job: Job, placement: TaskPlacement, observed: pb.ObservedTask
     ) -> None:
-        # Placements read from a record have no `state_since`: those began long ago.
+        # Placements read from a record have no `state_since`: when they began isn't known.
         if (
             observed.state == api.TASK_RUNNING
             and placement.attempt == 1
@@ -141,7 +143,7 @@
     def end_attempt(
         self, job: Job, task: int, placement: TaskPlacement, cause: int, proof: str
     ) -> None:
-        """An attempt is proven over: have that written, and decide when the task is retried."""
+        """Queue the recording of an attempt's proven end, and decide when the task is retried."""
         shard, now = self.shard, self.context.now()
         if job.spec.service:
             shard.replicas_waiting = True
@@ -154,7 +156,7 @@
         target = placement.target
         moves = target is not None and cause != api.CAUSE_DONE and not job.cancelled
         if moves and target is not None and now < target.reserved_until:
-            # The source has confirmed the stop: the reserved target takes the task.
+            # The attempt has ended on its old machine: start the task on the reserved target.
             job.pending_starts[task] = target
         log.info(
             "task freed: task=%s attempt=%d machine=%s proof=%s",
@@ -187,8 +189,9 @@
         job.avoided_machines.setdefault(task, set()).add(placement.machine)
         suspect = len(job.failed_on) >= self.context.tuning.suspect_machines
         if suspect and now >= job.backoff_until:
-            # It fails wherever it runs: retry seldom, so that it doesn't use up the fleet. Errors
-            # that arrive together count as one: counted singly they delayed it a minute at once.
+            # The job fails wherever it runs: back off, so that its retries don't use up the fleet.
+            # Errors that arrive together count as one: counted separately, they raised the delay
+            # to a minute at once.
             job.errors += 1
             delay_s = BACKOFF_BASE_S * 2 ** min(job.errors, MAX_BACKOFF_DOUBLINGS)
             job.backoff_until = now + min(MAX_BACKOFF_S, delay_s)
--- a/starlingdeck/jobs/commit_log.py
+++ b/starlingdeck/jobs/commit_log.py
@@ -1,7 +1,7 @@
-"""An owned shard's write-ahead log in memory.
+"""In-memory state of an owned shard's write-ahead log.
 
-It says which slot of the ring takes the next commit, and which chunks of records have to be
-rewritten (a checkpoint) before a slot may be reused. `storage.commit_log` has its stored form.
+It determines which slot of the ring takes the next commit, and which chunks of records have to be
+rewritten (a checkpoint) before a slot may be reused. `storage.commit_log` defines the stored form.
 """
 
 from collections import defaultdict
@@ -22,14 +22,14 @@
 from starlingdeck.storage.records import LOG_START, Chunk, Position
 
 MAX_SLOTS = 64
-FULL_SEGMENT_BYTES = 4096  # (start) of a segment that takes no further commit
-VALUE_OVERHEAD_BYTES = 200  # of a value, without its commits
+FULL_SEGMENT_BYTES = 4096  # a segment of this size takes no further commit if a slot is clean
+VALUE_OVERHEAD_BYTES = 200  # size of a key's value besides its commits
 CHECKPOINT_SLOTS = MAX_SLOTS // 4  # with fewer clean slots, records are rewritten
 SLOTS_FOR_ENDS = 4  # clean slots that starts may not use
 
 
 class LogFullError(LookupError):
-    """No slot of the ring takes a commit of the given size."""
+    """Raised when no slot of the ring has room for a commit of the given size."""
 
     def __init__(self, shard: int, size: int) -> None:
         super().__init__(f"the commit log of shard {shard} has no slot for {size} bytes")
@@ -38,7 +38,7 @@
 class ChunkId(NamedTuple):
     """A chunk of a job's record."""
 
-    job: int  # its index
+    job: int  # the job's index
     number: int
 
 
@@ -46,10 +46,10 @@
     """One key of the ring."""
 
     version: int = 0
-    last: Position = LOG_START
+    last: Position = LOG_START  # position of the newest commit
     commits: list[bytes] = []
-    size: int = 0
-    dirty: set[ChunkId] = field(default_factory=set)  # chunks whose records don't hold all of it
+    size: int = 0  # of the commits, in bytes
+    dirty: set[ChunkId] = field(default_factory=set)  # chunks whose records lack a commit of this
 
 
 class PreparedCommit(Struct):
@@ -58,8 +58,8 @@
     position: Position
     slot: int
     key: str
-    version: int  # that the key must have for the commit to be executed
-    commits: list[bytes]  # all that the key is to hold
+    version: int  # the version that the key must have for the commit to be executed
+    commits: list[bytes]  # all commits that the key is to hold, the new one last
     changes: list[JobChange]
     jobs: list[int]
 
@@ -70,37 +70,40 @@
 
 
 class CommitLog:
-    """The log of one job shard during one ownership. Nothing here waits or writes."""
+    """The log of one job shard during one ownership. Performs no I/O."""
 
     def __init__(self, shard: int, token: int, value_bytes: float) -> None:
-        """`token`: with which the shard was acquired; `value_bytes`: the limit of a key's value."""
+        """Create an empty log.
+
+        `token` is the one with which the shard was acquired; `value_bytes` limits a key's value.
+        """
         self.shard = shard
         self.token = token
         self.max_bytes = int(value_bytes) - VALUE_OVERHEAD_BYTES
         self.last_number = 0
         self.slots: dict[int, Slot] = {}
-        self.pinned: set[int] = set()  # slots that hold something unreadable: kept as they are
+        self.pinned: set[int] = set()  # slots with unreadable content or jobs: never rewritten
         self.open_slot: int | None = None
-        # Chunk -> the slots that it is dirty in.
+        # Chunk -> the slots with commits that its record lacks.
         self.dirty_slots: defaultdict[ChunkId, set[int]] = defaultdict(set)
-        # Job -> its changes, while its record doesn't hold all of them.
+        # Job -> its changes in the log, for jobs whose records lack some of them.
         self.tail: defaultdict[str, list[LoggedChange]] = defaultdict(list)
         self.unresolved: PreparedCommit | None = None  # sent, outcome unknown
         self.durable: Position = LOG_START  # all commits up to here are applied in memory
 
-    # --- as read at a takeover
+    # --- what was read at a takeover
 
-    def adopt(self, view: LogContents) -> None:
-        """Take over what former owners left; `adopt_job` says which of it is still needed."""
-        self.pinned = {segment.slot for segment in view.unreadable}
-        for slot, version in view.versions.items():
+    def adopt(self, contents: LogContents) -> None:
+        """Take over the slots of former owners; `adopt_job` then marks those still needed."""
+        self.pinned = {segment.slot for segment in contents.unreadable}
+        for slot, version in contents.versions.items():
             if slot not in self.pinned:
-                self.slots[slot] = Slot(version, view.newest_positions.get(slot, LOG_START))
-        if view.versions:
+                self.slots[slot] = Slot(version, contents.newest_positions.get(slot, LOG_START))
+        if contents.versions:
             self.durable = Position(self.token, 0)
 
     def pin(self, slots: Iterable[int]) -> None:
-        """Keep slots as they are, for they hold something of a job that can't be read."""
+        """Exclude slots from reuse because they hold changes of a job that can't be read."""
         for slot in slots:
             self.pinned.add(slot)
             pinned = self.slots.pop(slot, None)
@@ -110,7 +113,7 @@
     def adopt_job(
         self, index: int, name: str, chunks: Mapping[int, Chunk], changes: Sequence[LoggedChange]
     ) -> None:
-        """Note which of a job's changes its record doesn't hold yet."""
+        """Mark the chunks of a job's record that lack some of its changes in the log."""
         for logged in changes:
             for number in logged.change.chunks():
                 if number in chunks and logged.position <= chunks[number].applied_position:
@@ -123,9 +126,10 @@
     # --- the next commit
 
     def free_bytes(self, for_starts: bool = False) -> int:
-        """How large the next commit may be.
+        """Return how large the next commit may be, in bytes.
 
-        Starts leave some slots to ends, which free what records have to be rewritten for.
+        With `for_starts`, SLOTS_FOR_ENDS clean slots are left to ends: the slots of a job that has
+        ended become clean without its records being rewritten.
         """
         clean = sum(1 for _ in self._clean_slots())
         if clean > (SLOTS_FOR_ENDS if for_starts else 0):
@@ -136,11 +140,11 @@
         return self.max_bytes - slot.size - 1 if slot.dirty else self.max_bytes
 
     def checkpoint_due(self) -> bool:
-        """Whether records are to be rewritten, so that slots become clean."""
+        """Return whether records have to be rewritten so that slots become clean."""
         return sum(1 for _ in self._clean_slots()) < CHECKPOINT_SLOTS
 
     def _clean_slots(self) -> Iterator[int]:
-        """Slots that may be started afresh, without the open one."""
+        """Yield the slots whose content may be overwritten, except the open one."""
         for number in range(MAX_SLOTS):
             if number in self.pinned or number == self.open_slot:
                 continue
@@ -156,13 +160,13 @@
         return not slot.dirty or (fits and slot.size < FULL_SEGMENT_BYTES)
 
     def _choose_slot(self, size: int) -> int:
-        """The slot for a commit of this size; LogFullError when none takes it."""
+        """Return the slot for a commit of this size. Raises LogFullError when none has room."""
         if self.open_slot is not None and self._open_slot_takes(size):
             return self.open_slot
         clean = min(self._clean_slots(), key=self._last_position, default=None)
         if clean is not None:
             if self.open_slot is not None:
-                self.slots[self.open_slot].commits = []  # it takes no more
+                self.slots[self.open_slot].commits = []  # nothing is appended to it any more
             return clean
         if self.open_slot is None or self.slots[self.open_slot].size + size + 1 > self.max_bytes:
             raise LogFullError(self.shard, size)
@@ -175,9 +179,10 @@
     def prepare(
         self, changes: list[JobChange], encoded: list[bytes], jobs: list[int]
     ) -> PreparedCommit:
-        """The next commit and the key that takes it. It counts only once `on_written` was called.
+        """Return the next commit and the key it goes to; `on_written` makes it part of the log.
 
-        A key whose content is in the records altogether is started afresh, without that content.
+        If the records hold all of a key's content, the commit replaces it; otherwise the commit is
+        appended.
         """
         self.last_number += 1
         position = Position(self.token, self.last_number)
@@ -196,7 +201,7 @@
         )
 
     def on_written(self, commit: PreparedCommit, version: int) -> None:
-        """The commit is durable: its key has this version."""
+        """Record that a commit is durable and its key has this version."""
         slot = self.slots[commit.slot]
         slot.version = version
         slot.last = commit.position
@@ -209,24 +214,27 @@
             self.tail[change.job].append(LoggedChange(commit.position, commit.slot, change))
 
     def fence_value(self, commit: PreparedCommit) -> msgspec.Raw:
-        """The value of its key without a commit: once written, that can't be executed any more."""
+        """Return the value of a commit's key without the commit.
+
+        Once this is written, the commit's condition on the key's version fails for good.
+        """
         return encode_segment(commit.commits[:-1])
 
-    def fenced(self, commit: PreparedCommit, version: int) -> None:
-        """The fence is durable: the commit was not executed and never will be."""
+    def on_fenced(self, commit: PreparedCommit, version: int) -> None:
+        """Record that the fence is durable: the commit was not executed and never will be."""
         slot = self.slots[commit.slot]
         slot.version = version
         slot.commits = commit.commits[:-1]
         slot.size = _size_of(slot.commits)
 
-    # --- records that were rewritten, and jobs that are over
+    # --- rewritten records and finished jobs
 
     def _mark_dirty(self, slot: int, chunk: ChunkId) -> None:
         self.slots[slot].dirty.add(chunk)
         self.dirty_slots[chunk].add(slot)
 
-    def checkpointed(self, chunk: ChunkId, upto: Position) -> None:
-        """A chunk's record holds all commits up to this position."""
+    def on_checkpointed(self, chunk: ChunkId, upto: Position) -> None:
+        """Record that a chunk's record holds all commits up to and including this position."""
         slots = self.dirty_slots.get(chunk, set())
         for number in [number for number in slots if self.slots[number].last <= upto]:
             slots.discard(number)
@@ -235,7 +243,7 @@
             self.dirty_slots.pop(chunk, None)
 
     def remove_job(self, index: int, name: str, chunks: int) -> None:
-        """A job of so many chunks is over: its final record says everything."""
+        """Forget a finished job of `chunks` chunks: its final record replaces its changes."""
         for number in range(chunks):
             chunk = ChunkId(index, number)
             for slot in self.dirty_slots.pop(chunk, ()):
@@ -249,7 +257,7 @@
             self.tail.pop(name, None)
 
     def oldest_dirty(self, limit: int) -> list[ChunkId]:
-        """The chunks to rewrite so that the oldest slots become clean."""
+        """Return up to `limit` chunks to rewrite so that the oldest slots become clean."""
         chunks: dict[ChunkId, None] = {}
         for slot in sorted(self.slots.values(), key=lambda slot: slot.last):
             chunks.update(dict.fromkeys(slot.dirty))
@@ -259,16 +267,16 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no segment is stored, but for pinned ones."""
+        """Whether no segment is stored except pinned ones."""
         return not self.slots
 
     @property
     def is_clean(self) -> bool:
-        """Whether the records hold everything that the log does."""
+        """Whether the records hold all changes in the log, except those in pinned slots."""
         return not self.dirty_slots
 
-    def segments_deleted(self, keys: Iterable[str]) -> None:
-        """These segments are no longer stored."""
+    def on_segments_deleted(self, keys: Iterable[str]) -> None:
+        """Record that these segments are no longer stored."""
         for key in keys:
             self.slots.pop(int(key.rsplit("/", 1)[1]), None)
         if self.is_empty:
@@ -276,5 +284,5 @@
 
 
 def _size_of(commits: list[bytes]) -> int:
-    """The length of commits in a segment, with a separator each."""
+    """Return the size of commits in a segment in bytes, including one separator per commit."""
     return sum(len(commit) + 1 for commit in commits)
--- a/starlingdeck/jobs/desired_state.py
+++ b/starlingdeck/jobs/desired_state.py
@@ -1,4 +1,4 @@
-"""The desired-state messages that a job shard sends to machine shards."""
+"""Builds the desired-state messages that a job shard sends to machine shards."""
 
 from typing import TYPE_CHECKING
 
@@ -21,10 +21,12 @@
     def build_message(
         self, to_shard: int, to_epoch: int, full: bool, watermark_ms: int
     ) -> pb.DesiredState:
-        """What the owner of a machine shard is to run: all of it, or what changed since the last.
+        """Build the next message to a machine shard's owner: which tasks are to run there.
 
-        Only to be made while the shard surely is ours: its receiver relies on it that nothing
-        else was cancelled up to `watermark_ms`, a time by the receiver's own clock.
+        The message has all tasks if `full` is set or required, else the changes since the last
+        message. Call this only while this controller certainly owns the job shard: the receiver
+        relies on no other cancellation having been made up to `watermark_ms`, a time by the
+        receiver's clock.
         """
         outbox = self.shard.outboxes[to_shard]
         full = full or outbox.full or outbox.epoch != to_epoch
@@ -59,7 +61,7 @@
         }
 
     def _add_changes(self, message: pb.DesiredState, outbox: Outbox) -> dict[int, int]:
-        """Add removed tasks and changed jobs; the places of these jobs in the message, by index."""
+        """Add removed tasks and changed jobs; return these jobs' positions in the message."""
         context, jobs = self.context, self.shard.jobs
         for key, machine in outbox.removed:
             index, task = split_key(key)
@@ -75,7 +77,10 @@
     def _add_tasks(
         self, message: pb.DesiredState, outbox: Outbox, keys: set[int], numbers: dict[int, int]
     ) -> None:
-        """Add tasks, and those of their jobs that `numbers` doesn't have yet."""
+        """Add tasks, and those of their jobs that have no position in the message yet.
+
+        `numbers` has these positions by job index, and is updated.
+        """
         context, jobs = self.context, self.shard.jobs
         seq, to_epoch = outbox.seq, outbox.epoch
         for key in keys:
@@ -95,8 +100,8 @@
                 attempt=placement.attempt,
                 machine=context.machine_names[placement.machine],
                 session=placement.session,
-                # An attempt that is over stays listed as one to stop until its end is recorded:
-                # a new owner knows nothing of its refusal, and would start it.
+                # An attempt that is over is sent as one to stop until its end is recorded: a new
+                # owner of the machine shard doesn't know that it was refused, and would start it.
                 stop=job.cancelled
                 or placement.target is not None
                 or placement.releasing
@@ -107,7 +112,7 @@
 
 
 def job_message(job: Job) -> pb.Job:
-    """A job's description for the owners of the machines that it runs on."""
+    """Return a job's description for the owners of the machines that it runs on."""
     spec = job.spec
     return pb.Job(
         id=job.id,
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -1,7 +1,8 @@
 """Group commit: the starts and ends of all of a shard's jobs, written together to its commit log.
 
-One key is written a commit, whatever the number of jobs. Each commit is conditional on the shard's
-key, on the versions of the records of its jobs, and on its own key as the previous commit left it.
+A commit writes one key, whatever the number of jobs in it. It is conditional on the version of the
+shard's key, on the versions of its jobs' records, and on the version that its own key had after the
+previous commit to it.
 """
 
 import logging
@@ -30,14 +31,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_TASKS_PER_CHANGE = 150  # of one job in a commit: they have to fit into one value
-MIN_COMMIT_BYTES = 1024  # with less free, a job's part may not fit
-CONDITIONS_PER_CHANGE = 4  # a transaction's limit of conditions, in terms of its limit of changes
-MAX_APPLY_S = 0.005  # (start) of applying a commit without yielding to other tasks
+MAX_TASKS_PER_CHANGE = 150  # tasks of one job in a commit: they have to fit into one value
+MIN_COMMIT_BYTES = 1024  # with less free space, a job's change may not fit
+CONDITIONS_PER_CHANGE = 4  # a transaction's condition limit, as a multiple of its change limit
+MAX_APPLY_S = 0.005  # how long a commit is applied without yielding to other coroutines
 
 
 class UncertainChunks(NamedTuple):
-    """Chunks of a job in which a commit under way ends tasks."""
+    """Chunks of a job in which a commit that was sent completes tasks."""
 
     job: Job
     chunks: set[int]
@@ -50,10 +51,10 @@
     changes: list[JobChange] = []
     encoded: list[bytes] = []
     conditions: dict[str, int] = {}
-    has_more: bool = False  # not all that waits fits
+    has_more: bool = False  # some waiting changes did not fit
 
     def add(self, drafted: LogUpdate, encoded: bytes) -> None:
-        """Take up a job's part; `encoded`: its change as the log stores it."""
+        """Add a job's part; `encoded` is its change as the log stores it."""
         self.updates.append(drafted.update)
         self.changes.append(drafted.change)
         self.encoded.append(encoded)
@@ -61,9 +62,9 @@
 
 
 class GroupCommit:
-    """The commits of one job shard. Its callers hold the lock that orders the shard's writes.
+    """Writes the commits of one job shard. Callers hold the lock that orders the shard's writes.
 
-    Without settings nothing is written to the log; what it still holds is respected.
+    Without `settings` no commit is written; the commits that the log still holds are processed.
     """
 
     def __init__(
@@ -77,13 +78,13 @@
         self.state = state
         self.shard = shard
         self.settings = settings
-        self.since: dict[int, float] = {}  # job -> since when it has had something to be written
-        self.has_more = False  # the last commit could not take all that waited
+        self.waiting_since: dict[int, float] = {}  # job -> since when it has waited for a commit
+        self.has_more = False  # the last commit had no room for some waiting changes
 
     # --- what is written to the log, and when
 
-    def by_log(self, job: Job) -> bool:
-        """Whether a job's next write is a commit of the log; else its record is rewritten."""
+    def uses_commit_log(self, job: Job) -> bool:
+        """Return whether a job's next write goes to the log; else its record is rewritten."""
         if (
             self.settings is None
             or job.resource_needs
@@ -92,28 +93,28 @@
             return False
         if self.shard.drafter.terminal_state_of(job):
             return False
-        # With the log full, ends are written to records, and starts wait.
+        # When the log is full, ends are written to the records, and starts wait.
         return not job.pending_ends or self.shard.commit_log.free_bytes() >= MIN_COMMIT_BYTES
 
     def may_start(self) -> bool:
-        """Whether starts may be recorded at all: a full log holds them back."""
+        """Return whether starts may be recorded: not while the log is full."""
         free = self.shard.commit_log.free_bytes
         return self.settings is None or free(for_starts=True) >= MIN_COMMIT_BYTES
 
     def due_s(self) -> float | None:
-        """How long until the next commit; None when nothing waits for one."""
+        """Return the seconds until the next commit is due; None when nothing waits for one."""
         if self.settings is None:
             return None
         now = self.context.now()
         waiting = self._waiting()
-        self.since = {job.index: self.since.get(job.index, now) for job in waiting}
+        self.waiting_since = {job.index: self.waiting_since.get(job.index, now) for job in waiting}
         if self.has_more and waiting:
             return 0.0
-        due = [self.since[job.index] + _max_wait_s(job, self.settings) for job in waiting]
+        due = [self.waiting_since[job.index] + _max_wait_s(job, self.settings) for job in waiting]
         return max(0.0, min(due) - now) if due else None
 
     def _waiting(self) -> list[Job]:
-        """Jobs whose next write is a commit of the log."""
+        """Return the jobs that have changes to be committed to the log."""
         jobs = (self.shard.jobs.get(index) for index in self.shard.dirty_jobs)
         starting = self.may_start()
         return [
@@ -122,22 +123,24 @@
             if job is not None
             and not job.stale
             and (job.pending_ends or (job.pending_starts and starting and not job.cancelled))
-            and self.by_log(job)
+            and self.uses_commit_log(job)
             and not self.context.is_quarantined("job", job.id)
         ]
 
     # --- the commit
 
     def collect(self) -> Batch:
-        """As much of what waits as one commit takes, urgent starts first."""
+        """Collect as many waiting changes as one commit has room for, urgent starts first."""
         batch = Batch()
         starting = self.may_start()
         free_bytes = self.shard.commit_log.free_bytes(starting)
         txn_ops = self.context.settings.settings.state.txn_ops
-        # Two are the shard's key and the commit's own.
+        # Two conditions are on the shard's key and on the commit's own key.
         max_conditions = CONDITIONS_PER_CHANGE * txn_ops - 2
         waiting = self._waiting()
-        waiting.sort(key=lambda job: (not _has_urgent_start(job), self.since.get(job.index, 0.0)))
+        waiting.sort(
+            key=lambda job: (not _has_urgent_start(job), self.waiting_since.get(job.index, 0.0))
+        )
         for job in waiting:
             free_conditions = max_conditions - len(batch.conditions)
             if free_conditions < 1 or free_bytes < MIN_COMMIT_BYTES:
@@ -147,7 +150,7 @@
             if drafted is None:
                 continue
             encoded = msgspec.json.encode(drafted.change)
-            size = len(encoded) + 1  # with a separator
+            size = len(encoded) + 1  # including a separator
             if size > free_bytes or len(drafted.update.conditions) > free_conditions:
                 batch.has_more = True
                 continue
@@ -156,8 +159,8 @@
         return batch
 
     def _draft(self, job: Job, starting: bool, free_conditions: int) -> LogUpdate | None:
-        """A job's part of the next commit, or None when it has nothing to be written."""
-        max_chunks = max(1, free_conditions - 1)  # one condition is the record's own key
+        """Return a job's part of the next commit, or None when it has nothing to be written."""
+        max_chunks = max(1, free_conditions - 1)  # one condition is on the record's own key
         try:
             drafted = self.shard.drafter.draft_log_change(
                 job, starting, max_chunks, MAX_TASKS_PER_CHANGE
@@ -170,7 +173,7 @@
         return drafted
 
     async def commit(self, batch: Batch) -> bool:
-        """Write a batch and apply it; False if the state service says the shard isn't ours."""
+        """Write a batch and apply it; return False if this controller lost the shard."""
         shard_key = records.shard_key(self.shard.shard)
         token = self.shard.token
         jobs = [update.job.index for update in batch.updates]
@@ -184,7 +187,7 @@
             _clear_uncertain(uncertain)
             return self._on_conflict(error, batch, commit, token)
         except OutcomeUnknownError:
-            # Until its outcome is known, nothing else of the shard is written.
+            # No other change of the shard is written until the commit's outcome is known.
             self.shard.commit_log.unresolved = commit
             for update in batch.updates:
                 update.job.stale = True
@@ -198,14 +201,14 @@
         return True
 
     async def _apply(self, batch: Batch, uncertain: list[UncertainChunks], revision: int) -> None:
-        """Apply a durable commit job by job, and yield in between.
+        """Apply a durable commit job by job, yielding to other coroutines in between.
 
-        Hundreds of tasks at once let submissions wait. Until a job's turn its status is answered
-        from the log.
+        Applying hundreds of tasks at once delayed submissions. Until a job's part is applied, its
+        status is answered from the log as well.
         """
         began = self.context.now()
         for update, chunks in zip(batch.updates, uncertain, strict=True):
-            self.since.pop(update.job.index, None)
+            self.waiting_since.pop(update.job.index, None)
             self.shard.apply_update(update, revision)
             _clear_uncertain([chunks])
             if self.context.now() - began > MAX_APPLY_S:
@@ -213,9 +216,10 @@
                 began = self.context.now()
 
     def _mark_uncertain(self, batch: Batch) -> list[UncertainChunks]:
-        """Until we know of the commit, answer for its jobs from the log as well.
+        """Mark the chunks in which a commit about to be sent completes tasks; return the new marks.
 
-        Others that read the log may report an end before we know of it.
+        Status queries for marked chunks are answered from the log as well: other controllers may
+        read the commit there and report a completion before this controller knows of it.
         """
         marked = []
         for update, change in zip(batch.updates, batch.changes, strict=True):
@@ -228,11 +232,15 @@
     def _on_conflict(
         self, error: TransactionConflictError, batch: Batch, commit: PreparedCommit, token: int
     ) -> bool:
-        """Nothing was written: another controller changed a record, or the shard isn't ours."""
+        """Handle a refused commit; return False if this controller lost the shard.
+
+        Nothing was written: another controller changed a record, the shard's key has another
+        version, or the commit's key does.
+        """
         if records.shard_key(self.shard.shard) in error.failed:
-            return token != self.shard.token  # our token rose meanwhile
+            return token != self.shard.token  # still owned if only the token rose meanwhile
         if commit.key in error.failed:
-            # Its version is not the one that we know: read what it holds before writing on.
+            # The key has another version than expected: read its content before the next write.
             self.shard.commit_log.unresolved = commit
         for update in batch.updates:
             if any(key in error.failed for key in update.conditions):
@@ -242,10 +250,11 @@
     # --- a commit of unknown outcome
 
     async def settle(self) -> None:
-        """Find out whether the last commit was executed; StateError while that can't be known.
+        """Find out whether the last commit was executed. Raises StateError while that is unknown.
 
-        A commit that was not executed yet may be at any time, after newer writes. So its key is
-        written again without it first, and its condition can't hold any more.
+        A commit that was not executed yet may still be executed at any time, also after newer
+        writes. So its key is first rewritten without it: then its condition on the key's version
+        can't hold any more.
         """
         commit = self.shard.commit_log.unresolved
         if commit is None:
@@ -262,7 +271,7 @@
         for index in commit.jobs:
             job = self.shard.jobs.get(index)
             if job is not None:
-                job.stale = True  # read again, with what is now known of the log
+                job.stale = True  # to be read again, together with its changes in the log
                 job.uncertain_chunks.clear()
 
     async def _fence(self, commit: PreparedCommit) -> None:
@@ -275,29 +284,32 @@
             version = await self.state.transact(conditions, [change], True)
         except TransactionConflictError as error:
             raise StateError(f"a commit's fate is still open: {error}") from error
-        commit_log.fenced(commit, version)
+        commit_log.on_fenced(commit, version)
         log.info("unanswered commit resolved: shard=%d outcome=fenced", self.shard.shard)
 
     def _read_outcome(self, commit: PreparedCommit, entry: api.Entry) -> None:
-        """Whether the commit was executed, by what its key holds now."""
+        """Record whether the commit was executed, according to its key's present content."""
         if commit.position in read_segments([entry]).newest_positions.values():
             self.shard.commit_log.on_written(commit, entry.version)
             log.info("unanswered commit resolved: shard=%d outcome=executed", self.shard.shard)
         else:
-            self.shard.commit_log.fenced(commit, entry.version)
+            self.shard.commit_log.on_fenced(commit, entry.version)
 
-    # --- segments that nobody needs any more
+    # --- checkpoints, and deletion of obsolete segments
 
     def checkpoint_due(self) -> bool:
-        """Whether records are to be rewritten so that segments come free.
+        """Return whether records have to be rewritten so that segments can be reused or deleted.
 
-        That is all records, once the log is not written any more.
+        Once the log is not written any more, that holds until no record lacks any of its changes.
         """
         commit_log = self.shard.commit_log
         return commit_log.checkpoint_due() if self.settings is not None else not commit_log.is_clean
 
     def obsolete_segments(self, limit: int) -> dict[str, int]:
-        """Segments to delete, as key -> version: only of a log that is not written any more."""
+        """Return up to `limit` segments to delete, as key -> version.
+
+        There are none as long as the log is written, or any record lacks some of its changes.
+        """
         commit_log = self.shard.commit_log
         if self.settings is not None or commit_log.is_empty or not commit_log.is_clean:
             return {}
@@ -305,14 +317,14 @@
         return {segment_key(self.shard.shard, number): slot.version for number, slot in slots}
 
     async def delete_segments(self, keys: dict[str, int]) -> None:
-        """Delete what `obsolete_segments` returned."""
+        """Delete the segments that `obsolete_segments` returned."""
         conditions = {records.shard_key(self.shard.shard): self.shard.token, **keys}
         try:
             await self.state.transact(conditions, [api.Change(delete=key) for key in keys])
         except TransactionConflictError as error:
             log.info("log segments not deleted: shard=%d error=%s", self.shard.shard, error)
             return
-        self.shard.commit_log.segments_deleted(keys)
+        self.shard.commit_log.on_segments_deleted(keys)
         if self.shard.commit_log.is_empty:
             log.info("commit log empty: shard=%d", self.shard.shard)
 
@@ -327,5 +339,5 @@
 
 
 def _max_wait_s(job: Job, settings: GroupCommitSettings) -> float:
-    """How long a job's change may wait for others to be committed with it."""
+    """Return how long a job's change may wait for others to be committed with it, in seconds."""
     return settings.urgent_s if _has_urgent_start(job) else settings.interval_s
--- a/starlingdeck/jobs/job.py
+++ b/starlingdeck/jobs/job.py
@@ -1,4 +1,4 @@
-"""A job in the memory of its shard's owner."""
+"""In-memory state of a job at its shard's owner."""
 
 from array import array
 from typing import NamedTuple
@@ -14,38 +14,38 @@
 
 PENDING, PLACED, DONE = range(3)  # values of `Job.task_states`
 NEVER_EXPIRES = 1e18
-MIN_URGENT_RANK = 2  # starts of jobs from this rank on are as urgent as accepting a submission
+MIN_URGENT_RANK = 2  # from this rank on, starts are as urgent as accepting a submission
 
 
 class EndProof(NamedTuple):
-    """Why an attempt is known to be over, and when that was learnt (seconds of our clock)."""
+    """Why an attempt is known to be over, and when this became known (local clock, seconds)."""
 
     proof: str
     ended_at: float
 
 
 class TaskPlacement(Struct):
-    """Where an attempt is placed, as recorded, and what has been observed of it."""
+    """Where an attempt is placed according to the job's record, and what was observed of it."""
 
     machine: int
     session: int
     attempt: int
     shard: int
     zone: int
-    published_seq: int = 0  # the desired-state message that first named it,
-    published_epoch: int = 0  # and the epoch of the owner that message was for
+    published_seq: int = 0  # number of the desired-state message that first contained the attempt
+    published_epoch: int = 0  # epoch of the machine shard's owner to which that message was sent
     observed_state: int = api.TASK_PENDING
     state_since: float = 0.0  # 0: read from a record
     grace_s: float = 0.0
     descheduled: bool = False
-    releasing: bool = False  # is to stop, so that a unit of a count is released
+    releasing: bool = False  # to be stopped, so that its units of a counted resource are released
     protected: bool = False  # not to be preempted: its class is below its minimum share
-    target: "TaskPlacement | None" = None  # where it moves once it has stopped (DESIGN 5)
+    target: "TaskPlacement | None" = None  # where the task moves once it has stopped (DESIGN 5)
     reserved_until: float = NEVER_EXPIRES  # when its reservation expires
 
 
 class Job(Struct):
-    """A job: what is durable of it, what is to be written next, and what delays its tasks."""
+    """A job: its durable state, the changes to be written next, and what delays its tasks."""
 
     index: int
     id: str
@@ -60,34 +60,36 @@
     terminal_state: str = ""
     key_versions: dict[int, int] = field(default_factory=dict)  # chunk -> version of its key
     placements: dict[int, TaskPlacement] = field(default_factory=dict)
-    pending_ends: dict[int, int] = field(default_factory=dict)  # task -> cause of its end
+    pending_ends: dict[int, int] = field(default_factory=dict)  # task -> cause of the end
     pending_starts: dict[int, TaskPlacement] = field(default_factory=dict)
-    reserving: dict[int, int] = field(default_factory=dict)  # task -> zone of the reservation asked
+    reserving: dict[int, int] = field(default_factory=dict)  # task -> zone of the requested machine
     retry_at: dict[int, float] = field(default_factory=dict)
     avoided_machines: dict[int, set[int]] = field(default_factory=dict)
     failed_on: set[int] = field(default_factory=set)  # machines
     errors: int = 0
-    # Tasks that asked for capacity on a machine that has their image.
+    # Tasks that requested capacity on a machine that has their image.
     preemption_tried: set[int] = field(default_factory=set)
     nominated: dict[int, tuple[int, float]] = field(default_factory=dict)  # task -> machine, until
-    accumulating: set[int] = field(default_factory=set)  # of those: nothing is preempted for them
+    accumulating: set[int] = field(default_factory=set)  # nominated tasks that preempt nothing
     backoff_until: float = 0.0
     completed: int = 0
-    resource_needs: tuple[tuple[int, int], ...] = ()  # of each task: count, units
-    withheld: frozenset[int] = frozenset()  # starts that no unit is free for now
-    end_proofs: dict[int, EndProof] | None = None  # only of tasks with resource needs
-    stale: bool = False
-    outcome_unknown: bool = False  # an end or cancellation was sent: the record may be ahead of us
-    # Chunks in which a write that ends tasks was sent: more of them may be recorded as done.
+    resource_needs: tuple[tuple[int, int], ...] = ()  # each task's counts and units of them
+    withheld: frozenset[int] = frozenset()  # tasks whose starts wait for free units
+    end_proofs: dict[int, EndProof] | None = None  # only for tasks with resource needs
+    stale: bool = False  # the record has to be read again before it is written
+    # The job's end or cancellation was sent: it may be recorded without this controller knowing.
+    outcome_unknown: bool = False
+    # Chunks for which a write that completes tasks was sent: more may be recorded as done.
     uncertain_chunks: set[int] = field(default_factory=set)
     first_pending: int = 0
     guaranteed: bool = False
-    # By the team's objectives, soonest first; computed on demand.
+    # When the job should have finished by its class's objectives and its deadline, soonest first;
+    # computed on demand.
     due_times_ms: tuple[float, ...] | None = None
 
     @property
     def failure_evidence(self) -> int:
-        """What its errors say about the machines that it ran on."""
+        """What the job's failures and successes say about the machines that it failed on."""
         if self.completed:
             return failure_attribution.FINE
         return (
@@ -98,16 +100,16 @@
 
     @property
     def unfinished(self) -> int:
-        """How many tasks have not completed."""
+        """The number of tasks that have not completed."""
         return self.spec.tasks - self.completed
 
     @property
     def grace_s(self) -> float:
-        """How long a task may take to save its state before it stops."""
+        """How long a task may take to save its state before it is stopped, in seconds."""
         return self.spec.save_s + 1.0 if self.spec.checkpoint_s > 0 else 0.0
 
     def pending(self, limit: int) -> list[int]:
-        """Up to `limit` tasks that wait for a machine."""
+        """Return up to `limit` tasks that wait for a machine."""
         if self.cancelled or self.terminal_state:
             return []
         found: list[int] = []
@@ -119,29 +121,29 @@
         return found
 
     def _next_pending(self, first: int) -> int:
-        """The first pending task from `first` on; the number of tasks if there is none."""
+        """Return the first pending task from `first` on; the number of tasks if there is none."""
         try:
             return self.task_states.index(PENDING, first)
         except ValueError:
             return self.spec.tasks
 
     def ready(self, limit: int, now: float) -> list[int]:
-        """Those of `pending(limit)` whose retry delay is over."""
+        """Return those of `pending(limit)` whose retry delay is over."""
         return [task for task in self.pending(limit) if self.retry_at.get(task, 0.0) <= now]
 
     def unknown_done(self, number: int, bits: int) -> int:
-        """How many of the tasks done by `bits`, the bitmap of chunk `number`, are not done here."""
+        """Return how many tasks of chunk `number` are done by the bitmap `bits`, but not here."""
         first = number * TASKS_PER_CHUNK
         known = int(records.encode_completed(self.task_states, first, DONE) or "0", 16)
         return (bits & ~known).bit_count()
 
     def active_attempts(self) -> int:
-        """Attempts that may be using a machine: recorded, or about to be."""
+        """Return the number of attempts that may be using a machine: recorded, or about to be."""
         return len(self.placements) + len(self.pending_starts) + len(self.reserving)
 
 
 def new_job(context: ControllerContext, spec: JobSpec, shard: int, at_ms: int) -> Job:
-    """A job none of whose tasks has been placed; `at_ms`: when it was submitted."""
+    """Create a job none of whose tasks has been placed; `at_ms` is when it was submitted."""
     tasks = spec.tasks
     return Job(
         index=context.job_names.intern(spec.id),
--- a/starlingdeck/jobs/job_records.py
+++ b/starlingdeck/jobs/job_records.py
@@ -1,4 +1,4 @@
-"""Conversion between a job in memory and its records in the state service."""
+"""Converts between a job in memory and its records in the state service."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
 def load_job(
     context: ControllerContext, shard: int, main: JobRecord, chunks: dict[int, Chunk]
 ) -> Job:
-    """A job as the state service has it; `chunks` are those beyond the first."""
+    """Build a job from its records; `chunks` are those beyond the first."""
     job = new_job(context, main.spec, shard, main.submitted_ms)
     job.cancelled = main.cancelled
     for number, chunk in {0: main.chunk, **chunks}.items():
@@ -50,7 +50,7 @@
 def encode_placement(
     context: ControllerContext, task: int, placement: TaskPlacement
 ) -> PlacementRecord:
-    """An attempt as records and the commit log store it."""
+    """Return an attempt in the form that records and the commit log store."""
     machine, zone = context.machine_names[placement.machine], context.zone_names[placement.zone]
     return PlacementRecord(task, placement.attempt, machine, placement.session, zone)
 
@@ -63,7 +63,7 @@
     starts: dict[int, TaskPlacement],
     upto: Position = LOG_START,
 ) -> Chunk:
-    """Chunk `number` as it will be once `ends` and `starts` are applied.
+    """Return chunk `number` as it will be once `ends` and `starts` are applied.
 
     It includes every commit of the log up to the position `upto`.
     """
@@ -92,10 +92,10 @@
 
 
 def densest_chunks(tasks: Iterable[int], limit: int) -> list[int]:
-    """The chunks to write first: those with the most changes, and always the lowest.
+    """Return up to `limit` chunks to write first: those with the most tasks, and the lowest one.
 
-    By number alone, the ends of an array's early tasks, one to a chunk, kept its starts, a hundred
-    to a chunk, waiting until their reservations had expired.
+    When chunks were taken in order of their numbers, the ends of an array's early tasks, one per
+    chunk, delayed its starts, a hundred per chunk, until their reservations had expired.
     """
     counts = Counter(task // TASKS_PER_CHUNK for task in tasks)
     chosen = sorted(counts, key=lambda chunk: (-counts[chunk], chunk))[:limit]
--- a/starlingdeck/jobs/job_shard.py
+++ b/starlingdeck/jobs/job_shard.py
@@ -1,8 +1,8 @@
 """A job shard: its jobs, where their tasks are placed, and what is to be written and published.
 
-What is durable of a job (`Job.task_states`, `attempts`, `placements`) changes only after the state
-service has confirmed the write. What is to change next stands beside it (`pending_ends`,
-`pending_starts`) until then.
+A job's durable state (`Job.task_states`, `attempts`, `placements`) changes only after the state
+service has confirmed the write. Until then, changes are kept separately in `pending_ends` and
+`pending_starts`.
 """
 
 from collections.abc import Iterable
@@ -21,8 +21,8 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
-MAX_TERMINAL_JOBS = 5000  # finished jobs answered from memory; the rest from their final records
-# (start) Chunks of finished arrays: a status query that began before the end still reads them.
+MAX_TERMINAL_JOBS = 5000  # finished jobs kept in memory; others are read from their final records
+# Chunks of a finished array are kept for status queries that began before the job's end.
 OBSOLETE_KEY_RETENTION_S = 10.0
 
 
@@ -30,39 +30,39 @@
     """The jobs of one shard, while this controller owns it."""
 
     def __init__(self, context: ControllerContext, shard: int, token: int, epoch: int) -> None:
-        """`token`: the shard key's version; `epoch`: of this ownership."""
+        """Create an empty shard; `token` is the shard key's version, `epoch` this ownership's."""
         self.context = context
         self.shard = shard
-        self.token = token  # rises with the shard key's version
-        self.base_token = token  # with which the shard was acquired
+        self.token = token  # the shard key's version: rises whenever the key is written
+        self.base_token = token  # the token with which the shard was acquired
         self.epoch = epoch
         self.loaded = False
         self.jobs: dict[int, Job] = {}
-        self.dirty_jobs: set[int] = set()  # with something to be written
+        self.dirty_jobs: set[int] = set()  # jobs that may have changes to be written
         self.terminal_states: dict[str, str] = {}
-        self.terminal_completed: dict[str, int] = {}  # how many of its tasks completed
+        self.terminal_completed: dict[str, int] = {}  # finished job -> how many tasks completed
         self.outboxes = [Outbox() for _ in range(context.shard_count)]
         self.tasks_by_machine: dict[int, set[int]] = {}  # machine -> keys of tasks placed there
-        self.descheduled: set[int] = set()  # keys of tasks that their machine gives up
+        self.descheduled: set[int] = set()  # keys of tasks that their machines deschedule
         self.resource_use: dict[int, int] = {}  # count -> units used by recorded attempts
-        # Jobs -> when a cancellation was sent whose outcome is unknown.
+        # Job -> when a cancellation of unknown outcome was sent.
         self.pending_cancellations: dict[int, float] = {}
-        # Since the last scheduling cycle: units of counts were released, and
+        # An attempt with units of counted resources has ended since the last scheduling cycle.
         self.units_released = False
-        # replicas were added, or lost their placement.
+        # Replicas of services were added or lost their placement since the last scheduling cycle.
         self.replicas_waiting = False
         value_bytes = context.settings.settings.state.value_kb * 1000
         self.commit_log = CommitLog(shard, token, value_bytes)
-        self.obsolete_keys: dict[str, float] = {}  # of finished arrays -> when they may be deleted
+        self.obsolete_keys: dict[str, float] = {}  # key of a finished array -> when to delete it
         self.evaluator = AttemptEvaluator(self)
         self.desired_state = DesiredStateBuilder(self)
         self.drafter = UpdateDrafter(self)
         self.applier = UpdateApplier(self)
 
-    # --- the jobs, and where their tasks are
+    # --- jobs and placements
 
     def adopt(self, job: Job) -> None:
-        """Take a job as read from its record, in place of what was known of it."""
+        """Add a job as read from its record; it replaces the one in memory."""
         self.remove(job.index)
         self.jobs[job.index] = job
         self.dirty_jobs.add(job.index)
@@ -70,23 +70,23 @@
             self.add_placement(job, task, placement)
 
     def remove(self, index: int) -> None:
-        """Drop a job and its placements, if it is known."""
+        """Remove a job and its placements from memory, if it is there."""
         job = self.jobs.pop(index, None)
         if job is not None:
             for task in list(job.placements):
                 self.remove_placement(job, task)
 
     def schedule_key_deletion(self, keys: Iterable[str]) -> None:
-        """Chunks of finished arrays: every takeover reads them until they are deleted."""
+        """Schedule the deletion of finished arrays' chunks: every takeover reads what is left."""
         due = self.context.now() + OBSOLETE_KEY_RETENTION_S
         for key in keys:
             self.obsolete_keys.setdefault(key, due)
 
     def record_terminal_state(self, name: str, state: str, completed: int) -> None:
-        """A job is over. The oldest finished jobs are dropped here, and so on every path.
+        """Record that a job is over, and drop the oldest finished jobs beyond MAX_TERMINAL_JOBS.
 
-        At four one-task jobs a second a day's were kept, since only a query for an unknown job
-        dropped any.
+        They are dropped here because every finished job passes here. When only a query for an
+        unknown job dropped them, a day's jobs were kept at four one-task jobs per second.
         """
         self.terminal_states[name], self.terminal_completed[name] = state, completed
         while len(self.terminal_states) > MAX_TERMINAL_JOBS:
@@ -94,7 +94,7 @@
             del self.terminal_states[oldest], self.terminal_completed[oldest]
 
     def add_placement(self, job: Job, task: int, placement: TaskPlacement) -> None:
-        """Index a recorded attempt, and have it published."""
+        """Index a recorded attempt, and queue its publication."""
         key = task_key(job.index, task)
         self.tasks_by_machine.setdefault(placement.machine, set()).add(key)
         self.outboxes[placement.shard].changed.add(key)
@@ -102,7 +102,7 @@
             self.resource_use[count] = self.resource_use.get(count, 0) + units
 
     def remove_placement(self, job: Job, task: int) -> None:
-        """A recorded attempt is over: have its removal published."""
+        """Remove a recorded attempt that is over, and queue the publication of its removal."""
         placement = job.placements.pop(task)
         key = task_key(job.index, task)
         on_machine = self.tasks_by_machine.get(placement.machine)
@@ -118,24 +118,25 @@
             self.resource_use[count] -= units
 
     def republish_task(self, job: Job, task: int) -> None:
-        """The desired state of a recorded attempt has changed: it is to stop."""
+        """Queue the publication of a recorded attempt whose desired state has changed."""
         self.outboxes[job.placements[task].shard].changed.add(task_key(job.index, task))
 
     def set_guaranteed(self, job: Job, guaranteed: bool) -> None:
-        """Whether a job runs within its team's guaranteed quota; published if that changed."""
+        """Set whether a job runs within its team's guaranteed quota; publish it if that changed."""
         if job.guaranteed != guaranteed:
             job.guaranteed = guaranteed
             self.republish_job(job)
 
     def republish_job(self, job: Job) -> None:
-        """The job's description has changed for the owners of the machines that it runs on."""
+        """Queue the job's changed description for the owners of the machines that it runs on."""
         for shard in {placement.shard for placement in job.placements.values()}:
             self.outboxes[shard].changed_jobs.add(job.index)
 
     def unresolved_cancellations(self) -> dict[int, float]:
-        """Jobs that may be recorded, and so reported, as cancelled without our knowing.
+        """Return jobs whose cancellation was sent with unknown outcome -> when it was sent.
 
-        Their values say since when.
+        Such a job may be recorded as cancelled, and other controllers may report it so, without
+        this controller knowing.
         """
         self.pending_cancellations = {
             index: sent_at
@@ -147,7 +148,7 @@
         return self.pending_cancellations
 
     def status(self, job: Job) -> api.JobStatus:
-        """A job's status as its user is to see it."""
+        """Return a job's status as reported to users."""
         running = sum(
             1
             for placement in job.placements.values()
@@ -156,34 +157,34 @@
         state = api.CANCELLED if job.cancelled else api.RUNNING if running else api.QUEUED
         return api.JobStatus(job.id, state, job.completed, running)
 
-    # --- what is observed, published and written
+    # --- evaluation, publication and writing
 
     def apply_snapshot(self, snapshot: ShardSnapshot, touched: set[int] | None) -> bool:
-        """Evaluate attempts by a machine shard's snapshot; see `AttemptEvaluator`."""
+        """Evaluate attempts against a machine shard's snapshot; see `AttemptEvaluator`."""
         return self.evaluator.apply_snapshot(snapshot, touched)
 
     def end_attempt(
         self, job: Job, task: int, placement: TaskPlacement, cause: int, proof: str
     ) -> None:
-        """An attempt is proven over; see `AttemptEvaluator`."""
+        """Queue the recording of an attempt's proven end; see `AttemptEvaluator`."""
         self.evaluator.end_attempt(job, task, placement, cause, proof)
 
     def desired_state_message(
         self, to_shard: int, to_epoch: int, full: bool = False, watermark_ms: int = 0
     ) -> pb.DesiredState:
-        """The next message to a machine shard's owner; see `DesiredStateBuilder`."""
+        """Build the next message to a machine shard's owner; see `DesiredStateBuilder`."""
         return self.desired_state.build_message(to_shard, to_epoch, full, watermark_ms)
 
     def draft_update(
         self, job: Job, max_chunks: int = MAX_CHUNKS_PER_UPDATE, with_starts: bool = True
     ) -> JobUpdate | None:
-        """The next write of a job's record; see `UpdateDrafter`."""
+        """Draft the next write of a job's record; see `UpdateDrafter`."""
         return self.drafter.draft_update(job, max_chunks, with_starts)
 
     def draft_cancellation(self, job: Job) -> JobUpdate:
-        """The write that cancels a job; see `UpdateDrafter`."""
+        """Draft the write that cancels a job; see `UpdateDrafter`."""
         return self.drafter.draft_cancellation(job)
 
     def apply_update(self, update: JobUpdate, revision: int) -> None:
-        """An update is durable; see `UpdateApplier`."""
+        """Apply an update that is durable; see `UpdateApplier`."""
         self.applier.apply(update, revision)
--- a/starlingdeck/jobs/job_update.py
+++ b/starlingdeck/jobs/job_update.py
@@ -13,9 +13,9 @@
     """One job's part of a transaction, and what to apply in memory once it is durable."""
 
     job: Job
-    conditions: dict[str, int]  # key -> version that it must have
+    conditions: dict[str, int]  # key -> the version that it must have
     changes: list[api.Change] = field(default_factory=list)
-    pending_ends: dict[int, int] = field(default_factory=dict)  # task -> cause of its end
+    pending_ends: dict[int, int] = field(default_factory=dict)  # task -> cause of the end
     pending_starts: dict[int, TaskPlacement] = field(default_factory=dict)
     terminal_state: str = ""  # the state in which this update finishes the job, if it does
     cancel: bool = False
@@ -23,7 +23,7 @@
 
 
 class LogUpdate(NamedTuple):
-    """One job's part of a commit of the log: what to apply, and what the log stores."""
+    """One job's part of a commit of the log: the update to apply and the change to store."""
 
     update: JobUpdate
     change: JobChange
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -1,4 +1,4 @@
-"""Reads a shard's jobs: all of them after a takeover, one when its record may have changed."""
+"""Reads a shard's jobs: all of them after a takeover, or one whose record may have changed."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -27,7 +27,7 @@
     versions: dict[int, int] = field(default_factory=dict)
 
     def add(self, entry: api.Entry) -> None:
-        """Decode a chunk's key; raises when its value can't be read."""
+        """Decode and add a chunk. Raises ValueError or DecodeError when it can't be read."""
         number = int(entry.key.rsplit("/", 1)[1])
         self.chunks[number] = msgspec.json.decode(entry.value, type=Chunk)
         self.versions[number] = entry.version
@@ -36,8 +36,8 @@
 class Loader:
     """Reads the jobs of one job shard.
 
-    `settle` finds out what became of a commit whose answer was lost: what is read of a job before
-    that may be older than what others have read.
+    `settle` resolves a commit of unknown outcome. It is called before a job is read again, because
+    other controllers may already have read and reported that commit.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.state = state
         self.shard = shard
         self.settle = settle
-        self.unreadable: dict[str, str] = {}  # job -> why not all of its state can be known
+        self.unreadable: dict[str, str] = {}  # job -> why its state can't be known completely
 
     async def load(self) -> None:
         """Read the shard's unfinished jobs after taking it over."""
@@ -59,12 +59,12 @@
         mains, _ = await self.state.read(records.job_prefix(shard))
         chunk_entries, _ = await self.state.read(records.chunk_prefix(shard))
         segments, _ = await self.state.read(log_prefix(shard))
-        view = read_segments(segments)
-        for segment in view.unreadable:
+        contents = read_segments(segments)
+        for segment in contents.unreadable:
             self.context.quarantine_failed("segment", str(segment.slot), ValueError(segment.error))
         commit_log = self.shard.commit_log
-        commit_log.adopt(view)
-        commit_log.pin(view.unreadable_job_slots)
+        commit_log.adopt(contents)
+        commit_log.pin(contents.unreadable_job_slots)
         chunks, unreadable = self._decode_chunks(chunk_entries)
         unfinished = {entry.key.rsplit("/", 1)[1] for entry in mains}
         self.shard.schedule_key_deletion(
@@ -73,20 +73,20 @@
         for entry in mains:
             name = entry.key.rsplit("/", 1)[1]
             if name in unreadable:
-                commit_log.pin(logged.slot for logged in view.changes_of(name))
+                commit_log.pin(logged.slot for logged in contents.changes_of(name))
                 continue
             try:
-                self._load_entry(entry, chunks.get(name, FurtherChunks()), view)
+                self._load_entry(entry, chunks.get(name, FurtherChunks()), contents)
             except Exception as error:  # one job's fault must not hold up the shard
                 self.context.quarantine_failed("record", entry.key, error)
-                commit_log.pin(logged.slot for logged in view.changes_of(name))
+                commit_log.pin(logged.slot for logged in contents.changes_of(name))
         self.shard.loaded = True
         log.info("shard jobs loaded: shard=%d unfinished_jobs=%d", shard, len(mains))
 
     def _decode_chunks(self, entries: list[api.Entry]) -> tuple[dict[str, FurtherChunks], set[str]]:
-        """Further chunks by job, and the jobs of which one can't be read.
+        """Return the further chunks by job, and the jobs with a chunk that can't be read.
 
-        Nothing of those jobs may be started, for what runs already isn't known.
+        No task of the latter may be started, because it isn't known which ones run already.
         """
         chunks: dict[str, FurtherChunks] = {}
         unreadable: set[str] = set()
@@ -99,21 +99,24 @@
                 unreadable.add(job)
         return chunks, unreadable
 
-    def _load_entry(self, entry: api.Entry, further: FurtherChunks, view: LogContents) -> None:
-        """Take up a job at a takeover, with what the log has of it."""
+    def _load_entry(self, entry: api.Entry, further: FurtherChunks, contents: LogContents) -> None:
+        """Load a job at a takeover from its record and its changes in the log.
+
+        Raises an error when its state can't be known completely.
+        """
         main = msgspec.json.decode(entry.value, type=JobRecord)
         name = main.spec.id
         chunk_count = records.chunks_of(main.spec.tasks)
-        if reason := view.incomplete_reason(name, entry.version, main.cancelled, chunk_count):
+        if reason := contents.incomplete_reason(name, entry.version, main.cancelled, chunk_count):
             self.unreadable[name] = reason
             raise ValueError(reason)
         index = self.context.job_names.intern(name)
         stored = {0: main.chunk, **further.chunks}
-        self.shard.commit_log.adopt_job(index, name, stored, view.changes_of(name))
+        self.shard.commit_log.adopt_job(index, name, stored, contents.changes_of(name))
         self._adopt(entry, main, further)
 
     def _adopt(self, entry: api.Entry, main: JobRecord, further: FurtherChunks) -> Job:
-        """Take a job as its record and the log have it, in place of what was known of it."""
+        """Build a job from its record and the log; it replaces the one in memory."""
         commit_log = self.shard.commit_log
         stored = {0: main.chunk, **further.chunks}
         chunks = replay(stored, commit_log.tail.get(main.spec.id, ()))
@@ -121,7 +124,7 @@
         job = load_job(self.context, self.shard.shard, main, chunks)
         job.key_versions = {0: entry.version, **further.versions}
         for number, chunk in stored.items():
-            commit_log.checkpointed(ChunkId(job.index, number), chunk.applied_position)
+            commit_log.on_checkpointed(ChunkId(job.index, number), chunk.applied_position)
         old = self.shard.jobs.get(job.index)
         if old is not None:
             _keep_observed(job, old, entry.version)
@@ -129,7 +132,7 @@
         return job
 
     async def reload(self, name: str) -> Job | None:
-        """Read a job again whose record may have changed; None if it is over.
+        """Read a job again whose record may have changed; return None if it is over.
 
         Raises StateError when it can't be read.
         """
@@ -156,9 +159,9 @@
             raise StateError("the job's record can't be read") from error
 
     async def _reload_final(self, name: str, before: Job | None) -> None:
-        """A job has no unfinished record any more: read the final one."""
+        """Remove a job that has no unfinished record any more, and read its final one."""
         final = await self.state.get(records.final_key(self.shard.shard, name), True)
-        # Unless it was created anew while we were reading.
+        # Keep a job that was created anew during the reads above.
         if before is not None and self.shard.jobs.get(before.index) is before:
             self.shard.remove(before.index)
             chunk_count = records.chunks_of(before.spec.tasks)
@@ -168,15 +171,16 @@
             self.shard.record_terminal_state(name, value.state, value.completed)
 
     async def reload_stale(self) -> None:
-        """Read all jobs again whose last write was refused or not answered."""
+        """Read all jobs again that are marked as stale."""
         for job in [job for job in self.shard.jobs.values() if job.stale]:
             await self.reload(job.id)
 
 
 def _keep_observed(job: Job, old: Job, version: int) -> None:
-    """Keep what was observed of attempts that are still recorded, and what is still uncertain.
+    """Copy observations of recorded attempts, failures and uncertain outcomes from `old` to `job`.
 
-    `version`: of the record that `job` was read from.
+    `version` is that of the record from which `job` was read. Outcomes stay uncertain only while
+    the keys that were written have the same versions as in `old`.
     """
     for task, placement in job.placements.items():
         before = old.placements.get(task)
--- a/starlingdeck/jobs/mailbox.py
+++ b/starlingdeck/jobs/mailbox.py
@@ -1,4 +1,7 @@
-"""Entries that other controllers leave for a shard's owner when they create or cancel its jobs."""
+"""Handles the notices that other controllers write for a shard's owner about its jobs.
+
+A controller writes such a mailbox entry when it creates or cancels a job of a shard it doesn't own.
+"""
 
 import logging
 
@@ -16,21 +19,21 @@
 
 
 class Mailbox:
-    """Handles the entries of all shards that this controller owns, and drops them."""
+    """Handles and deletes the mailbox entries of all shards that this controller owns."""
 
     def __init__(
         self, context: ControllerContext, membership: Membership, wake: curio.Event
     ) -> None:
-        """`wake` is set when a job may have something new to be scheduled or written."""
+        """Create a mailbox; `wake` is set when a job may have changes to schedule or write."""
         self.context = context
         self.membership = membership
         self.wake = wake
-        self.entries: dict[str, int] = {}  # key being handled -> newest version known
+        self.entries: dict[str, int] = {}  # key being handled -> its newest known version
 
     async def drop_entries(self, writer: RecordWriter, before: list[api.Entry]) -> None:
-        """Drop the entries that were there before the shard was loaded, and handle newer ones.
+        """Delete the entries read before the shard was loaded, and handle newer ones.
 
-        Our watch passed over those while the shard wasn't loaded.
+        The watch for changes ignored the newer ones while the shard wasn't loaded.
         """
         shard = writer.shard.shard
         known = {entry.key: entry.version for entry in before}
@@ -51,11 +54,11 @@
             self.membership.synced = False
 
     async def _drop(self, writer: RecordWriter, versions: dict[str, int], urgent: bool) -> bool:
-        """Drop entries that were handled, as the owner; False if the shard isn't ours any more.
+        """Delete handled entries; return False if this controller doesn't own the shard any more.
 
-        The controller that cancelled answers its user once its entry is gone. A former owner that
-        hung while its shard was taken over, and then handled the entry first, would have answered
-        for the new one.
+        The deletion is conditional on the ownership, because the controller that cancelled a job
+        answers its user once the entry is gone. Otherwise a former owner that hung during a
+        takeover could delete the entry before the new owner had handled it.
         """
         shard_key = records.shard_key(writer.shard.shard)
         deletions = [delete_change(key) for key in versions]
@@ -66,17 +69,18 @@
                 await writer.state.transact(conditions, deletions, urgent)
             except TransactionConflictError as error:
                 if shard_key not in error.failed:
-                    return True  # written again, or dropped before
+                    return True  # an entry was written again, or was deleted before
                 if token == writer.shard.token:
                     return False
                 continue
             return True
 
     async def handle_entry(self, writer: RecordWriter, name: str, key: str, version: int) -> None:
-        """Read a job again that another controller created or cancelled, and drop its entry.
+        """Read a job again that another controller created or cancelled, and delete its entry.
 
-        One task an entry: after a failure all entries are read again, and each reading started
-        another task for every entry that an earlier one was still handling.
+        If the entry is being handled already, only its newest version is noted. After a failure
+        all entries are read again, and without this each such read started another coroutine for
+        every entry still being handled.
         """
         in_progress = key in self.entries
         self.entries[key] = version
@@ -88,7 +92,8 @@
                 async with writer.lock:
                     handled = self.entries[key]
                     job = await writer.reload(name)
-                # A canceller waits for this. An entry written again meanwhile is another one.
+                # The controller that cancelled the job waits for this deletion. An entry that was
+                # written again meanwhile has another version and isn't deleted.
                 urgent = job is None or job.cancelled
                 if not await self._drop(writer, {key: handled}, urgent):
                     break
--- a/starlingdeck/jobs/record_writer.py
+++ b/starlingdeck/jobs/record_writer.py
@@ -24,13 +24,13 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_WAIT_S = 0.25  # the longest time until the next flush
-MIN_WAIT_S = 0.005  # before a commit that the budget had no room for is considered again
-POLL_INTERVAL_S = 0.05  # while the budget has no room: between checks for urgent changes
+IDLE_WAIT_S = 0.25  # until the next flush when no change waits for a commit
+MIN_WAIT_S = 0.005  # until the next flush when a due commit exceeds the write budget
+POLL_INTERVAL_S = 0.05  # between checks for urgent changes while the write budget is used up
 
 
 class RecordWriter:
-    """Writes the records of one job shard; `lock` puts its transactions in order."""
+    """Writes the records of one job shard; `lock` serializes its transactions."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self.shard = shard
         self.lock = curio.Lock()
         self.ownership_lost = False
-        # How long until something is due that no event announces.
+        # How long the flusher may wait for an event before it flushes again.
         self.idle_wait_s = IDLE_WAIT_S
         self.group_commit = GroupCommit(context, state, shard, context.tuning.group_commit)
         self.batches = BatchSelector(context, state, shard, self.group_commit)
@@ -60,11 +60,11 @@
         return await self.loader.reload(name)
 
     async def flush(self) -> bool:
-        """Write one transaction's worth of changes; True when there may be more.
+        """Write one transaction of changes; return True when there may be more to write.
 
-        What is written is selected when the budget has room for it. Selected before the wait,
-        each of a job's starts was a write of its own, and urgent ones waited behind what had been
-        selected first; a cancellation waited for the lock as long.
+        The changes are selected only when the write budget has room for them. When they were
+        selected before the wait, each start of a job was a write of its own, urgent starts waited
+        behind changes selected earlier, and a cancellation waited for the lock during all of it.
         """
         async with self.lock:
             if self.ownership_lost or not self.shard.loaded:
@@ -72,8 +72,8 @@
             await self.group_commit.settle()
             await self.loader.reload_stale()
             for index in self.shard.unresolved_cancellations():
-                # Whoever reads the record may already report it as cancelled. Until its outcome
-                # is known, our watermark stays at the time when it was sent.
+                # Other controllers may already read and report the job as cancelled. Until the
+                # outcome is known, the shard's watermark stays at the time of sending.
                 cancellation = self.shard.draft_cancellation(self.shard.jobs[index])
                 await self._write([cancellation], True)
                 return True
@@ -97,7 +97,7 @@
         return batch.wait_s > 0
 
     async def cancel(self, job: Job) -> None:
-        """Cancel a job, durably before this returns; StateError when it may not be durable."""
+        """Cancel a job durably. Raises StateError when the cancellation may not be durable."""
         async with self.lock:
             await self.group_commit.settle()
             if job.stale:
@@ -115,7 +115,7 @@
         try:
             await self.durable_plugin.settle(self.shard)
         except (StateError, TransactionConflictError) as error:
-            # Only starts that need units wait for this.
+            # The flush goes on: only starts that need units wait for the outcome.
             log.info("ledger outcome unknown: shard=%d error=%r", self.shard.shard, error)
         await self.loader.reload_stale()
 
@@ -129,12 +129,13 @@
         await self.loader.reload_stale()
         return True
 
-    # --- what nobody waits for
+    # --- checkpoints and deletions
 
     async def _write_maintenance(self) -> bool:
-        """Write one transaction that nobody waits for, if the budget has room for it.
+        """Write one transaction of checkpoints or deletions, if the write budget has room for it.
 
-        Records are rewritten so that segments of the log come free, and obsolete keys deleted.
+        Records are rewritten so that segments of the log can be reused or deleted; obsolete
+        segments and other obsolete keys are deleted. Return whether anything was to be written.
         """
         limit = min(self.state.writable(False)[0], self.context.settings.settings.state.txn_ops)
         if limit < 1:
@@ -154,7 +155,7 @@
 
     @staticmethod
     def _within_bytes(updates: list[JobUpdate]) -> list[JobUpdate]:
-        """As many as a transaction holds; at least one."""
+        """Return the first of the updates, as many as fit into a transaction; at least one."""
         taken: list[JobUpdate] = []
         size = 0
         for update in updates:
@@ -165,7 +166,10 @@
         return taken
 
     async def _delete_obsolete(self, keys: list[str]) -> None:
-        """Delete chunks of finished arrays. Executed late, it deletes what nobody uses."""
+        """Delete chunks of finished arrays.
+
+        If the transaction is executed late, that does no harm: nothing uses these keys any more.
+        """
         shard_key = records.shard_key(self.shard.shard)
         changes = [api.Change(delete=key) for key in keys]
         try:
@@ -184,7 +188,7 @@
         urgent: bool,
         reservation: TransactionReservation | None = None,
     ) -> bool:
-        """Write updates and apply them; False when they were refused and flushing is to stop."""
+        """Write updates and apply them; return False if refused and flushing is to stop."""
         conditions, changes = self._prepare(updates)
         if reservation is not None:
             more_conditions, more_changes = reservation.conditions_and_changes()
@@ -196,7 +200,8 @@
         except TransactionConflictError as error:
             return await self._on_conflict(error, token, updates, reservation)
         except OutcomeUnknownError:
-            # It may have been executed, or may yet be: the next write's condition decides.
+            # The transaction may have been executed or may still be. The records are read again,
+            # and the versions that the next write requires decide between the two.
             for update in updates:
                 update.job.stale = True
             if reservation is not None:
@@ -210,7 +215,7 @@
         return True
 
     def _prepare(self, updates: list[JobUpdate]) -> tuple[dict[str, int], list[api.Change]]:
-        """The conditions and changes of updates that are about to be sent."""
+        """Return the conditions and changes of updates, and mark their outcomes as uncertain."""
         conditions: dict[str, int] = {}
         changes: list[api.Change] = []
         for update in updates:
@@ -220,7 +225,10 @@
         return conditions, changes
 
     def _mark_uncertain(self, update: JobUpdate) -> None:
-        """Another controller may read the record and report what it says before we know of it."""
+        """Mark the outcome of an update that is about to be sent as uncertain.
+
+        Other controllers may read the new record and report its state before this one knows it.
+        """
         job = update.job
         job.outcome_unknown |= bool(update.terminal_state or update.cancel)
         job.uncertain_chunks.update(
@@ -238,9 +246,12 @@
         updates: list[JobUpdate],
         reservation: TransactionReservation | None,
     ) -> bool:
-        """Nothing was written; True if the conflict was the reservation's, which may try again."""
+        """Handle a refused transaction: nothing was written.
+
+        Return True if the conflict was on the reservation's keys and flushing may be retried.
+        """
         if records.shard_key(self.shard.shard) in error.failed:
-            # Another controller owns the shard, or our token rose while this was on its way.
+            # Another controller owns the shard, or the token rose while the transaction was sent.
             if token == self.shard.token:
                 self.ownership_lost = True
             return False
--- a/starlingdeck/jobs/update_applier.py
+++ b/starlingdeck/jobs/update_applier.py
@@ -24,7 +24,7 @@
         self.context = shard.context
 
     def apply(self, update: JobUpdate, revision: int) -> None:
-        """An update is durable: `revision` is the version of the keys that it wrote."""
+        """Apply a durable update; `revision` is the version of the keys that it wrote."""
         if update.terminal_state:
             self._finish_job(update)
             return
@@ -50,15 +50,16 @@
         log.info("job finished: job=%s state=%s", job.id, update.terminal_state)
 
     def _record_chunks(self, update: JobUpdate, revision: int) -> None:
-        """Note which chunks of the record hold everything that is durable."""
+        """Record the new versions of rewritten chunks, and that they hold all durable commits."""
         job, commit_log = update.job, self.shard.commit_log
         for number in update.chunks:
             job.key_versions[number] = revision
-            commit_log.checkpointed(ChunkId(job.index, number), commit_log.durable)
+            commit_log.on_checkpointed(ChunkId(job.index, number), commit_log.durable)
         if update.chunks:
             commit_log.trim_job(job.index, job.id)
         if 0 in update.chunks:
-            # Writes of unknown outcome were on an older version: they can't be executed any more.
+            # Writes of unknown outcome required an older version of the record: they can't be
+            # executed any more.
             job.outcome_unknown = False
             job.uncertain_chunks.clear()
         job.uncertain_chunks.difference_update(update.chunks)
@@ -81,7 +82,7 @@
             if cause == api.CAUSE_DONE:
                 job.task_states[task] = DONE
                 job.completed += 1
-                if job.completed == 1:  # the first success changes its failure evidence
+                if job.completed == 1:  # the first success changes the failure evidence
                     self.shard.republish_job(job)
             else:
                 job.task_states[task] = PENDING
--- a/starlingdeck/jobs/update_drafter.py
+++ b/starlingdeck/jobs/update_drafter.py
@@ -1,6 +1,6 @@
-"""Drafts the next writes of jobs' records, and their parts of commits of the log.
+"""Drafts the next writes of jobs' records, and jobs' parts of commits of the log.
 
-Nothing here is durable yet: `update_applier` applies a draft once it is.
+A draft is not durable yet: `update_applier` applies it once it has been written.
 """
 
 from typing import TYPE_CHECKING, TypeVar
@@ -20,11 +20,11 @@
     from starlingdeck.jobs.job_shard import JobShard
 
 MAX_CHUNKS_PER_UPDATE = 3
-RESERVED_VALUE_BYTES = 200  # of a value, left free by starts: an end or cancellation still fits
-PLACEMENT_BYTES = 45  # of a placement in a record, without its names
+RESERVED_VALUE_BYTES = 200  # of a value, not used by starts: an end or cancellation still fits
+PLACEMENT_BYTES = 45  # size of a placement in a record, without the machine's and zone's names
 MAX_CHUNK_OVERHEAD_BYTES = 3000  # of a chunk, without placements and the job's description
-PUBLISH_DELAY_S = 0.3  # (start) from recording a start until its machine's owner knows of it
-VALUE_RETRY_S = 1.0  # until starts that a value had no room for are tried again
+PUBLISH_DELAY_S = 0.3  # from drafting a start until the machine's owner receives it
+VALUE_RETRY_S = 1.0  # until starts for which a value had no room are placed again
 
 Value = TypeVar("Value")
 
@@ -43,20 +43,20 @@
     # --- whole records
 
     def terminal_state_of(self, job: Job) -> str:
-        """The state in which a job is over once its pending ends are written; "" if it goes on."""
+        """Return the job's terminal state once its pending ends are written; "" if it goes on."""
         if job.cancelled:
-            # Its user has been told so: it stays cancelled even when every task completed.
+            # The user has been told of the cancellation: it holds even if every task completed.
             ends = sum(1 for task in job.pending_ends if task in job.placements)
             return "" if len(job.placements) > ends else api.CANCELLED
         return api.DONE if self._completed_tasks(job) == job.spec.tasks else ""
 
     def _completed_tasks(self, job: Job) -> int:
-        """How many tasks have completed, counting those whose end is yet to be written."""
+        """Return the number of completed tasks, including those whose end is yet to be written."""
         ended = (cause for task, cause in job.pending_ends.items() if task in job.placements)
         return job.completed + sum(cause == api.CAUSE_DONE for cause in ended)
 
     def draft_update(self, job: Job, max_chunks: int, with_starts: bool) -> JobUpdate | None:
-        """The next write of a job's record, or None when nothing is to be written."""
+        """Draft the next write of a job's record; None when nothing is to be written."""
         if job.terminal_state or job.stale:
             return None
         ends = _recorded_ends(job)
@@ -70,7 +70,7 @@
         return self.rewrite(job, chunks, _in_chunks(ends, chunks), _in_chunks(starts, chunks))
 
     def _draft_final(self, job: Job, state: str, ends: dict[int, int]) -> JobUpdate:
-        """The job's final record in place of its unfinished one."""
+        """Draft the replacement of the job's unfinished record by its final one."""
         completed = 0 if state == api.DONE else self._completed_tasks(job)
         final = records.FinalRecord(state, job.spec.tasks, completed)
         return JobUpdate(
@@ -85,7 +85,7 @@
         )
 
     def _conditions(self, job: Job) -> dict[str, int]:
-        """That the shard is ours, and the record as we know it."""
+        """Return the conditions that this controller owns the shard and knows the newest record."""
         return {
             records.shard_key(self.shard.shard): self.shard.token,
             records.job_key(self.shard.shard, job.id): job.key_versions[0],
@@ -102,10 +102,11 @@
         }
 
     def _drop_expiring_starts(self, job: Job) -> None:
-        """Starts whose reservation expires before they are published become pending again.
+        """Drop pending starts whose reservations expire before they are published.
 
-        While changes are few they were recorded all the same and refused by the machine's owner:
-        a quarter of the starts of an array of 25,000 tasks, each of them two changes.
+        Their tasks wait for placement again. With a scarce write budget, such starts were recorded
+        and then refused by the machine's owner: a quarter of the starts of an array of 25,000
+        tasks, each of which cost two changes.
         """
         published_at = self.context.now() + PUBLISH_DELAY_S
         expiring = [
@@ -119,7 +120,7 @@
     def rewrite(
         self, job: Job, chunks: list[int], ends: dict[int, int], starts: dict[int, TaskPlacement]
     ) -> JobUpdate:
-        """These chunks of a job's record as they are once `ends` and `starts` are applied."""
+        """Draft the rewriting of `chunks` of a job's record, with `ends` and `starts` applied."""
         conditions = self._conditions(job)
         changes = []
         for number in chunks:
@@ -143,7 +144,7 @@
         )
 
     def draft_checkpoints(self, limit: int) -> list[JobUpdate]:
-        """Up to `limit` chunks of records rewritten, so that segments of the log come free."""
+        """Draft the rewriting of up to `limit` chunks, so that slots of the log become clean."""
         chunks: dict[int, list[int]] = {}
         for index, number in self.shard.commit_log.oldest_dirty(limit):
             chunks.setdefault(index, []).append(number)
@@ -155,7 +156,7 @@
         ]
 
     def draft_cancellation(self, job: Job) -> JobUpdate:
-        """A cancellation, written before it is answered."""
+        """Draft the cancellation of a job, which is written before the request is answered."""
         chunk = encode_chunk(self.context, job, 0, {}, {}, self.shard.commit_log.durable)
         record = JobRecord(job.spec, job.submitted_ms, True, chunk)
         return JobUpdate(
@@ -171,7 +172,7 @@
     def draft_log_change(
         self, job: Job, with_starts: bool, max_chunks: int, max_tasks: int
     ) -> LogUpdate | None:
-        """A job's part of the next commit of the log, or None when nothing is to be written."""
+        """Draft a job's part of the next commit of the log; None when nothing is to be written."""
         if job.terminal_state or job.stale:
             return None
         starts = self._startable(job) if with_starts else {}
@@ -187,7 +188,7 @@
             if task in ends or task not in job.placements
         }
         starts = dict(list(starts.items())[: max_tasks - len(ends)])
-        self._keep_to_value(job, ends, starts)
+        self._limit_to_value_size(job, ends, starts)
         if not ends and not starts:
             return None
         return self._log_update(job, ends, starts)
@@ -210,12 +211,13 @@
         )
         return LogUpdate(update, change)
 
-    def _keep_to_value(
+    def _limit_to_value_size(
         self, job: Job, ends: dict[int, int], starts: dict[int, TaskPlacement]
     ) -> None:
-        """Postpone starts until the records of their chunks fit a value each.
+        """Postpone starts until each of their chunks fits into a value.
 
-        A checkpoint and a cancellation have to rewrite them, however much the log could take.
+        The log may have room for more starts, but a checkpoint or a cancellation has to write the
+        whole chunk as one value.
         """
         limit = self._value_bytes - RESERVED_VALUE_BYTES
         for number in self._large_chunks(job, starts, limit):
@@ -232,13 +234,16 @@
                 self.postpone_starts(job, postponed)
 
     def postpone_starts(self, job: Job, tasks: list[int]) -> None:
-        """These starts are pending again; a value had no room for them."""
+        """Drop pending starts that a value had no room for; their tasks are placed again later."""
         for task in tasks:
             del job.pending_starts[task]
             job.retry_at[task] = self.context.now() + VALUE_RETRY_S
 
     def _large_chunks(self, job: Job, starts: dict[int, TaskPlacement], limit: float) -> list[int]:
-        """Chunks with starts that may not fit, by a quick bound: encoding them costs more."""
+        """Return the chunks with starts that may exceed `limit`, in bytes.
+
+        This uses a cheap upper bound on a chunk's size, because encoding every chunk costs more.
+        """
         sizes = {task // TASKS_PER_CHUNK: MAX_CHUNK_OVERHEAD_BYTES for task in starts}
         if not sizes:
             return []
@@ -254,11 +259,11 @@
 
 
 def _recorded_ends(job: Job) -> dict[int, int]:
-    """The pending ends of attempts that are recorded."""
+    """Return the pending ends of attempts that are recorded."""
     return {task: cause for task, cause in job.pending_ends.items() if task in job.placements}
 
 
 def _in_chunks(tasks: dict[int, Value], chunks: list[int]) -> dict[int, Value]:
-    """Those of the tasks that these chunks hold."""
+    """Return the items of `tasks` whose task belongs to one of `chunks`."""
     chosen = set(chunks)
     return {task: value for task, value in tasks.items() if task // TASKS_PER_CHUNK in chosen}
--- a/starlingdeck/jobs/write_batch.py
+++ b/starlingdeck/jobs/write_batch.py
@@ -1,4 +1,4 @@
-"""Selects which jobs' records the next transaction writes, and in what order."""
+"""Selects which jobs' records the next transaction writes, the most urgent first."""
 
 from typing import NamedTuple
 
@@ -15,15 +15,17 @@
 from starlingdeck.storage.state import StateClient
 
 MAX_TRANSACTION_BYTES = 56 * 1024
-OVERDUE_S = 1.0  # (start) a record passed over for so long is as urgent as a start,
-OVERDUE_TURN = 3  # (start) in every third batch
-HALVED_BATCH_S = 5.0  # (start) half-life of the count of changes that a team has written
-BATCHING_WAIT_S = 0.05  # (start) how long a job's first start waits for its other reservations
+# A job's changes that have waited for OVERDUE_S are overdue: in one of OVERDUE_BATCH_PERIOD batches
+# they are urgent, and precede urgent starts.
+OVERDUE_S = 1.0
+OVERDUE_BATCH_PERIOD = 3
+RECENT_CHANGES_HALF_LIFE_S = 5.0  # half-life of the count of changes that a team has written
+BATCHING_WAIT_S = 0.05  # how long a job's first start waits for the job's other reservations
 LONG_AGO = -1e9
 
 
 class WriteBatch(NamedTuple):
-    """What to write now; or nothing, and how long until the budget has room for it."""
+    """What to write now; or nothing, and how long until the write budget has room."""
 
     updates: list[JobUpdate]
     wait_s: float
@@ -31,7 +33,7 @@
 
 
 class DraftedUpdate(NamedTuple):
-    """A job's update, and its size in bytes."""
+    """A job's update, and the size of its changes in bytes."""
 
     update: JobUpdate
     size: int
@@ -49,12 +51,15 @@
     size: int = 0
 
     def begin(self, free: int, urgent: bool) -> None:
-        """The budget has room for so many changes."""
+        """Set the batch's urgency, and limit it to the `free` changes that the budget allows."""
         self.urgent = urgent
         self.change_limit = min(self.change_limit, free)
 
     def add(self, drafted: DraftedUpdate) -> bool:
-        """Take an update if it fits; False if the batch is full. The first one always fits."""
+        """Add an update if it fits; return False if the batch is full. The first one always fits.
+
+        An update whose starts the reservation refuses is skipped.
+        """
         update = drafted.update
         changes = self.changes + len(update.changes)
         size = self.size + drafted.size
@@ -62,7 +67,7 @@
             return False
         if self.reservation is not None:
             if not self.reservation.add(update):
-                return True  # only this one can't be taken
+                return True  # only this update can't be added
             if self.updates and not self._has_room_for_keys(update, changes, self.reservation):
                 self.reservation.remove_last()
                 return False
@@ -73,7 +78,7 @@
     def _has_room_for_keys(
         self, update: JobUpdate, changes: int, reservation: TransactionReservation
     ) -> bool:
-        """Whether the reservation's keys fit beside those of the records."""
+        """Return whether the reservation's keys fit in addition to those of the records."""
         keys = reservation.key_count()
         conditions = keys + sum(len(taken.conditions) for taken in (*self.updates, update))
         return changes + keys <= self.change_limit and conditions <= self.condition_limit
@@ -94,12 +99,12 @@
         self.shard = shard
         self.group_commit = group_commit
         self.waiting_since: dict[int, float] = {}  # job -> since when it has waited to be written
-        self.recent_changes: dict[int, float] = {}  # team -> changes written lately
-        self.halved_at = 0.0
-        self.overdue_turn = 0
+        self.recent_changes: dict[int, float] = {}  # team -> decaying count of changes written
+        self.halved_at = 0.0  # when the counts of `recent_changes` were last halved
+        self.overdue_phase = 0  # position in the period of batches; 0 while nothing is overdue
 
     def select(self, reservation: TransactionReservation | None = None) -> WriteBatch:
-        """What to write now, the most urgent first."""
+        """Select what to write now, the most urgent first."""
         now = self.context.now()
         jobs = self._dirty_jobs()
         overdue = self._overdue(jobs, now)
@@ -124,28 +129,28 @@
                     return WriteBatch([], wait_s, False)
                 batch.begin(free, urgent)
             elif batch.urgent and not urgent:
-                break  # nothing else may use the requests reserved for urgent writes
+                break  # only urgent changes may use the requests reserved for urgent writes
             if not batch.add(drafted):
                 break
         return WriteBatch(batch.updates, 0.0, batch.urgent)
 
     def on_written(self, update: JobUpdate) -> None:
-        """An update is durable: its job waits no longer, and its team has used changes."""
+        """Record that an update is durable: its job stops waiting, its team has used changes."""
         self.waiting_since.pop(update.job.index, None)
         team = update.job.team
         self.recent_changes[team] = self.recent_changes.get(team, 0.0) + len(update.changes)
 
     def _dirty_jobs(self) -> list[Job]:
-        """Jobs whose records are to be written, in order of urgency."""
+        """Return the jobs whose records are to be written, in order of urgency."""
         jobs = self.shard.jobs
         return sorted(
             (
                 jobs[index]
                 for index in self.shard.dirty_jobs
-                if index in jobs and not self.group_commit.by_log(jobs[index])
+                if index in jobs and not self.group_commit.uses_commit_log(jobs[index])
             ),
             key=lambda job: (
-                not (job.resource_needs and job.pending_ends),  # others wait for their units
+                not (job.resource_needs and job.pending_ends),  # other jobs wait for their units
                 not (job.pending_starts and job.spec.rank >= MIN_URGENT_RANK),
                 -job.spec.rank,
                 job.submitted_ms,
@@ -153,27 +158,29 @@
         )
 
     def _overdue(self, jobs: list[Job], now: float) -> set[int]:
-        """Of the jobs to be written, those to be taken before the urgent ones this time.
+        """Return the jobs whose overdue changes precede urgent starts in this batch.
 
-        In a flood of urgent starts a batch that begins with one takes nothing else. The ends of
-        all other work waited, which free its quota and finish its jobs.
+        A batch that begins with an urgent start contains nothing that isn't urgent. A flood of
+        urgent starts therefore delayed the ends of all other jobs' tasks, which release quota and
+        finish those jobs.
         """
         self.waiting_since = {job.index: self.waiting_since.get(job.index, now) for job in jobs}
-        if now - self.halved_at > HALVED_BATCH_S:
+        if now - self.halved_at > RECENT_CHANGES_HALF_LIFE_S:
             self.halved_at = now
             self.recent_changes = {
                 team: changes / 2 for team, changes in self.recent_changes.items()
             }
         late = {index for index, since in self.waiting_since.items() if now - since > OVERDUE_S}
-        self.overdue_turn = (self.overdue_turn + 1) % OVERDUE_TURN if late else 0
-        return late if self.overdue_turn == 1 else set()
+        self.overdue_phase = (self.overdue_phase + 1) % OVERDUE_BATCH_PERIOD if late else 0
+        return late if self.overdue_phase == 1 else set()
 
     def _draft(
         self, job: Job, reservation: TransactionReservation | None, now: float
     ) -> DraftedUpdate | None:
-        """A job's next write, or None when there is none now."""
-        if job.reserving and not job.pending_ends and now - first_start(job) < BATCHING_WAIT_S:
-            # Its other machines' owners answer within milliseconds: one write for all.
+        """Draft a job's next write; None when there is none now."""
+        if job.reserving and not job.pending_ends and now - first_start_at(job) < BATCHING_WAIT_S:
+            # The job's other reservations are answered within milliseconds: write all its starts
+            # at once.
             return None
         if self.context.is_quarantined("job", job.id):
             return None
@@ -181,7 +188,8 @@
             if reservation is not None:
                 reservation.admit(job)
             elif job.resource_needs:
-                # Accepted by a controller that keeps counts. Here nothing would limit its starts.
+                # The job was accepted by a controller with counted resources. Without the plugin
+                # nothing would limit its starts here.
                 job.withheld = frozenset(job.pending_starts)
             drafted = self._fitting_update(job)
         except Exception as error:  # one job's fault must not hold up the others' records
@@ -192,14 +200,14 @@
         return drafted
 
     def _fitting_update(self, job: Job) -> DraftedUpdate | None:
-        """A job's next write, with as many changes as values may hold.
+        """Draft a job's next write, within the limits on the sizes of values and transactions.
 
-        A value over the limit is answered 400 and fails the whole batch, again and again: one
-        job with a long description held up all writing of its shard.
+        The state service answers 400 to a value over the limit, which fails the whole batch on
+        every attempt: one job with a long description blocked all writes of its shard.
         """
         limit = self.context.settings.settings.state.value_kb * 1000
         with_starts = self.group_commit.may_start()
-        # The ledgers of its counts need room in the same transaction.
+        # The ledgers of the job's counts need room in the same transaction.
         max_chunks = 1 if job.resource_needs else MAX_CHUNKS_PER_UPDATE
         update = self.shard.draft_update(job, max_chunks, with_starts)
         while update is not None:
@@ -208,7 +216,7 @@
             if size > MAX_TRANSACTION_BYTES and len(update.chunks) > 1:
                 update = self.shard.draft_update(job, len(update.chunks) - 1, with_starts)
             elif update.pending_starts and max(sizes) > limit - RESERVED_VALUE_BYTES:
-                # What an end or a cancellation adds must still fit later.
+                # An end or a cancellation written later must still fit.
                 starts = list(update.pending_starts)
                 self.shard.drafter.postpone_starts(job, starts[len(starts) // 2 :])
                 update = self.shard.draft_update(job, len(update.chunks), with_starts)
@@ -219,17 +227,17 @@
         return None
 
 
-def first_start(job: Job) -> float:
-    """When the first of the starts to be recorded was granted; long ago when there are none."""
+def first_start_at(job: Job) -> float:
+    """Return when the first of the pending starts was granted; LONG_AGO when there are none."""
     return min(
         (placement.state_since for placement in job.pending_starts.values()), default=LONG_AGO
     )
 
 
 def has_urgent_change(update: JobUpdate) -> bool:
-    """Whether an urgent start is written with it.
+    """Return whether an update records an urgent start.
 
-    When many jobs came at once, submissions used up the changes, and replicas waited for the
-    record of their start 1 to 3 s of the 2 s that they have.
+    When many jobs came at once, submissions used up the write budget, and replicas waited 1 to 3 s
+    for the record of their start, out of the 2 s that they have.
     """
     return bool(update.pending_starts) and update.job.spec.rank >= MIN_URGENT_RANK
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -687,12 +687,12 @@
 
 
 def records_not_bounded(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(UpdateDrafter, "_keep_to_value", lambda self, *rest: None)
+    monkeypatch.setattr(UpdateDrafter, "_limit_to_value_size", lambda self, *rest: None)
 
 
 def no_slots_reserved(monkeypatch: Patch) -> None:
     monkeypatch.setattr(GroupCommit, "may_start", lambda self: True)
-    monkeypatch.setattr(GroupCommit, "by_log", lambda self, job: True)
+    monkeypatch.setattr(GroupCommit, "uses_commit_log", lambda self, job: True)
 
 
 def drained_too_early(monkeypatch: Patch) -> None:
