--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -1,5 +1,7 @@
-"""The commit log: what is stored of it, against a plain model; and the hard cases of its writing,
-each seen to go wrong without the safeguard that it is about."""
+"""The commit log: its stored form against a simple model, and failure cases of its writing.
+
+Each failure case is also run without the safeguard it tests, and has to fail then.
+"""
 
 import random
 from collections.abc import Callable
@@ -49,15 +51,15 @@
     16 * 1024,
     12,
     64 * 1024,
-)  # of tests, and the protocol's
+)  # the first two are for tests, the last is the protocol's
 
 
-# --- a plain state service that refuses what the protocol refuses
+# --- a simple state service that enforces the protocol's limits
 
 
 @dataclass
 class StrictStateClient:
-    """Refuses what the protocol refuses; `outcomes` are those of the next transactions."""
+    """Enforces the protocol's limits; `outcomes` are those of the next transactions."""
 
     state: FakeStateService
     outcomes: list[str] = field(default_factory=list)
@@ -101,7 +103,7 @@
         assert len(msgspec.json.encode(body)) <= TXN_BYTES
 
     def execute_late(self) -> list[list[str]]:
-        """What was delayed arrives; the conditions of each that failed."""
+        """Execute the delayed transactions; return each one's failed conditions."""
         delayed, self.late = self.late, []
         return [self.state.apply(conditions, changes) for conditions, changes in delayed]
 
@@ -119,7 +121,7 @@
 
 
 class ShardOwner:
-    """A shard's owner: its writer with the commit log, and what tests do with it."""
+    """A shard's owner: its record writer with the commit log, and actions for tests."""
 
     def __init__(self, client: StrictStateClient, clock: Clock, tuning: Tuning = LOGGED) -> None:
         self.client, self.clock = client, clock
@@ -163,7 +165,10 @@
         self.shard.dirty_jobs.add(job.index)
 
     def flush(self, times: int = 4) -> None:
-        """Some rounds, with time for what is due; a refused write is tried again."""
+        """Flush several times, advancing the clock so that waiting changes become due.
+
+        A refused write is tried again.
+        """
         for _ in range(times):
             for wait_s in (0.0, 1.5):
                 self.clock.at += wait_s
@@ -174,7 +179,7 @@
                     continue
 
     def recorded(self, name: str = JOB) -> tuple[dict[int, int], int]:
-        """Attempts that are recorded, and how many tasks are done."""
+        """Return the recorded attempts by task, and how many tasks are done."""
         job = self.job(name)
         return {
             task: placement.attempt for task, placement in job.placements.items()
@@ -184,12 +189,12 @@
         return [k for k in self.client.state.keys if k.startswith(stored.LOG_PREFIX)]
 
 
-def new_site() -> tuple[StrictStateClient, Clock]:
+def client_and_clock() -> tuple[StrictStateClient, Clock]:
     return StrictStateClient(FakeStateService(random.Random(1))), Clock()
 
 
 def take_over(before: ShardOwner, tuning: Tuning = LOGGED) -> ShardOwner:
-    """The shard is taken over by another process."""
+    """Have the shard taken over by another process; return its new owner."""
     return ShardOwner(before.client, before.clock, tuning)
 
 
@@ -198,14 +203,18 @@
 Step = tuple[str, int]  # what happens to a task
 
 
-def plain(history: list[list[Step]], tasks: int) -> tuple[dict[int, int], set[int], dict[int, int]]:
-    """What is true after all commits: attempts that run, tasks done, attempts used. A commit ends
-    what ran before it: nothing runs before its start is durable."""
+def model_state(
+    history: list[list[Step]], tasks: int
+) -> tuple[dict[int, int], set[int], dict[int, int]]:
+    """Return the state after all commits: running attempts, tasks done, and attempts used.
+
+    A commit ends attempts of earlier commits, since nothing runs before its start is durable.
+    """
     on: dict[int, int] = {}
     done: set[int] = set()
     tries: dict[int, int] = {}
     for commit in history:
-        for what, task in sorted(commit):  # ends come first
+        for what, task in sorted(commit):  # ends are applied first
             if what == "start" and task not in on and task not in done:
                 tries[task] = tries.get(task, 0) + 1
                 on[task] = tries[task]
@@ -217,8 +226,8 @@
 
 
 def change_of(history: list[list[Step]], number: int, tasks: int) -> stored.JobChange:
-    """The difference that one commit makes, as an owner would write it."""
-    before, after = plain(history[:number], tasks), plain(history[: number + 1], tasks)
+    """Return the change that an owner would write for one commit."""
+    before, after = model_state(history[:number], tasks), model_state(history[: number + 1], tasks)
     ended = [t for t, attempt in before[0].items() if after[0].get(t) != attempt]
     return stored.JobChange(
         JOB,
@@ -238,10 +247,10 @@
     st.lists(st.lists(steps, max_size=12), min_size=1, max_size=12),
     st.lists(st.integers(0, 12), min_size=2, max_size=2),
 )
-def test_replay_over_any_checkpoint_gives_what_is_true(
+def test_replay_over_chunks_rewritten_at_any_commit_gives_the_committed_state(
     history: list[list[Step]], written: list[int]
 ) -> None:
-    """Each chunk was last rewritten after any commit, before or after its segments went."""
+    """Each chunk was last rewritten after any commit; the segments it covers are stored or not."""
     tasks = 2 * TASKS_PER_CHUNK
     logged = [
         stored.LoggedChange(Position(5, n + 1), 0, change_of(history, n, tasks))
@@ -257,7 +266,7 @@
             whole.placements,
             Position(5, upto) if upto else LOG_START,
         )
-    # What all checkpoints have may be gone from the log, or still be there.
+    # Commits that all chunks include may be in the log or deleted from it.
     for first in (0, min(*written, len(history))):
         found = stored.replay(chunks, logged[first:])
         on = {p.task: p.attempt for chunk in found.values() for p in chunk.placements}
@@ -276,12 +285,12 @@
             for i, t in enumerate(c.attempts)
             if t
         }
-        assert (on, done, tries) == plain(history, tasks)
+        assert (on, done, tries) == model_state(history, tasks)
 
 
-def test_without_a_log_records_are_written_as_before() -> None:
-    """An earlier version reads them: no field is added until there is a log."""
-    owner = ShardOwner(*new_site(), tuning=Tuning())
+def test_records_without_a_log_have_no_log_fields() -> None:
+    """An earlier version, which doesn't know the log's fields, still has to read the records."""
+    owner = ShardOwner(*client_and_clock(), tuning=Tuning())
     owner.accept()
     owner.start(0, 1)
     owner.flush()
@@ -292,8 +301,8 @@
     assert owner.recorded() == ({0: 1, 1: 1}, 0)
 
 
-def test_many_jobs_are_one_change() -> None:
-    owner = ShardOwner(*new_site())
+def test_commit_of_many_jobs_writes_one_key() -> None:
+    owner = ShardOwner(*client_and_clock())
     names = [f"j-{n:06d}" for n in range(40)]
     for name in names:
         owner.accept(name)
@@ -304,8 +313,8 @@
     assert all(owner.recorded(name) == ({0: 1, 1: 1}, 0) for name in names)
 
 
-def test_urgent_starts_do_not_wait_for_the_others() -> None:
-    owner = ShardOwner(*new_site())
+def test_urgent_start_is_committed_early_together_with_waiting_starts() -> None:
+    owner = ShardOwner(*client_and_clock())
     owner.accept(JOB)
     owner.accept(OTHER, rank="urgent")
     owner.start(0)
@@ -317,17 +326,20 @@
     curio.run(owner.writer.flush)
     owner.clock.at += 0.11
     curio.run(owner.writer.flush)
-    # Due for the urgent one, it takes along what waits.
+    # The commit is due for the urgent start, and includes the other one that waits.
     assert owner.recorded(OTHER) == ({0: 1}, 0)
     assert owner.recorded() == ({0: 1}, 0)
 
 
-# --- the hard cases: each raises AssertionError where it goes wrong
+# --- failure cases: each raises AssertionError when it fails
 
 
 def lost_answer() -> None:
-    """Executed, its answer lost: resolved before the next write, and nothing is written twice."""
-    owner = ShardOwner(*new_site())
+    """A commit is executed, but its answer is lost.
+
+    Its outcome is resolved before the next write, and nothing is written twice.
+    """
+    owner = ShardOwner(*client_and_clock())
     owner.accept()
     owner.start(0, 1)
     owner.client.outcomes = ["unanswered"]
@@ -339,13 +351,13 @@
 
 
 def late_commit() -> None:
-    """Delayed, given up, and executed after newer ones: it changes nothing any more."""
-    owner = ShardOwner(*new_site())
+    """A commit is delayed and given up: when it arrives later, it changes nothing any more."""
+    owner = ShardOwner(*client_and_clock())
     owner.accept()
     owner.start(0, machine="vm-1")
     owner.client.outcomes = ["late"]
     owner.flush(1)
-    # Meanwhile its reservation expired; it arrives before anything else is written.
+    # The start's reservation expires; the commit arrives before anything else is written.
     owner.job().pending_starts.clear()
     owner.flush(1)
     owner.client.execute_late()
@@ -357,9 +369,9 @@
     assert after.recorded() == owner.recorded()
 
 
-def takeover_in_the_middle() -> None:
-    """A commit of the former owner arrives when another owns the shard."""
-    owner = ShardOwner(*new_site())
+def takeover_during_commit() -> None:
+    """A commit of the former owner arrives after another one has taken over the shard."""
+    owner = ShardOwner(*client_and_clock())
     owner.accept()
     owner.start(0)
     owner.client.outcomes = ["late"]
@@ -373,8 +385,8 @@
 
 
 def checkpoint_and_crash() -> None:
-    """Slots are reused only when records contain what they said, whoever reads after a crash."""
-    owner = ShardOwner(*new_site())
+    """Slots are reused only once the records hold their changes, so that a crash loses nothing."""
+    owner = ShardOwner(*client_and_clock())
     owner.accept(JOB, tasks=3 * TASKS_PER_CHUNK)
     expected = {}
     for number in range(40):
@@ -389,16 +401,18 @@
 
 
 def read_elsewhere(owner: ShardOwner) -> ShardOwner:
-    """What another process would read now; the shard stays where it is."""
+    """Return an owner that has read a copy of the state; the shard itself isn't taken over."""
     copy = FakeStateService(owner.client.state.rng)
     copy.keys, copy.revision = dict(owner.client.state.keys), owner.client.state.revision
     return ShardOwner(StrictStateClient(copy), owner.clock)
 
 
 def cancelled_elsewhere() -> None:
-    """Another controller writes a cancellation over a record that is behind the log: what ran
-    stays known, and nothing more is started."""
-    owner = ShardOwner(*new_site())
+    """Another controller writes a cancellation to a record that lacks changes in the log.
+
+    The running attempts stay known, and no more are started.
+    """
+    owner = ShardOwner(*client_and_clock())
     owner.accept()
     owner.start(0)
     owner.flush()
@@ -414,21 +428,21 @@
     assert take_over(owner).recorded() == ({0: 1}, 0)
 
 
-def part_written_late() -> None:
-    """A further part of a record, rewritten and delayed, is executed after a newer commit."""
-    owner = ShardOwner(*new_site())
+def chunk_written_late() -> None:
+    """The delayed rewriting of a further chunk is executed after a newer commit."""
+    owner = ShardOwner(*client_and_clock())
     owner.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
     owner.start(TASKS_PER_CHUNK, machine="vm-1")
     owner.flush()
-    part = owner.shard.drafter.rewrite(owner.job(), [1], {}, {})
+    chunk = owner.shard.drafter.rewrite(owner.job(), [1], {}, {})
     owner.client.outcomes = ["late"]
     with pytest.raises(OutcomeUnknownError):
-        curio.run(owner.writer._write, [part], False)
+        curio.run(owner.writer._write, [chunk], False)
     owner.end(TASKS_PER_CHUNK, error=api.CAUSE_ERROR)
     owner.flush()
     owner.client.execute_late()
     owner.start(TASKS_PER_CHUNK, machine="vm-2")
-    owner.flush()  # meets the part as it is now, and reads the job again
+    owner.flush()  # fails because of the chunk's new version, and reads the job again
     assert read_elsewhere(owner).recorded() == owner.recorded() == ({}, 0)
     owner.start(TASKS_PER_CHUNK, machine="vm-2")
     owner.flush()
@@ -437,9 +451,11 @@
 
 
 def older_segment_kept() -> None:
-    """A newer segment is used again before an older one, which another job still needs: what the
-    older says of a record that was rewritten since is not applied to it once more."""
-    owner = ShardOwner(*new_site())
+    """A newer segment is reused (here: deleted) before an older one, which another job still needs.
+
+    The older segment's change of a record that was rewritten since is not applied to it again.
+    """
+    owner = ShardOwner(*client_and_clock())
     for name in (JOB, OTHER):
         owner.accept(name)
         owner.start(0, name=name)
@@ -457,8 +473,8 @@
 
 
 def large_array() -> None:
-    """100,000 tasks: values, transactions and conditions stay within their limits."""
-    owner = ShardOwner(*new_site())
+    """With 100,000 tasks, values, transactions and conditions stay within their limits."""
+    owner = ShardOwner(*client_and_clock())
     owner.accept(JOB, tasks=100_000)
     tasks = [*range(900), *range(1000, 100_000, 97)]
     owner.start(*tasks)
@@ -471,9 +487,12 @@
 
 
 def large_record() -> None:
-    """A long description and long names: the log can take all starts, the record can't. It
-    must still be rewritten for a checkpoint, and for a cancellation."""
-    owner = ShardOwner(*new_site())
+    """The log has room for all starts of a job, but its record doesn't.
+
+    The record has a long description and long machine names. It must still be possible to rewrite
+    it for a checkpoint and for a cancellation.
+    """
+    owner = ShardOwner(*client_and_clock())
     owner.accept(JOB, tasks=TASKS_PER_CHUNK, builds=["x" * 100] * 30)
     for first in range(0, TASKS_PER_CHUNK, 32):
         owner.start(*range(first, first + 32), machine="m" * 90)
@@ -487,19 +506,21 @@
     assert len(take_over(owner).recorded()[0]) == running
 
 
-def torn_entry() -> None:
-    """A change that can't be read: its job is quarantined and nothing of it starts; the
-    other jobs go on, and what is stored stays."""
-    owner = ShardOwner(*new_site())
+def unreadable_change() -> None:
+    """A job with a change that can't be read is quarantined, and none of its tasks starts.
+
+    Other jobs go on, and the unreadable change stays stored.
+    """
+    owner = ShardOwner(*client_and_clock())
     for name in (JOB, OTHER):
         owner.accept(name)
         owner.start(0, name=name)
     owner.flush()
     (key,) = owner.log_keys()
     text = owner.client.state.keys[key][0]
-    torn = text.replace(f'["{JOB}",[[0,'.encode(), f'["{JOB}",[["x",'.encode())
-    assert torn != text
-    owner.client.state.apply({}, [put_change(key, msgspec.Raw(torn))])
+    damaged = text.replace(f'["{JOB}",[[0,'.encode(), f'["{JOB}",[["x",'.encode())
+    assert damaged != text
+    owner.client.state.apply({}, [put_change(key, msgspec.Raw(damaged))])
     after = take_over(owner)
     assert JOB not in {job.id for job in after.shard.jobs.values()}
     assert after.recorded(OTHER) == ({0: 1}, 0)
@@ -512,12 +533,12 @@
         after.start(0, name=OTHER)
         after.flush(1)
         assert after.recorded(OTHER)[0] == {0: number + 2}
-    assert after.client.state.keys[key][0] == torn
+    assert after.client.state.keys[key][0] == damaged
 
 
-def unknown_form() -> None:
-    """A whole segment of another form: of all jobs that it may concern nothing starts."""
-    owner = ShardOwner(*new_site())
+def unknown_segment_format() -> None:
+    """No task starts of any job that a segment of unknown format may concern."""
+    owner = ShardOwner(*client_and_clock())
     owner.accept(JOB)
     owner.start(0)
     owner.flush()
@@ -534,8 +555,8 @@
 
 
 def full_log() -> None:
-    """Checkpoints are refused until no slot is left: starts wait, ends and cancellations go on."""
-    owner = ShardOwner(*new_site())
+    """Checkpoints are refused until the log is full: starts wait, ends and cancellations go on."""
+    owner = ShardOwner(*client_and_clock())
     for name in (JOB, OTHER):
         owner.accept(name, tasks=200)
     owner.client.refuse = lambda changes: any(
@@ -562,10 +583,12 @@
     assert take_over(owner).recorded() == owner.recorded()
 
 
-def switched_off() -> None:
-    """The way back: a controller that doesn't write the log brings all records up to it and then
-    deletes it; one that knows nothing of it reads the same."""
-    owner = ShardOwner(*new_site())
+def log_switched_off() -> None:
+    """A controller that doesn't write the log writes all its changes to records, then deletes it.
+
+    The records alone then hold the whole state, as a controller without the log reads it.
+    """
+    owner = ShardOwner(*client_and_clock())
     for name in (JOB, OTHER):
         owner.accept(name, tasks=2 * TASKS_PER_CHUNK)
         owner.start(0, TASKS_PER_CHUNK + 1, name=name)
@@ -578,31 +601,31 @@
     assert after.recorded() == ({TASKS_PER_CHUNK + 1: 1}, 1)
     keys = after.client.state.keys
     main = msgspec.json.decode(keys[records.job_key(SHARD, JOB)][0], type=JobRecord)
-    part = msgspec.json.decode(keys[records.chunk_key(SHARD, JOB, 1)][0], type=Chunk)
+    further = msgspec.json.decode(keys[records.chunk_key(SHARD, JOB, 1)][0], type=Chunk)
     assert main.chunk.completed_bits == "1"
-    assert [p.task for p in part.placements] == [TASKS_PER_CHUNK + 1]
+    assert [p.task for p in further.placements] == [TASKS_PER_CHUNK + 1]
 
 
 CASES = [
     lost_answer,
     late_commit,
-    takeover_in_the_middle,
+    takeover_during_commit,
     checkpoint_and_crash,
     cancelled_elsewhere,
-    part_written_late,
+    chunk_written_late,
     older_segment_kept,
     large_array,
     large_record,
-    torn_entry,
-    unknown_form,
+    unreadable_change,
+    unknown_segment_format,
     full_log,
-    switched_off,
+    log_switched_off,
 ]
 
 
 @pytest.fixture
 def small_ring(monkeypatch: Patch) -> None:
-    """So that slots are used again soon."""
+    """Shrink the log's ring and segments so that slots are reused soon."""
     monkeypatch.setattr(commit_log, "MAX_SLOTS", 6)
     monkeypatch.setattr(commit_log, "CHECKPOINT_SLOTS", 2)
     monkeypatch.setattr(commit_log, "SLOTS_FOR_ENDS", 2)
@@ -611,7 +634,7 @@
 
 @pytest.mark.usefixtures("small_ring")
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.__name__)
-def test_hard_case(case: Callable[[], None]) -> None:
+def test_failure_case(case: Callable[[], None]) -> None:
     case()
 
 
@@ -619,10 +642,10 @@
 
 
 def no_fence(monkeypatch: Patch) -> None:
-    async def trust(self: GroupCommit, commit: Any) -> None:
+    async def skip(self: GroupCommit, commit: Any) -> None:
         return None
 
-    monkeypatch.setattr(GroupCommit, "_fence", trust)
+    monkeypatch.setattr(GroupCommit, "_fence", skip)
 
 
 def outcome_not_resolved(monkeypatch: Patch) -> None:
@@ -632,28 +655,28 @@
     monkeypatch.setattr(GroupCommit, "settle", forget)
 
 
-def token_not_asked(monkeypatch: Patch) -> None:
-    plain_txn = StrictStateClient.transact
+def token_not_checked(monkeypatch: Patch) -> None:
+    original = StrictStateClient.transact
 
     async def transact(self: StrictStateClient, conditions: dict[str, int], *rest: Any) -> int:
         left = {k: v for k, v in conditions.items() if not k.startswith("c/s/")}
-        return await plain_txn(self, left, *rest)
+        return await original(self, left, *rest)
 
     monkeypatch.setattr(StrictStateClient, "transact", transact)
 
 
-def records_not_asked(monkeypatch: Patch) -> None:
-    plain_collect = GroupCommit.collect
+def record_versions_not_checked(monkeypatch: Patch) -> None:
+    original = GroupCommit.collect
 
     def collect(self: GroupCommit) -> group_commit.Batch:
-        batch = plain_collect(self)
+        batch = original(self)
         batch.conditions = {}
         return batch
 
     monkeypatch.setattr(GroupCommit, "collect", collect)
 
 
-def checkpoints_not_waited_for(monkeypatch: Patch) -> None:
+def slots_reused_before_checkpoint(monkeypatch: Patch) -> None:
     def clean(self: CommitLog) -> Any:
         return (
             s for s in range(commit_log.MAX_SLOTS) if s not in self.pinned and s != self.open_slot
@@ -669,15 +692,15 @@
     monkeypatch.setattr("starlingdeck.jobs.update_drafter.encode_chunk", without)
 
 
-def replay_passed_over(monkeypatch: Patch) -> None:
+def replay_skipped(monkeypatch: Patch) -> None:
     monkeypatch.setattr(CommitLog, "adopt_job", lambda self, *rest: None)
 
 
-def entries_not_pinned(monkeypatch: Patch) -> None:
+def slots_not_pinned(monkeypatch: Patch) -> None:
     monkeypatch.setattr(CommitLog, "pin", lambda self, slots: None)
 
 
-def hidden_changes_ignored(monkeypatch: Patch) -> None:
+def unreadable_changes_ignored(monkeypatch: Patch) -> None:
     monkeypatch.setattr(stored.LogContents, "incomplete_reason", lambda self, *rest: "")
 
 
@@ -695,68 +718,73 @@
     monkeypatch.setattr(GroupCommit, "uses_commit_log", lambda self, job: True)
 
 
-def drained_too_early(monkeypatch: Patch) -> None:
+def log_deleted_too_early(monkeypatch: Patch) -> None:
     monkeypatch.setattr(CommitLog, "is_clean", property(lambda self: True))
 
 
-WITHOUT = [
+REMOVED_SAFEGUARDS = [
     (outcome_not_resolved, lost_answer),
     (no_fence, late_commit),
-    (token_not_asked, takeover_in_the_middle),
-    (checkpoints_not_waited_for, checkpoint_and_crash),
-    (replay_passed_over, checkpoint_and_crash),
-    (records_not_asked, cancelled_elsewhere),
+    (token_not_checked, takeover_during_commit),
+    (slots_reused_before_checkpoint, checkpoint_and_crash),
+    (replay_skipped, checkpoint_and_crash),
+    (record_versions_not_checked, cancelled_elsewhere),
     (records_without_position, older_segment_kept),
     (tasks_not_bounded, large_array),
     (records_not_bounded, large_record),
-    (hidden_changes_ignored, torn_entry),
-    (entries_not_pinned, torn_entry),
-    (hidden_changes_ignored, unknown_form),
+    (unreadable_changes_ignored, unreadable_change),
+    (slots_not_pinned, unreadable_change),
+    (unreadable_changes_ignored, unknown_segment_format),
     (no_slots_reserved, full_log),
-    (drained_too_early, switched_off),
+    (log_deleted_too_early, log_switched_off),
 ]
 
 
 @pytest.mark.usefixtures("small_ring")
 @pytest.mark.parametrize(
-    ("broken", "case"), WITHOUT, ids=[f"{b.__name__}-{c.__name__}" for b, c in WITHOUT]
+    ("remove_safeguard", "case"),
+    REMOVED_SAFEGUARDS,
+    ids=[f"{r.__name__}-{c.__name__}" for r, c in REMOVED_SAFEGUARDS],
 )
-def test_without_its_safeguard_it_goes_wrong(
-    monkeypatch: Patch, broken: Callable[[Patch], None], case: Callable[[], None]
+def test_failure_case_without_its_safeguard_fails(
+    monkeypatch: Patch, remove_safeguard: Callable[[Patch], None], case: Callable[[], None]
 ) -> None:
-    broken(monkeypatch)
+    remove_safeguard(monkeypatch)
     with pytest.raises((AssertionError, LookupError, KeyError, TransactionConflictError)):
         case()
 
 
-# --- finished jobs are not read by a takeover
+# --- chunks of finished jobs, and reading of jobs again
 
 
 def test_chunks_of_finished_arrays_are_deleted(monkeypatch: Patch) -> None:
-    """They stayed for ever, and every takeover read them; also those that were left before."""
-    owner = ShardOwner(*new_site(), tuning=Tuning())
+    """Chunks of finished arrays were kept for ever, and every takeover read them.
+
+    Chunks that earlier versions left behind are deleted as well.
+    """
+    owner = ShardOwner(*client_and_clock(), tuning=Tuning())
     owner.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
     tasks = list(range(2 * TASKS_PER_CHUNK))
     for first in range(0, len(tasks), 64):
         owner.start(*tasks[first : first + 64])
         owner.flush(1)
-    part = records.chunk_key(SHARD, JOB, 1)
+    chunk = records.chunk_key(SHARD, JOB, 1)
     left = records.chunk_key(SHARD, OTHER, 3)
     assert not owner.client.state.apply({}, [put_change(left, Chunk())])
     owner.end(*tasks)
     owner.flush(1)
     assert records.final_key(SHARD, JOB) in owner.client.state.keys
-    assert part in owner.client.state.keys  # an older status query still reads it
+    assert chunk in owner.client.state.keys  # a status query that began earlier still reads it
     owner.flush(12)
-    assert part not in owner.client.state.keys
+    assert chunk not in owner.client.state.keys
     after = take_over(owner, Tuning())
     after.flush(12)
     assert left not in after.client.state.keys
 
 
-def test_a_reload_waits_for_a_commits_outcome(monkeypatch: Patch) -> None:
-    """Read before it was known, a job would be answered for as it was before the commit."""
-    owner = ShardOwner(*new_site())
+def test_reload_waits_for_the_outcome_of_a_commit(monkeypatch: Patch) -> None:
+    """A job read before the outcome is known would be reported as it was before the commit."""
+    owner = ShardOwner(*client_and_clock())
     owner.accept()
     owner.start(0)
     owner.client.outcomes = ["unanswered"]
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -1,4 +1,4 @@
-"""The model of the invariants and simulated concurrent failures, with the commit log enabled."""
+"""The reference model and simulated concurrent failures, with the commit log enabled."""
 
 from typing import Any
 
@@ -24,12 +24,12 @@
 
 
 @pytest.fixture(autouse=True)
-def logged(monkeypatch: Patch) -> None:
+def enable_commit_log(monkeypatch: Patch) -> None:
     monkeypatch.setattr(builders, "tuning", builders.LOGGED)
 
 
 def small_ring(monkeypatch: Patch) -> None:
-    """So that slots are reused, and records rewritten for it, within a short simulation."""
+    """Shrink the ring so that slots are reused and records rewritten in a short simulation."""
     monkeypatch.setattr(commit_log, "MAX_SLOTS", 8)
     monkeypatch.setattr(commit_log, "CHECKPOINT_SLOTS", 3)
     monkeypatch.setattr(commit_log, "SLOTS_FOR_ENDS", 2)
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("first", [100, 110])
-def test_invariants_hold_whatever_is_lost_or_late(monkeypatch: Patch, first: int) -> None:
+def test_invariants_hold_when_messages_are_lost_or_late(monkeypatch: Patch, first: int) -> None:
     small_ring(monkeypatch)
     starts, segments = 0, 0
     for seed in range(first, first + 10):
@@ -67,15 +67,18 @@
 
 
 @pytest.mark.parametrize("failure", ["lost", "slow"])
-def test_no_count_falls_while_a_commit_is_under_way(monkeypatch: Patch, failure: str) -> None:
-    """Others answer from the record and the log while the owner's commit has no answer yet."""
+def test_completed_count_does_not_fall_during_a_commit(monkeypatch: Patch, failure: str) -> None:
+    """While the owner's commit is unanswered, other controllers answer from record and log."""
     counts = counts_while_writing(monkeypatch, failure)
     assert counts[0] < counts[-1]
 
 
-def test_others_do_not_report_what_the_record_alone_says(monkeypatch: Patch) -> None:
-    """Commits are ahead of the record: by that alone the count fell as soon as the owner was
-    unreachable. The simulation detects it when the log is ignored."""
+def test_status_from_other_controllers_includes_the_commit_log(monkeypatch: Patch) -> None:
+    """The record lacks changes that are only in the log.
+
+    Computed from the record alone, a job's completed count fell as soon as its owner was
+    unreachable. The simulation detects this when the log is ignored.
+    """
 
     async def nothing(*_: Any) -> list[Any]:
         return []
