--- a/starlingdeck/api/job_api.py
+++ b/starlingdeck/api/job_api.py
@@ -64,7 +64,7 @@
             return error_response(503, f"the state service can't be used now: {error}")
         except msgspec.DecodeError as error:
             record = request.name or "of a submission"
-            self.services.context.quarantine_failed("record", record, error)
+            self.services.context.quarantine_after_failure("record", record, error)
             return error_response(503, "the job's record can't be read")
         finally:
             self.in_flight -= 1
--- a/starlingdeck/context.py
+++ b/starlingdeck/context.py
@@ -59,7 +59,7 @@
         for team in self.settings.settings.teams:
             self.team_names.intern(team.name)
 
-    def quarantine_failed(self, kind: str, name: str, error: BaseException) -> None:
+    def quarantine_after_failure(self, kind: str, name: str, error: BaseException) -> None:
         """Quarantine something whose processing failed."""
         self.quarantine.add(kind, name, error, self.now())
 
@@ -71,7 +71,7 @@
         """Add or replace machine types; an invalid one is quarantined."""
         for kind in types:
             if not is_valid_machine_type(kind):
-                self.quarantine_failed("machine type", kind.name, ValueError(str(kind)))
+                self.quarantine_after_failure("machine type", kind.name, ValueError(str(kind)))
                 continue
             self.machine_types[self.type_names.intern(kind.name)] = kind
 
--- a/starlingdeck/controller/reconciler.py
+++ b/starlingdeck/controller/reconciler.py
@@ -66,7 +66,7 @@
             # A former owner's desired state, the first to reach a new owner of machines, started a
             # long cancelled task again: only who surely owns the shard says what is desired.
             await self.state_sync.send_desired_state(now)
-            for node, text in self.state_sync.relay_messages(now, self.build_gossip):
+            for node, text in self.state_sync.build_relay_texts(now, self.build_gossip):
                 await curio.spawn(self.state_sync.write_relay, node, text, daemon=True)
         if any(writer.shard.dirty_jobs for writer in self.writers.values()):
             await self.flush.set()
--- a/starlingdeck/jobs/attempt_evaluation.py
+++ b/starlingdeck/jobs/attempt_evaluation.py
@@ -71,7 +71,7 @@
             try:
                 changed |= self._evaluate_attempt(snapshot, outbox, current, job, task, placement)
             except Exception as error:  # one job's fault must not stop the evaluation of others
-                self.context.quarantine_failed("job", job.id, error)
+                self.context.quarantine_after_failure("job", job.id, error)
         return changed
 
     def _evaluate_attempt(
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -163,7 +163,7 @@
                 job, starting, max_chunks, MAX_TASKS_PER_CHANGE
             )
         except Exception as error:  # one job's fault must not hold up the others' changes
-            self.context.quarantine_failed("job", job.id, error)
+            self.context.quarantine_after_failure("job", job.id, error)
             return None
         if drafted is None:
             self.shard.dirty_jobs.discard(job.index)
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -61,7 +61,9 @@
         segments, _ = await self.state.read(log_prefix(shard))
         view = read_segments(segments)
         for segment in view.unreadable:
-            self.context.quarantine_failed("segment", str(segment.slot), ValueError(segment.error))
+            self.context.quarantine_after_failure(
+                "segment", str(segment.slot), ValueError(segment.error)
+            )
         commit_log = self.shard.commit_log
         commit_log.adopt(view)
         commit_log.pin(view.unreadable_job_slots)
@@ -78,7 +80,7 @@
             try:
                 self._load_entry(entry, chunks.get(name, FurtherChunks()), view)
             except Exception as error:  # one job's fault must not hold up the shard
-                self.context.quarantine_failed("record", entry.key, error)
+                self.context.quarantine_after_failure("record", entry.key, error)
                 commit_log.pin(logged.slot for logged in view.changes_of(name))
         self.shard.loaded = True
         log.info("shard jobs loaded: shard=%d unfinished_jobs=%d", shard, len(mains))
@@ -95,7 +97,7 @@
             try:
                 chunks.setdefault(job, FurtherChunks()).add(entry)
             except Exception as error:  # one job's fault must not hold up the shard
-                self.context.quarantine_failed("record", entry.key, error)
+                self.context.quarantine_after_failure("record", entry.key, error)
                 unreadable.add(job)
         return chunks, unreadable
 
@@ -152,7 +154,7 @@
                     further.add(chunk_entry)
             return self._adopt(entry, main, further)
         except (ValueError, LookupError, msgspec.DecodeError) as error:
-            self.context.quarantine_failed("record", entry.key, error)
+            self.context.quarantine_after_failure("record", entry.key, error)
             raise StateError("the job's record can't be read") from error
 
     async def _reload_final(self, name: str, before: Job | None) -> None:
--- a/starlingdeck/jobs/write_batch.py
+++ b/starlingdeck/jobs/write_batch.py
@@ -183,7 +183,7 @@
                 job.withheld = frozenset(job.pending_starts)
             drafted = self._fitting_update(job)
         except Exception as error:  # one job's fault must not hold up the others' records
-            self.context.quarantine_failed("job", job.id, error)
+            self.context.quarantine_after_failure("job", job.id, error)
             return None
         if drafted is None and not job.withheld:
             self.shard.dirty_jobs.discard(job.index)
--- a/starlingdeck/machines/descheduling.py
+++ b/starlingdeck/machines/descheduling.py
@@ -35,7 +35,7 @@
                 try:
                     self._deschedule(machine, now)
                 except Exception as error:  # the outermost edge for one machine: others go on
-                    context.quarantine_failed("machine", machine.name, error)
+                    context.quarantine_after_failure("machine", machine.name, error)
 
     def _deschedule(self, machine: Machine, now: float) -> None:
         live = {
--- a/starlingdeck/machines/reconciler.py
+++ b/starlingdeck/machines/reconciler.py
@@ -65,7 +65,7 @@
         try:
             return self._reconcile(machine, now)
         except Exception as error:  # the outermost edge for one machine: others go on
-            context.quarantine_failed("machine", machine.name, error)
+            context.quarantine_after_failure("machine", machine.name, error)
             self.state.to_reconcile.add(machine.index)
             return False
 
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -78,7 +78,7 @@
                 self._add_entry(message, machine)
             except Exception as error:  # the outermost edge for one machine: others are published
                 # Nothing may be concluded from what was published of it before.
-                state.context.quarantine_failed("machine", machine.name, error)
+                state.context.quarantine_after_failure("machine", machine.name, error)
                 del message.machines[before:]
                 message.machines.add(id=machine.name, session=machine.session)
 
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -262,7 +262,7 @@
         try:
             return decide(job)
         except Exception as error:  # one job's bad data must not keep all others from their cycle
-            self.context.quarantine_failed("job", job.id, error)
+            self.context.quarantine_after_failure("job", job.id, error)
             job.reserving.clear()
             return []
 
--- a/starlingdeck/sync/relay.py
+++ b/starlingdeck/sync/relay.py
@@ -80,7 +80,7 @@
         self.writing: set[int] = set()  # nodes to which a text is being written
         self.incoming: dict[int, IncomingText] = {}  # by sender
 
-    def texts(self, now: float, build_gossip: Callable[[], pb.Gossip]) -> list[RelayText]:
+    def build_due_texts(self, now: float, build_gossip: Callable[[], pb.Gossip]) -> list[RelayText]:
         """The texts that are due; each has to be written with `write`."""
         lease_valid = self.membership.lease_is_valid()
         if not lease_valid:
--- a/starlingdeck/sync/state_sync.py
+++ b/starlingdeck/sync/state_sync.py
@@ -68,9 +68,11 @@
         """Apply a desired-state message of a peer."""
         self.desired_state_sync.apply(message)
 
-    def relay_messages(self, now: float, build_gossip: Callable[[], pb.Gossip]) -> list[RelayText]:
+    def build_relay_texts(
+        self, now: float, build_gossip: Callable[[], pb.Gossip]
+    ) -> list[RelayText]:
         """The texts that are due to unreachable peers, each to be written by `write_relay`."""
-        return self.relay.texts(now, build_gossip)
+        return self.relay.build_due_texts(now, build_gossip)
 
     async def write_relay(self, node: int, text: str) -> None:
         """Write a text to a peer through the store."""
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -109,7 +109,7 @@
     async def step(self) -> None:
         if self.clock.at >= self.until:
             return
-        for node, text in self.node.state_sync.relay_messages(self.clock.at, pb.Gossip):
+        for node, text in self.node.state_sync.build_relay_texts(self.clock.at, pb.Gossip):
             task = await curio.spawn(self.node.state_sync.write_relay, node, text)
             self.begun.append(task)
 
@@ -225,10 +225,10 @@
     client.cut = True
     node.state_sync.relay.state = client  # type: ignore[assignment]
     for _ in range(3):
-        ((to, text),) = node.state_sync.relay_messages(clock.at, pb.Gossip)
+        ((to, text),) = node.state_sync.build_relay_texts(clock.at, pb.Gossip)
         clock.at += RELAY_INTERVAL_S
         # The last one is still being written.
-        assert not node.state_sync.relay_messages(clock.at, pb.Gossip)
+        assert not node.state_sync.build_relay_texts(clock.at, pb.Gossip)
         curio.run(node.state_sync.write_relay, to, text)
 
 
