--- a/starlingdeck/cluster/failover.py
+++ b/starlingdeck/cluster/failover.py
@@ -6,12 +6,14 @@
 from starlingdeck.context import ControllerContext
 from starlingdeck.storage.records import ShardValue
 
-FAILOVER_STAGGER_S = 0.3  # between the takeover attempts of successive candidates
-HOME_GRACE_S = 0.3  # how long an unowned shard is left to its home controller
+# Candidates become eligible to take over an unowned shard one after another, this far apart.
+FAILOVER_STAGGER_S = 0.3
+# For this long only the home controller may take over its unowned shard.
+HOME_GRACE_S = 0.3
 
 
 def takeover_delay_s(context: ControllerContext, shard: int, live_nodes: Iterable[int]) -> float:
-    """How long a shard must have been unowned before this controller takes it over."""
+    """Return how long a shard must have been unowned before this controller takes it over."""
     if shard == context.node:
         return 0.0
     candidates = sorted({*live_nodes, context.node})
@@ -20,12 +22,12 @@
 
 
 def former_owner_renewal_s(context: ControllerContext, value: ShardValue) -> float:
-    """How long owners before this controller's last ownership may still renew workers' leases.
+    """Return how long earlier owners of a shard may still renew workers' leases, in seconds.
 
     `value` is the shard key's value that a former process of this controller wrote. That process
-    is dead and renews none. But it may have just taken the shard over from a controller that is
-    cut off and goes on renewing: restarted within a fraction of a second, this controller must not
-    yet take a silent machine for lost.
+    has ended and renews no leases. But it may have taken the shard over shortly before from a
+    controller that is cut off and still renews them. A controller that restarts within a fraction
+    of a second must therefore not declare a silent machine lost yet.
     """
     if not value.former_leases_end_ms:
         return 0.0
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -1,7 +1,7 @@
 """Membership of this controller in the cluster: its lease, the live controllers, its shards.
 
-Runs the lease renewal, follows the cluster's keys at the state service, and has shard ownership
-reconciled with them.
+Renews the lease, watches the cluster's keys in the state service, and reconciles shard ownership
+with them.
 """
 
 import logging
@@ -28,7 +28,8 @@
 log = logging.getLogger(__name__)
 
 WATCH_TIMEOUT_S = 3.0
-WATCH_RETRY_S = 0.3  # after a failed watch, plus up to as much again at random
+# Delay after a failed watch. A random delay of up to the same length is added.
+WATCH_RETRY_S = 0.3
 RECONCILE_INTERVAL_S = 0.1
 
 
@@ -44,24 +45,27 @@
         self.lease = StateLease(context, state)
         self.ownership = ShardOwnership(context, state, self.lease, hooks)
         self.owners = self.ownership.owners
-        self.live_nodes: dict[int, float] = {}  # controller -> since when it is known to be live
-        self.synced = False  # the cluster's keys have been read and are being watched
-        self.revision = 0  # of the state service: changes up to it have been handled
+        self.live_nodes: dict[int, float] = {}  # controller -> when it was first seen live
+        self.synced = False  # whether the cluster's keys have been read and are being watched
+        self.revision = 0  # the state service's revision up to which changes have been handled
 
     def lease_is_valid(self) -> bool:
-        """Whether no other controller can have taken over a shard of this one."""
+        """Return whether no other controller can have taken over a shard of this one."""
         return self.lease.is_valid()
 
     def may_renew_worker_leases(self) -> bool:
-        """Whether workers' leases may be renewed, also during an outage of the state service."""
+        """Return whether workers' leases may be renewed.
+
+        During an outage of the state service they may, for a bounded time.
+        """
         return self.lease.may_renew_worker_leases()
 
     def writes_log(self, shard: int) -> bool:
-        """Whether a shard's records may be behind its commit log."""
+        """Return whether a shard's records may be behind its commit log."""
         return self.ownership.writes_log(shard)
 
     async def raise_token(self, shard: int) -> None:
-        """Raise an owned shard's fencing token; raises the state service's errors."""
+        """Raise an owned shard's fencing token. Raises the errors of StateClient.transact."""
         await self.ownership.raise_token(shard)
 
     async def observe_owner(self, shard: int, owner: ShardOwner) -> None:
@@ -69,7 +73,7 @@
         await self.ownership.observe_owner(shard, owner)
 
     async def renew_loop(self) -> None:
-        """Keep the state lease renewed, for as long as the process runs."""
+        """Renew the state lease until cancelled."""
         while True:
             await curio.sleep(await self.renew())
 
@@ -83,12 +87,15 @@
             return 0.0
 
     async def watch_loop(self) -> None:
-        """Follow the cluster's keys, for as long as the process runs."""
+        """Watch the cluster's keys until cancelled."""
         while True:
             await curio.sleep(await self.watch())
 
     async def watch(self) -> float:
-        """Handle the next changes of the cluster's keys; return the seconds until the next call."""
+        """Wait for changes of the cluster's keys and handle them.
+
+        Returns the seconds until the next call.
+        """
         try:
             if not self.synced:
                 await self._read_all()
@@ -105,7 +112,7 @@
         return 0.0
 
     async def _read_all(self) -> None:
-        """Read every cluster key; what has none any more is handled as deleted."""
+        """Read every cluster key. Shards without one are unowned, controllers without one gone."""
         entries, revision = await self.state.read(records.CLUSTER)
         keys = {entry.key for entry in entries}
         for shard in range(self.context.shard_count):
@@ -136,7 +143,7 @@
             else:
                 await self.hooks.on_cluster_key(event)
         except (ValueError, msgspec.DecodeError) as error:
-            # The malformed value says all; a traceback would add nothing.
+            # The error names the malformed value; a traceback would add nothing.
             log.error("cluster key malformed: key=%s error=%r", key, error)  # noqa: TRY400
 
     def _on_node_key(self, node: int, event: api.Event) -> None:
@@ -148,13 +155,13 @@
             self.lease.on_node_key_deleted()
 
     async def ownership_loop(self) -> None:
-        """Reconcile shard ownership, for as long as the process runs."""
+        """Reconcile shard ownership until cancelled."""
         while True:
             await curio.sleep(RECONCILE_INTERVAL_S)
             await self.reconcile_ownership()
 
     async def reconcile_ownership(self) -> None:
-        """Take over shards without an owner, and hand back those of returned controllers."""
+        """Take over unowned shards, and hand back those of controllers that have returned."""
         if not (self.synced and self.lease_is_valid()):
             return
         for shard in range(self.context.shard_count):
--- a/starlingdeck/cluster/ownership.py
+++ b/starlingdeck/cluster/ownership.py
@@ -1,7 +1,8 @@
-"""Shard ownership: which controller owns which shard, and taking over and handing back shards.
+"""Shard ownership: which controller owns which shard, and how shards are taken over and returned.
 
-A shard is owned by the controller whose key for it exists at the state service. The key depends on
-that controller's state lease. Its version is the fencing token, its epoch names the ownership.
+A shard is owned by the controller that its key in the state service names. The key is attached to
+that controller's state lease. The key's version is the fencing token; the epoch in its value
+identifies the ownership.
 """
 
 import logging
@@ -21,9 +22,11 @@
 
 log = logging.getLogger(__name__)
 
-HAND_BACK_DELAY_S = 2.0  # how long a returned controller must be live to get its shard back
-HAND_BACK_RETRY_S = 10.0  # until the next hand-back of a shard that its home did not take
-NEVER = -1e9
+# A returned controller must have been live for this long before it gets its shard back.
+HAND_BACK_DELAY_S = 2.0
+# A shard that its home controller did not take is handed back again only after this time.
+HAND_BACK_RETRY_S = 10.0
+NEVER = -1e9  # a time before any other
 EPOCH_BITS = 60
 
 
@@ -36,7 +39,7 @@
 
 
 class ShardKey(Struct, frozen=True):
-    """A shard's key at the state service, as last seen."""
+    """The version and value of a shard's key in the state service, as last seen."""
 
     version: int
     value: ShardValue
@@ -56,39 +59,46 @@
         self.state = state
         self.lease = lease
         self.hooks = hooks
-        self.owners: dict[int, ShardOwner] = {}  # of every shard, as far as known
-        self.owned: dict[int, ShardOwner] = {}  # by this process
-        self.shard_keys: dict[int, ShardKey] = {}  # of shards that this process doesn't own
-        self.unowned_since: dict[int, float] = {}  # shards without a key
+        self.owners: dict[int, ShardOwner] = {}  # the latest known owner of each shard
+        self.owned: dict[int, ShardOwner] = {}  # the shards that this process owns
+        self.shard_keys: dict[int, ShardKey] = {}  # for shards that this process doesn't own
+        self.unowned_since: dict[int, float] = {}  # for shards without a key
         self.handed_back_at: dict[int, float] = {}
-        self.takeover_versions: dict[int, int] = {}  # of the key that each takeover rewrites
-        # Of owned shards: the time of day when no former owner renews workers' leases any more.
+        # The version of each shard's takeover key, which every takeover rewrites.
+        self.takeover_versions: dict[int, int] = {}
+        # For owned shards: the wall-clock time from which no former owner renews workers' leases.
         self.former_renewals_end_ms: dict[int, int] = {}
-        self.logged_shards: set[int] = set()  # their records may be behind a commit log
+        self.logged_shards: set[int] = set()  # shards whose records may be behind a commit log
 
     def record_owner(self, shard: int, owner: ShardOwner) -> bool:
-        """Record an owner that keys or peers name; the highest token wins.
+        """Record an owner named by a key or a peer; the highest token wins.
 
-        True if it changes the ownership known so far.
+        Returns True if the owner was recorded and is the shard's first known one or has a new
+        epoch.
         """
         known = self.owners.get(shard)
         shards = self.context.shard_count
         if shard >= shards or owner.node >= shards:
-            return False  # of another deployment, or malformed: no such controller can be reached
+            # From another deployment, or malformed: no such controller can be reached.
+            return False
         if known is not None and known.token >= owner.token:
             return False
         self.owners[shard] = owner
         return known is None or known.epoch != owner.epoch
 
     async def observe_owner(self, shard: int, owner: ShardOwner) -> None:
-        """Handle a peer's message about a shard's owner, which may be newer than this one."""
+        """Handle a peer's message about a shard's owner, which may have replaced this process."""
         mine = self.owned.get(shard)
         if mine is not None and owner.token > mine.token and owner.epoch != mine.epoch:
             await self.release(shard)
         self.record_owner(shard, owner)
 
     async def on_shard_key(self, shard: int, event: api.Event) -> None:
-        """Handle a change of a shard's key; ValueError for a shard that doesn't exist."""
+        """Handle a change of a shard's key.
+
+        Raises ValueError for a shard that doesn't exist, and msgspec.DecodeError for a malformed
+        value.
+        """
         if not 0 <= shard < self.context.shard_count:
             raise ValueError(f"shard {shard}: expected 0 to {self.context.shard_count - 1}")
         if event.put:
@@ -111,7 +121,8 @@
             if version <= mine.token:
                 return
             if value.epoch == mine.epoch:
-                # This controller's own raise of the token, which got no answer, was executed.
+                # This controller's own request to raise the token was executed; its response
+                # was lost or has not arrived yet.
                 await self._apply_raised_token(shard, version)
                 return
             await self.release(shard)
@@ -124,8 +135,8 @@
     async def reconcile(self, shard: int, live_nodes: Mapping[int, float]) -> None:
         """Take over a shard that has no owner, or hand one back to its home controller.
 
-        `live_nodes` has the time since when each live controller is known to be live.
-        Raises the errors of the state service's calls.
+        `live_nodes` maps each live controller to the time when it was first seen live.
+        Raises the errors of StateClient.transact.
         """
         if shard in self.owned:
             if self._hand_back_due(shard, live_nodes):
@@ -152,8 +163,9 @@
         now = self.context.now()
         return (
             now - live_since > HAND_BACK_DELAY_S
-            # A controller back from a partition may still wait in its old watch: its shard went
-            # to and fro three times in two seconds, without an owner in between.
+            # A controller that is back from a partition may still be blocked in its old watch
+            # and not take its shard. Without this limit a shard was handed back and retaken
+            # three times in two seconds, and had no owner in between.
             and now - self.handed_back_at.get(shard, NEVER) > HAND_BACK_RETRY_S
             and self.hooks.may_hand_back(shard)
         )
@@ -161,13 +173,16 @@
     async def acquire(self, shard: int, key_version: int, renewal_s: float) -> None:
         """Write a shard's key for a new epoch and start to serve the shard.
 
-        `key_version` is what the key must have now, 0 for none; former owners may renew workers'
-        leases for `renewal_s`. Raises TransactionConflictError when another controller was first.
+        `key_version` is the version that the key must have now, 0 if it must not exist. Former
+        owners may renew workers' leases for another `renewal_s` seconds. Raises
+        TransactionConflictError when another controller was first, and the other errors of
+        StateClient.transact.
         """
         epoch = self.context.rng.getrandbits(EPOCH_BITS)
         key, takeover_key = records.shard_key(shard), records.takeover_key(shard)
         end_ms = self.context.wall_clock_ms() + int(renewal_s * 1000) if renewal_s > 0 else 0
-        # A takeover executed late, after another owner's, would record an `end_ms` from before it.
+        # Without the condition on the takeover key, a request executed late, after another
+        # owner's takeover, would record an `end_ms` that was computed before that takeover.
         conditions = {key: key_version, takeover_key: self.takeover_versions.get(shard, 0)}
         value = ShardValue(self.context.node, epoch, end_ms, self.writes_log(shard))
         changes = [
@@ -184,11 +199,14 @@
         await self.hooks.on_shard_acquired(shard, token, epoch, renewal_s)
 
     def writes_log(self, shard: int) -> bool:
-        """Whether a shard's records may be behind its commit log."""
+        """Return whether a shard's records may be behind its commit log."""
         return self.context.tuning.group_commit is not None or shard in self.logged_shards
 
     async def raise_token(self, shard: int) -> None:
-        """Rewrite an owned shard's key, which raises its version and thus the fencing token."""
+        """Rewrite an owned shard's key, which raises its version and thus the fencing token.
+
+        Raises the errors of StateClient.transact.
+        """
         mine = self.owned.get(shard)
         if mine is None:
             return
@@ -216,13 +234,13 @@
         await self.state.transact({key: mine.token}, [delete_change(key)], True)
 
     async def release(self, shard: int) -> None:
-        """Stop serving a shard, if this process owns it; its key isn't touched."""
+        """Stop serving a shard, if this process owns it. Its key is left unchanged."""
         mine = self.owned.pop(shard, None)
         if mine is not None:
             log.info("shard released: shard=%d token=%d", shard, mine.token)
             await self.hooks.on_shard_lost(shard)
 
     async def release_all(self) -> None:
-        """Stop serving every shard: the state lease has ended."""
+        """Stop serving all owned shards, because the state lease has ended."""
         for shard in list(self.owned):
             await self.release(shard)
--- a/starlingdeck/cluster/peers.py
+++ b/starlingdeck/cluster/peers.py
@@ -1,7 +1,7 @@
 """Direct links to the other controllers: one-way messages, and calls with replies.
 
-Each controller dials every other one and keeps that link. It sends its own messages and calls on
-the links it dialled, and replies on those that others dialled.
+Each controller dials every other one and keeps that link open. It sends its own messages and calls
+on the links that it dialled, and its replies on those that others dialled.
 """
 
 import logging
@@ -17,9 +17,12 @@
 log = logging.getLogger(__name__)
 
 GOSSIP_INTERVAL_S = 0.5
-REDIAL_S = 0.3  # after a link's end, plus up to as much again at random
-NEVER = -1e9
-# Messages whose reply may take long: the next message on their link needn't wait for it.
+# Delay before a link that has ended is dialled again. A random delay of up to the same length is
+# added.
+REDIAL_S = 0.3
+NEVER = -1e9  # a time before any other
+# Messages whose reply may take long: they are handled concurrently with the next ones on their
+# link.
 CONCURRENT_MESSAGES = ("reserve_request", "forward_request")
 
 MessageHandler = Callable[[pb.Envelope], Awaitable[pb.Envelope | None]]
@@ -30,11 +33,11 @@
 
 
 class PeerBusyError(PeerUnavailableError):
-    """Nothing was sent: another large message was still being sent on the link."""
+    """Nothing was sent: a large message kept the link busy for the whole time-out."""
 
 
 class PendingCall:
-    """A call that waits for its reply, or for the end of its link."""
+    """A call that waits for its reply or for the end of its link."""
 
     def __init__(self, node: int) -> None:
         self.node = node
@@ -59,11 +62,14 @@
         self.links: dict[int, FrameLink] = {}
         self.started_at = context.now()
         self.last_heard_at: dict[int, float] = {}
-        self.calls: dict[int, PendingCall] = {}  # by the number in their messages
+        self.calls: dict[int, PendingCall] = {}  # by the call number in their messages
         self.next_call = 1
 
     def is_reachable(self, node: int) -> bool:
-        """Whether a controller has replied lately on a link that still exists."""
+        """Return whether a controller has replied lately on a link that still exists.
+
+        Lately is within `reply_wait_s` of the tuning; this controller itself is always reachable.
+        """
         if node == self.context.node:
             return True
         return (
@@ -73,11 +79,14 @@
         )
 
     def unreachable_s(self, node: int) -> float:
-        """How long ago a controller last replied, in seconds."""
+        """Return how long ago a controller last replied, in seconds.
+
+        For one that has never replied, the time since this controller's start.
+        """
         return self.context.now() - self.last_heard_at.get(node, self.started_at)
 
     async def run(self, server: FrameServer) -> None:
-        """Start the server for links of others, and a task for the link to each of them."""
+        """Start the server for links of other controllers, and a task for the link to each."""
         self.started_at = self.context.now()
         await curio.spawn(server.run, daemon=True)
         for node, (_, _, address) in enumerate(self.context.settings.members()):
@@ -107,19 +116,19 @@
         finally:
             if self.links.get(node) is link:
                 self.links.pop(node, None)
-            # Who waits for the socket must have ended before it is closed.
+            # Tasks that wait for the socket must have ended before it is closed.
             for task in tasks:
                 await task.cancel()
             await link.close()
 
     async def _send_gossip(self, node: int, link: FrameLink, timeout_s: float) -> None:
-        """Send gossip regularly, until the link is closed or the peer no longer replies."""
+        """Send gossip every GOSSIP_INTERVAL_S, until the link is closed or the peer is silent."""
         sent_at = self.context.now()
         while not link.closed:
             try:
                 await self.send(node, pb.Envelope(gossip=self.build_gossip()))
             except PeerBusyError:
-                # `FrameLink.drain` ends a link that makes no progress.
+                # Not a failure: `FrameLink.drain` ends a link that makes no progress.
                 sent_at = self.context.now()
             await curio.sleep(GOSSIP_INTERVAL_S)
             if self.context.now() - max(sent_at, self.last_heard_at.get(node, 0.0)) > timeout_s:
@@ -135,7 +144,8 @@
             log.debug("link to peer failed: node=%d error=%r", node, error)
         finally:
             link.closed = True
-            # No reply will come on this link: a forwarded request must not wait for its timeout.
+            # No reply can arrive on this link any more: wake its callers, so that forwarded
+            # requests don't wait for their time-outs.
             for call in list(self.calls.values()):
                 if call.node == node:
                     await call.done.set()
@@ -151,7 +161,7 @@
     # --- links that others dialled
 
     async def serve(self, link: FrameLink) -> None:
-        """Handle the messages of a peer that dialled; a malformed one ends its link only."""
+        """Handle the messages on a link that a peer dialled; a malformed one ends only the link."""
         try:
             while True:
                 envelope = pb.Envelope.FromString(await link.receive())
@@ -161,11 +171,13 @@
                     await self._handle(link, envelope)
         except (OSError, DecodeError, curio.TaskTimeout) as error:
             log.debug("link from peer failed: error=%r", error)
-        except Exception:  # a message must not end the controller; it is sent again in full
+        except Exception:
+            # A message must not end the controller. It ends the link, and on the next one the peer
+            # sends its state in full.
             log.exception("message from peer not handled")
 
     async def _handle(self, link: FrameLink, envelope: pb.Envelope) -> None:
-        """Handle a message and send its reply, if it is a call or gossip."""
+        """Handle a message and send its reply, if it has one or is a call or gossip."""
         try:
             reply = await self.handle_message(envelope)
             if reply is None:
@@ -180,20 +192,24 @@
     # --- sending
 
     async def enqueue(self, node: int, envelope: pb.Envelope) -> None:
-        """Send a message one way, without waiting for a peer that is slow or silent."""
+        """Queue a message for a peer, without waiting until it is sent.
+
+        It is dropped if there is no open link to the peer.
+        """
         link = self.links.get(node)
         if link is not None and not link.closed:
             envelope.sender = self.context.node
             await link.enqueue(envelope.SerializeToString())
 
     async def send(self, node: int, envelope: pb.Envelope) -> None:
-        """Send a message one way, waiting until it is sent.
+        """Send a message without expecting a reply, and wait until it is sent.
 
-        Raises PeerBusyError or PeerUnavailableError; the caller sends again what is lost.
+        Raises PeerBusyError or PeerUnavailableError. Sending a lost message again is left to the
+        caller.
         """
         link = self.links.get(node)
         if link is None or link.closed:
-            raise PeerUnavailableError(f"no link to {node}")
+            raise PeerUnavailableError(f"no link to controller {node}")
         envelope.sender = self.context.node
         try:
             await link.send(envelope.SerializeToString(), self.context.tuning.reply_wait_s)
@@ -204,7 +220,11 @@
             raise PeerUnavailableError(repr(error)) from error
 
     async def call(self, node: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
-        """Send a message and return its reply; PeerUnavailableError without one in `timeout_s`."""
+        """Send a message and return its reply.
+
+        Raises PeerUnavailableError if there is no link, the link ends, or no reply has arrived
+        after `timeout_s`.
+        """
         number = self.next_call
         self.next_call += 1
         call = self.calls[number] = PendingCall(node)
@@ -214,7 +234,7 @@
             async with curio.timeout_after(timeout_s):
                 await call.done.wait()
         except curio.TaskTimeout as error:
-            raise PeerUnavailableError(f"no reply from {node}") from error
+            raise PeerUnavailableError(f"no reply from controller {node}") from error
         finally:
             self.calls.pop(number, None)
         if call.reply is None:
--- a/starlingdeck/cluster/sharding.py
+++ b/starlingdeck/cluster/sharding.py
@@ -1,29 +1,29 @@
-"""The shard of a job or a machine, and the order in which controllers take over a shard."""
+"""Assignment of jobs and machines to shards, and the takeover order of each shard's controllers."""
 
 import zlib
 from collections.abc import Sequence
 
 
-def shard_of_job(job: str, shards: int) -> int:
-    """The shard of a job's id, of that many shards."""
-    return zlib.crc32(job.encode()) % shards
+def shard_of_job(job: str, shard_count: int) -> int:
+    """Return the shard of a job, given its id."""
+    return zlib.crc32(job.encode()) % shard_count
 
 
 def shard_of_machine(machine: str, zone: str, zones: Sequence[str]) -> int:
-    """The shard of a machine, where `zones[i]` is the zone of shard i's home controller.
+    """Return the shard of a machine, where `zones[i]` is the zone of shard i's home controller.
 
-    A machine belongs to a controller of its zone if there is one, so that a partition between
-    zones leaves the two together.
+    It is one with a home controller in the machine's zone if there is any, so that a partition
+    between zones doesn't separate a machine from its controller.
     """
-    same_zone = [shard for shard, z in enumerate(zones) if z == zone]
+    same_zone = [shard for shard, home_zone in enumerate(zones) if home_zone == zone]
     shards = same_zone or list(range(len(zones)))
     return shards[zlib.crc32(machine.encode()) % len(shards)]
 
 
 def failover_candidates(shard: int, zones: Sequence[str], live_nodes: Sequence[int]) -> list[int]:
-    """The live controllers in the order in which they should take over a shard.
+    """Return the live controllers in the order in which they should take over a shard.
 
-    First its home controller, then those of its home's zone, then the others.
+    The home controller comes first, then those of its zone, then the others.
     """
     count = len(zones)
 
--- a/starlingdeck/cluster/state_lease.py
+++ b/starlingdeck/cluster/state_lease.py
@@ -1,4 +1,4 @@
-"""This controller's lease at the state service, on which its node key and shard keys depend."""
+"""This controller's lease in the state service; its node key and shard keys are attached to it."""
 
 import logging
 
@@ -16,16 +16,18 @@
 log = logging.getLogger(__name__)
 
 NEVER_RENEWED = -1e9
-SAFETY_MARGIN_S = 0.2  # subtracted from a lease's time when its owner relies on it
+# Subtracted from the lease's time to live when this controller decides whether it still holds it.
+SAFETY_MARGIN_S = 0.2
 RENEWALS_PER_TTL = 4
-RETRY_S = 0.2  # after a failed renewal, plus up to as much again at random
+# Delay after a failed renewal. A random delay of up to the same length is added.
+RETRY_S = 0.2
 
 
 class StateLease:
-    """Obtains and renews the lease, and announces this controller under it.
+    """Obtains and renews the lease, and writes this controller's node key, attached to it.
 
-    Times are of the controller's steady clock, in seconds; a renewal counts from when it was
-    sent, because the state service counts it from some later time.
+    Times are on the controller's steady clock, in seconds. A renewal counts from the time when it
+    was sent, because the state service counts it from a later one.
     """
 
     def __init__(self, context: ControllerContext, state: StateClient) -> None:
@@ -35,18 +37,21 @@
         self.lease_id = 0  # 0: no lease
         self.renewed_at = NEVER_RENEWED
         self.boot_id = context.rng.getrandbits(48)
-        self.announced = False  # the node key exists under the current lease
-        self.reachable = True  # the last renewal reached the state service
+        self.announced = False  # whether the node key was written under the current lease
+        self.reachable = True  # whether the last renewal succeeded
 
     def is_valid(self) -> bool:
-        """Whether the lease certainly exists, so that no other controller took over a shard."""
+        """Return whether the lease certainly still exists.
+
+        As long as it does, no other controller can have taken over a shard of this one.
+        """
         return self.lease_id > 0 and self.context.now() < self.renewed_at + self._safe_ttl_s()
 
     def may_renew_worker_leases(self) -> bool:
-        """Whether workers' leases may be renewed.
+        """Return whether workers' leases may be renewed.
 
-        During an outage of the state service that is so for a bounded time after the state
-        lease's end.
+        During an outage of the state service they may be for a bounded time, also after the state
+        lease has ended.
         """
         allowed_s = max(self._safe_ttl_s(), self.context.outage_renewal_s)
         return self.lease_id > 0 and self.context.now() < self.renewed_at + allowed_s
@@ -57,7 +62,7 @@
     async def renew(self) -> float:
         """Obtain or renew the lease; return the seconds until the next renewal.
 
-        Raises LeaseLostError when the lease has ended: the next call obtains a new one.
+        Raises LeaseLostError when the lease has ended; the next call obtains a new one.
         """
         try:
             await self._obtain_or_renew()
@@ -88,17 +93,17 @@
         self.announced = False
 
     async def _announce(self) -> None:
-        """Write this controller's node key, which ends with the lease."""
+        """Write this controller's node key, which is deleted when the lease ends."""
         value = NodeValue(self.context.node, self.boot_id)
         change = put_change(records.node_key(self.context.node), value, self.lease_id)
         await self.state.transact({}, [change], True)
         self.announced = True
 
     def on_node_key_deleted(self) -> None:
-        """Announce this controller again with the next renewal.
+        """Have the next renewal write the node key again.
 
-        The deleted key may be one that a former process wrote late, or the first announcement
-        may have got no answer. A controller that isn't announced never gets its shards back.
+        The deleted key may be one that a former process wrote late, or the first write may have
+        got no response. A controller without a node key never gets its shards back.
         """
         if self.lease_id:
             log.info("node key deleted: node=%d", self.context.node)
