--- a/starlingdeck/sync/desired_state_sync.py
+++ b/starlingdeck/sync/desired_state_sync.py
@@ -1,7 +1,8 @@
 """Desired state of machine shards: which tasks the job shards want to run on their machines.
 
-Each job shard sends its part to every machine shard: what changed, or everything on a new link,
-to a new owner, and when the last message was not acknowledged in time.
+Each job shard sends its part of the desired state to every machine shard. It sends the changes
+only, but everything on a new link, to a new owner, and when the last message was not acknowledged
+in time.
 """
 
 import math
@@ -16,13 +17,13 @@
 from starlingdeck.sync.owned_shards import OwnedShards
 from starlingdeck.transport.frames import FrameLink
 
-# A message is sent as often also without changes: its cancellation watermark says that nothing
-# else was cancelled up to a time, and workers' leases depend on it.
+# A message is sent at this interval even without changes: its cancellation watermark says that
+# nothing else was cancelled up to a time, and the renewal of workers' leases depends on it.
 RESEND_INTERVAL_S = 1.0
 
 
 class DesiredStateSync:
-    """Sends the desired state of owned job shards, and applies what owned machine shards get."""
+    """Sends desired state for owned job shards, and applies what owned machine shards receive."""
 
     def __init__(
         self,
@@ -37,10 +38,11 @@
         self.peers = peers
         self.owned = owned
         self.snapshots = snapshots
-        self.links: dict[tuple[int, int], FrameLink] = {}  # (job shard, machine shard) -> used last
+        # (job shard, machine shard) -> the link that the last message was sent on
+        self.links: dict[tuple[int, int], FrameLink] = {}
 
     async def send(self, now: float) -> None:
-        """Send the messages that are due, for as long as the state lease is valid."""
+        """Send the messages that are due; stop when the state lease is no longer valid."""
         for writer in list(self.owned.writers.values()):
             jobs = writer.shard
             if not jobs.loaded:
@@ -78,11 +80,11 @@
             await self.peers.enqueue(owner.node, pb.Envelope(desired_state=message))
 
     def watermark_ms(self, jobs: JobShard, machine_shard: int, epoch: int) -> int:
-        """The cancellation watermark: no cancellation up to this time is missing in the message.
+        """Return the cancellation watermark of the next message to a machine shard.
 
-        It is the latest time, by the clock of the machine shard's owner, that has arrived here
-        from it, before any cancellation was sent whose outcome is still unknown. 0 if there is
-        none.
+        The message lacks no cancellation up to this time. It is the latest wall-clock time of the
+        machine shard's owner that arrived here before the first of those cancellations was sent
+        whose outcome is still unknown. 0 if there is none.
         """
         snapshot = self.snapshots.get(machine_shard)
         if snapshot is None or snapshot.epoch != epoch:
@@ -91,13 +93,16 @@
         return snapshot.watermark_ms(min(unresolved.values(), default=math.inf))
 
     def apply(self, message: pb.DesiredState) -> None:
-        """Apply a message to its machine shard, if this controller owns that."""
+        """Apply a message to its machine shard, if this controller owns the shard."""
         machines = self.owned.machines.get(message.to_shard)
         if machines is not None:
             machines.apply_desired_state(message)
 
     def full_messages(self, node: int) -> Iterator[pb.Envelope]:
-        """All desired state to relay to a peer; its next direct messages are full."""
+        """Yield full messages for all machine shards of a peer, to be relayed.
+
+        The next messages sent to it directly are full, too.
+        """
         for writer in self.owned.writers.values():
             jobs = writer.shard
             for machine_shard, owner in self.membership.owners.items():
--- a/starlingdeck/sync/message_batch.py
+++ b/starlingdeck/sync/message_batch.py
@@ -1,7 +1,7 @@
-"""Several messages between controllers as one text, for relaying them through the store.
+"""Encoding of several messages between controllers as one text, to relay them through the store.
 
-A batch is each message's length in four bytes (big-endian) and its protobuf encoding, one after the
-other, compressed by zlib and encoded in base64.
+Each message is preceded by its length in four bytes (big-endian) and encoded in protobuf. The
+concatenation is compressed by zlib and encoded in base64.
 """
 
 import base64
@@ -29,7 +29,7 @@
 
 
 def decode_batch(text: str) -> list[pb.Envelope]:
-    """Decode the messages of a text; ValueError when it is malformed."""
+    """Decode the messages of a text. Raises ValueError when it is malformed."""
     try:
         return _split_batch(zlib.decompress(base64.b64decode(text)))
     except (zlib.error, binascii.Error, DecodeError) as error:
--- a/starlingdeck/sync/owned_shards.py
+++ b/starlingdeck/sync/owned_shards.py
@@ -1,4 +1,4 @@
-"""The parts of the shards that this controller owns."""
+"""The job and machine shards that this controller owns."""
 
 from collections.abc import Mapping
 
@@ -9,7 +9,7 @@
 
 
 class OwnedShards(Struct, frozen=True):
-    """By shard: the record writers, which have the jobs, and the machines.
+    """For each owned shard, the record writer with its job shard, and the machine shard.
 
     The controller adds and removes entries as it acquires and loses shards.
     """
--- a/starlingdeck/sync/relay.py
+++ b/starlingdeck/sync/relay.py
@@ -1,7 +1,8 @@
-"""Relay through the store: messages by keys of the state service, to peers without a direct link.
+"""Relay of messages through keys of the state service, to peers without a direct link.
 
-A text of encoded messages is split into parts, one a key, as the limits for values and transactions
-require. The receiver puts the parts of one text together. Texts to a peer are numbered.
+Messages are encoded as one text. It is split into fragments, each stored under a key of its own, to
+stay within the limits for values and transactions. Texts to a peer have sequence numbers, by which
+the receiver joins the fragments of one text.
 """
 
 import logging
@@ -29,36 +30,37 @@
 
 log = logging.getLogger(__name__)
 
-RELAY_AFTER_S = 1.5  # how long a peer must have been unreachable
-RELAY_INTERVAL_S = 2.0  # between the starts of two texts to a peer
-MAX_TRANSACTION_BYTES = 48_000  # of a transaction's 64 KiB, for the parts of a text
-RESERVED_VALUE_BYTES = 200  # of a value's limit, for the fields around a part
-NEVER = -1e9
+RELAY_AFTER_S = 1.5  # a peer must have been unreachable for this long
+RELAY_INTERVAL_S = 2.0  # minimum time between the starts of two texts to a peer
+# Total size of the fragments in one transaction, which may have 64 KiB in all.
+MAX_TEXT_BYTES_PER_TRANSACTION = 48_000
+RESERVED_BYTES_PER_VALUE = 200  # for the fields around a fragment
+NEVER = -1e9  # a time before any other
 
 
 class RelayText(NamedTuple):
-    """Messages to one controller, encoded as a text."""
+    """Messages to one controller, encoded as one text."""
 
     node: int
     text: str
 
 
 class IncomingText:
-    """The parts of a peer's newest text, as far as they have arrived."""
+    """The fragments of a peer's newest text that have arrived so far."""
 
-    def __init__(self, number: int) -> None:
-        self.number = number
-        self.pieces: dict[int, str] = {}
+    def __init__(self, sequence: int) -> None:
+        self.sequence = sequence
+        self.fragments: dict[int, str] = {}
 
-    def joined(self, parts: int) -> str | None:
-        """The whole text; None while one of its parts is missing."""
-        if not all(index in self.pieces for index in range(parts)):
+    def join(self, part_count: int) -> str | None:
+        """Return the whole text, or None while a fragment is missing."""
+        if not all(index in self.fragments for index in range(part_count)):
             return None
-        return "".join(self.pieces[index] for index in range(parts))
+        return "".join(self.fragments[index] for index in range(part_count))
 
 
 class Relay:
-    """Writes texts for peers that are live but unreachable, and reads those of peers."""
+    """Writes texts to peers that are live but unreachable, and reads those written by peers."""
 
     def __init__(
         self,
@@ -75,13 +77,13 @@
         self.peers = peers
         self.snapshots = snapshots
         self.desired_state = desired_state
-        self.started_at: dict[int, float] = {}  # by node: of the last text
-        self.text_numbers: dict[int, int] = {}  # by node: of the last text
+        self.last_started_at: dict[int, float] = {}  # node -> start of the last text to it
+        self.last_sequences: dict[int, int] = {}  # node -> number of the last text to it
         self.writing: set[int] = set()  # nodes to which a text is being written
         self.incoming: dict[int, IncomingText] = {}  # by sender
 
     def build_due_texts(self, now: float, build_gossip: Callable[[], pb.Gossip]) -> list[RelayText]:
-        """The texts that are due; each has to be written with `write`."""
+        """Build the texts that are due. The caller has to write each of them with `write`."""
         lease_valid = self.membership.lease_is_valid()
         if not lease_valid:
             return []
@@ -89,7 +91,7 @@
         for node in range(self.context.shard_count):
             if not self._is_due(node, now):
                 continue
-            self.started_at[node] = now
+            self.last_started_at[node] = now
             batch = [
                 pb.Envelope(sender=self.context.node, gossip=build_gossip()),
                 *self.snapshots.full_messages(node, lease_valid),
@@ -100,9 +102,9 @@
         return texts
 
     def _is_due(self, node: int, now: float) -> bool:
-        """Whether a new text to a controller is to be written.
+        """Return whether a new text to a controller is due.
 
-        Not while the last one is still being written: replaced by a new one every
+        None is while the last one is still being written: if it were replaced every
         RELAY_INTERVAL_S, a text that takes longer than that would never arrive.
         """
         if node == self.context.node or self.peers.is_reachable(node) or node in self.writing:
@@ -111,10 +113,10 @@
             return False
         if self.peers.unreachable_s(node) < RELAY_AFTER_S:
             return False
-        return now - self.started_at.get(node, NEVER) >= RELAY_INTERVAL_S
+        return now - self.last_started_at.get(node, NEVER) >= RELAY_INTERVAL_S
 
     async def write(self, node: int, text: str) -> None:
-        """Write a text to a controller; after that, also if it fails, the next may begin."""
+        """Write a text to a controller. The next one may begin when this ends, even if it fails."""
         try:
             await self._write_parts(node, text)
         except (StateError, TransactionConflictError, LeaseLostError) as error:
@@ -124,20 +126,24 @@
 
     async def _write_parts(self, node: int, text: str) -> None:
         limits = self.context.settings.settings.state
-        size = min(int(limits.value_kb * 1000) - RESERVED_VALUE_BYTES, MAX_TRANSACTION_BYTES)
-        pieces = [text[start : start + size] for start in range(0, len(text), size)]
-        number = self.text_numbers[node] = self.text_numbers.get(node, 0) + 1
-        per_transaction = max(1, min(limits.txn_ops, MAX_TRANSACTION_BYTES // size))
-        for first in range(0, len(pieces), per_transaction):
-            if number != self.text_numbers[node]:
-                # A newer text is being written over this one: the receiver must not put parts
-                # of both together.
+        size = min(
+            int(limits.value_kb * 1000) - RESERVED_BYTES_PER_VALUE, MAX_TEXT_BYTES_PER_TRANSACTION
+        )
+        fragments = [text[start : start + size] for start in range(0, len(text), size)]
+        sequence = self.last_sequences[node] = self.last_sequences.get(node, 0) + 1
+        per_transaction = max(1, min(limits.txn_ops, MAX_TEXT_BYTES_PER_TRANSACTION // size))
+        for first in range(0, len(fragments), per_transaction):
+            if sequence != self.last_sequences[node]:
+                # A newer text is being written over this one: the receiver must not join
+                # fragments of both.
                 return
             changes = [
-                self._part_change(node, index, records.RelayPart(number, len(pieces), piece))
-                for index, piece in enumerate(pieces[first : first + per_transaction], first)
+                self._part_change(
+                    node, index, records.RelayPart(sequence, len(fragments), fragment)
+                )
+                for index, fragment in enumerate(fragments[first : first + per_transaction], first)
             ]
-            # Urgent, because workers' leases depend on the watermarks in it.
+            # Urgent, because workers' leases depend on the watermarks in the text.
             await self.state.transact({}, changes, True)
 
     def _part_change(self, node: int, index: int, part: records.RelayPart) -> api.Change:
@@ -147,19 +153,20 @@
     async def receive(
         self, key: str, value: msgspec.Raw, on_message: Callable[[pb.Envelope], Awaitable[object]]
     ) -> bool:
-        """Handle one part; the last of a text passes its messages to `on_message`.
+        """Handle one part; when its text is complete, pass the messages to `on_message`.
 
-        True if messages were passed on. Raises ValueError for a malformed key or text.
+        Returns whether messages were passed on. Raises ValueError for a malformed key or text, and
+        msgspec.DecodeError for a malformed value.
         """
         sender, to, index = records.parse_relay_key(key)
         if to != self.context.node or sender == self.context.node:
             return False
         part = msgspec.json.decode(value, type=records.RelayPart)
         incoming = self.incoming.get(sender)
-        if incoming is None or incoming.number != part.sequence:
+        if incoming is None or incoming.sequence != part.sequence:
             incoming = self.incoming[sender] = IncomingText(part.sequence)
-        incoming.pieces[index] = part.fragment
-        text = incoming.joined(part.part_count)
+        incoming.fragments[index] = part.fragment
+        text = incoming.join(part.part_count)
         if text is None:
             return False
         del self.incoming[sender]
--- a/starlingdeck/sync/snapshot_sync.py
+++ b/starlingdeck/sync/snapshot_sync.py
@@ -1,7 +1,7 @@
-"""Snapshots of machine shards: publishing own ones to peers and applying those of peers.
+"""Snapshots of machine shards: publishing those of owned shards to peers, and applying peers' ones.
 
 A link carries messages in order. The first snapshot on a link is full, the others are differences
-to the one before. A receiver that missed one asks for a full one.
+to the one before. A receiver that missed one requests a full one.
 """
 
 from collections.abc import Iterator
@@ -18,13 +18,14 @@
 from starlingdeck.sync.owned_shards import OwnedShards
 from starlingdeck.transport.frames import FrameLink
 
-SNAPSHOT_INTERVAL_S = 0.08  # between snapshots of a shard that changes
-RESEND_INTERVAL_S = 1.0  # between snapshots of a shard that doesn't
-REEVALUATE_INTERVAL_S = 2.0  # between evaluations of all attempts on a shard, changed or not
+SNAPSHOT_INTERVAL_S = 0.08  # between snapshots of a shard that has changed
+RESEND_INTERVAL_S = 1.0  # between snapshots of a shard that has not changed
+# Between evaluations of all attempts on a shard's machines, including unchanged machines.
+REEVALUATE_INTERVAL_S = 2.0
 
 
 class SnapshotResult(Enum):
-    """What applying a snapshot led to."""
+    """The outcome of applying a snapshot."""
 
     UNCHANGED = "no recorded attempt changed"
     ATTEMPTS_CHANGED = "recorded attempts changed"
@@ -32,7 +33,7 @@
 
 
 class SnapshotSync:
-    """Publishes the snapshots of owned machine shards, and keeps the latest of every shard."""
+    """Publishes the snapshots of owned machine shards, and keeps the latest one of every shard."""
 
     def __init__(
         self,
@@ -49,10 +50,14 @@
         self.candidates = candidates
         self.snapshots: dict[int, ShardSnapshot] = {}
         self.sent_at: dict[int, float] = {}
-        self.links: dict[tuple[int, int], FrameLink] = {}  # (node, shard) -> used last
+        # (node, shard) -> the link that the last snapshot was sent on
+        self.links: dict[tuple[int, int], FrameLink] = {}
 
     async def publish(self, lease_valid: bool, now: float) -> bool:
-        """Send the snapshots that are due to all peers; True if recorded attempts changed."""
+        """Send the snapshots that are due to all peers, and apply them here.
+
+        Returns whether recorded attempts changed.
+        """
         attempts_changed = False
         for shard, machines in list(self.owned.machines.items()):
             if not self._is_due(shard, machines, now):
@@ -73,7 +78,7 @@
     async def _send_to_peers(
         self, machines: MachineShard, update: pb.Snapshot, lease_valid: bool
     ) -> None:
-        """Send an update on links that had the one before it, a full snapshot on others."""
+        """Send an update on links that carried the one before it, and a full snapshot on others."""
         update_envelope = pb.Envelope(snapshot=update)
         full_envelope: pb.Envelope | None = None
         for node, link in list(self.peers.links.items()):
@@ -102,7 +107,10 @@
         return SnapshotResult.UNCHANGED
 
     def _evaluate(self, snapshot: ShardSnapshot, changed_machines: set[int]) -> bool:
-        """Evaluate attempts on changed machines, at times on all; True if any changed."""
+        """Evaluate the attempts on changed machines, every REEVALUATE_INTERVAL_S on all machines.
+
+        Returns whether any attempt changed.
+        """
         now = self.context.now()
         machines: set[int] | None = changed_machines
         if now - snapshot.evaluated_at >= REEVALUATE_INTERVAL_S:
@@ -115,23 +123,26 @@
         return attempts_changed
 
     def reevaluate_all(self, jobs: JobShard) -> None:
-        """Evaluate all attempts of a shard that was just loaded against the known snapshots."""
+        """Evaluate all attempts of a job shard that was just loaded against the known snapshots."""
         for snapshot in self.snapshots.values():
             jobs.apply_snapshot(snapshot, None)
 
     def on_resync_request(self, node: int, shard: int) -> None:
-        """Send the shard's next snapshot, at once, in full to a peer that missed one."""
+        """Make the shard's next snapshot due at once, and full for a peer that missed one."""
         self.links.pop((node, shard), None)
         self.sent_at.pop(shard, None)
 
     def full_messages(self, node: int, lease_valid: bool) -> Iterator[pb.Envelope]:
-        """Full snapshots of all owned shards to relay to a peer; its next direct one is full."""
+        """Yield full snapshots of all owned shards, to be relayed to a peer.
+
+        The next snapshots sent to it directly are full, too.
+        """
         for shard, machines in self.owned.machines.items():
             yield pb.Envelope(snapshot=machines.full_snapshot(lease_valid))
             self.links.pop((node, shard), None)
 
     def drop_expired(self, now: float) -> None:
-        """Forget the snapshots of shards from which none has come for a long time."""
+        """Drop the snapshots of shards that have sent none for `offline_drop_s` of the tuning."""
         max_age_s = self.context.tuning.offline_drop_s
         expired = [
             shard
--- a/starlingdeck/sync/state_sync.py
+++ b/starlingdeck/sync/state_sync.py
@@ -41,7 +41,10 @@
         )
 
     async def publish_snapshots(self, lease_valid: bool, now: float) -> bool:
-        """Send the snapshots that are due to all peers; True if recorded attempts changed."""
+        """Send the snapshots that are due to all peers, and apply them here.
+
+        Returns whether recorded attempts changed.
+        """
         return await self.snapshot_sync.publish(lease_valid, now)
 
     def apply_snapshot(self, message: pb.Snapshot) -> SnapshotResult:
@@ -49,15 +52,15 @@
         return self.snapshot_sync.apply(message)
 
     def on_resync_request(self, node: int, shard: int) -> None:
-        """Send the shard's next snapshot in full to a peer that missed one."""
+        """Make the shard's next snapshot due at once, and full for a peer that missed one."""
         self.snapshot_sync.on_resync_request(node, shard)
 
     def reevaluate_all(self, jobs: JobShard) -> None:
-        """Evaluate all attempts of a shard that was just loaded."""
+        """Evaluate all attempts of a job shard that was just loaded."""
         self.snapshot_sync.reevaluate_all(jobs)
 
     def drop_expired(self, now: float) -> None:
-        """Forget old snapshots."""
+        """Drop the snapshots of shards that have sent none for `offline_drop_s` of the tuning."""
         self.snapshot_sync.drop_expired(now)
 
     async def send_desired_state(self, now: float) -> None:
@@ -71,15 +74,22 @@
     def build_relay_texts(
         self, now: float, build_gossip: Callable[[], pb.Gossip]
     ) -> list[RelayText]:
-        """The texts that are due to unreachable peers, each to be written by `write_relay`."""
+        """Build the texts that are due to unreachable peers.
+
+        The caller has to write each of them with `write_relay`.
+        """
         return self.relay.build_due_texts(now, build_gossip)
 
     async def write_relay(self, node: int, text: str) -> None:
-        """Write a text to a peer through the store."""
+        """Write a text to a peer through the state service."""
         await self.relay.write(node, text)
 
     async def receive_relay(
         self, key: str, value: msgspec.Raw, on_message: Callable[[pb.Envelope], Awaitable[object]]
     ) -> bool:
-        """Handle a relay key of a peer; True if its messages were passed on."""
+        """Handle a change of a relay key.
+
+        Returns whether it completed a text, whose messages were passed to `on_message`. Raises
+        ValueError for a malformed key or text, and msgspec.DecodeError for a malformed value.
+        """
         return await self.relay.receive(key, value, on_message)
