--- a/starlingdeck/controller/__init__.py
+++ b/starlingdeck/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller process: wiring of its parts, its loops, its periodic metrics."""
+"""The controller process: wiring of its parts, request and message handlers, loops, metrics."""
--- a/starlingdeck/controller/autoscaling_loop.py
+++ b/starlingdeck/controller/autoscaling_loop.py
@@ -1,4 +1,4 @@
-"""The loop that runs the autoscaler at the owner of shard 0."""
+"""The loop that runs the autoscaler on the controller that owns shard 0."""
 
 import logging
 
@@ -20,7 +20,7 @@
 
 
 class AutoscalingLoop(Struct, kw_only=True, eq=False, dict=True):
-    """Steps the autoscaler while shard 0 is owned here and the lease is valid."""
+    """Steps the autoscaler while this controller owns shard 0 and its lease is valid."""
 
     context: ControllerContext
     membership: Membership
@@ -31,7 +31,7 @@
     autoscaler: Autoscaler | None = None
 
     def on_shard_acquired(self, shard: int, token: int) -> None:
-        """Start with an autoscaler of this ownership's own if it is the shard that scales."""
+        """Create a new autoscaler for this ownership if the shard is AUTOSCALING_SHARD."""
         if shard == AUTOSCALING_SHARD:
             self.autoscaler = Autoscaler(
                 self.context,
@@ -43,12 +43,12 @@
             )
 
     def on_shard_lost(self, shard: int) -> None:
-        """Stop scaling if it was the shard that scales."""
+        """Stop autoscaling if the shard is AUTOSCALING_SHARD."""
         if shard == AUTOSCALING_SHARD:
             self.autoscaler = None
 
     async def run(self) -> None:
-        """Step the autoscaler, with a pause after an error of the cloud."""
+        """Step the autoscaler until cancelled, with an additional pause after a cloud error."""
         while True:
             await curio.sleep(AUTOSCALING_INTERVAL_S)
             if self.autoscaler is None or not self.membership.lease_is_valid():
--- a/starlingdeck/controller/cluster_keys.py
+++ b/starlingdeck/controller/cluster_keys.py
@@ -1,4 +1,4 @@
-"""Dispatch of changed cluster keys of the state service that are neither nodes nor shards."""
+"""Dispatch of changes of cluster keys that membership doesn't handle itself."""
 
 from collections.abc import Mapping
 
@@ -17,7 +17,7 @@
 
 
 class ClusterKeyHandler(Struct, kw_only=True, eq=False, dict=True):
-    """Hands each event of the watch to the part whose key has changed."""
+    """Passes each event of the cluster watch to the component that the key belongs to."""
 
     writers: Mapping[int, RecordWriter]
     mailbox: Mailbox
@@ -25,12 +25,15 @@
     admission: AdmissionController
     candidates: CandidatePool
     state_sync: StateSync
-    on_message: MessageHandler  # takes the messages of a relay
+    on_message: MessageHandler  # handles the messages of a relayed text
     wake: curio.Event
     flush: curio.Event
 
     async def handle(self, event: api.Event) -> None:
-        """Handle one event; a deletion names no key of interest here and is ignored."""
+        """Handle one event. Deletions are ignored.
+
+        Raises ValueError or msgspec.DecodeError for a malformed key or value.
+        """
         key = event.put or ""
         durable = self.admission.durable
         if key.startswith(records.MAILBOX):
--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller: construction and wiring of its parts, and the shards that it owns."""
+"""A controller: construction and wiring of its components, and the shards that it owns."""
 
 import curio
 
@@ -44,11 +44,11 @@
 from starlingdeck.transport.server import HttpServer, Request, Response
 
 MIN_OPEN_CONNECTIONS = 16
-CLIENT_CONNECTION_DIVISOR = 4  # of the machine's connections a quarter is the HTTP client's
-SERVER_CONNECTION_SHARE = 0.6
-MAX_IDLE_CONNECTIONS = 4
-CLOUD_RATE_SHARE = 0.8  # of the cloud's limit of requests
-CLOUD_BURST = 1.5
+CLIENT_CONNECTION_DIVISOR = 4  # the HTTP client may open a quarter of the machine's connections
+SERVER_CONNECTION_SHARE = 0.6  # of the machine's connections, for the HTTP server
+MAX_IDLE_CONNECTIONS = 4  # of the HTTP client to each address
+CLOUD_RATE_SHARE = 0.8  # of the cloud's request rate limit
+CLOUD_BURST_S = 1.5
 LINKS_PER_CONTROLLER = 4
 
 
@@ -57,18 +57,18 @@
 
 
 class Controller:
-    """Builds the parts of a controller and connects them.
+    """Builds the components of a controller and connects them.
 
-    Parts that depend on each other both ways are connected by the methods of this class, which
-    look the later part up when they are called.
+    Where a component calls one that is built after it, it calls a method of this class, which
+    looks the later component up at the time of the call.
     """
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        self.wake = curio.Event()  # the reconciler and the planner have something to do
-        self.flush = curio.Event()  # records or snapshots are to be written
-        self.writers: dict[int, RecordWriter] = {}  # by shard owned here
-        self.machines: dict[int, MachineShard] = {}  # by shard owned here
+        self.wake = curio.Event()  # set when the reconciler and the planner have something to do
+        self.flush = curio.Event()  # set when records are to be written
+        self.writers: dict[int, RecordWriter] = {}  # by owned shard
+        self.machines: dict[int, MachineShard] = {}  # by owned shard
         self._build_clients()
         self._build_cluster_parts()
         self._build_job_parts()
@@ -78,7 +78,7 @@
         self._build_loops()
 
     def _build_clients(self) -> None:
-        """The connections to the state service and the cloud, within their request limits."""
+        """Create the clients of the state service and the cloud, within their request limits."""
         context = self.context
         deployment, external = context.settings.settings, context.settings.external
         max_connections = deployment.machine_limits.max_connections
@@ -89,17 +89,17 @@
         )
         self.state = StateClient(self.http, external.state, self.request_budget, context.now)
         cloud_limiter = TokenBucket(
-            deployment.cloud.rps * CLOUD_RATE_SHARE, CLOUD_BURST, context.now
+            deployment.cloud.rps * CLOUD_RATE_SHARE, CLOUD_BURST_S, context.now
         )
         self.cloud_client = CloudClient(self.http, external.cloud, cloud_limiter)
 
     def _build_cluster_parts(self) -> None:
-        """Ownership of shards and the links to the other controllers."""
+        """Create the membership with its shard ownership, and the links to other controllers."""
         self.membership = Membership(self.context, self.state, self)
         self.peers = Peers(self.context, self.on_message, self.build_gossip, self.on_resync_request)
 
     def _build_job_parts(self) -> None:
-        """Admission of jobs, and the API of their users."""
+        """Create job admission and the job API."""
         self.mailbox = Mailbox(self.context, self.membership, self.wake)
         self.quota_transfer = QuotaTransfer(
             self.context, self.state, self.membership, self.writers, self.wake
@@ -117,7 +117,7 @@
         self.job_api = JobApi(services)
 
     def _build_scheduling_parts(self) -> None:
-        """The exchange of snapshots and desired state, and the scheduler on top of it."""
+        """Create state synchronisation and the scheduler that depends on it."""
         context = self.context
         self.candidates = CandidatePool(context, self.membership, self.peers)
         owned = OwnedShards(self.writers, self.machines)
@@ -144,7 +144,7 @@
         )
 
     def _build_fleet_parts(self) -> None:
-        """Machines: their heartbeats, the calls to their workers, renting and returning them."""
+        """Create what handles machines: heartbeats, calls to workers, types and autoscaling."""
         self.heartbeat_api = HeartbeatApi(self.context, self.membership, self.peers, self.machines)
         self.worker_caller = WorkerCaller(
             context=self.context, http=self.http, machines=self.machines, wake=self.wake
@@ -161,7 +161,7 @@
         )
 
     def _build_handlers(self) -> None:
-        """The handlers of what comes in: HTTP requests, messages of peers, changed keys."""
+        """Create the handlers of HTTP requests, peers' messages and changed cluster keys."""
         self.gossip = GossipExchange(
             context=self.context,
             membership=self.membership,
@@ -203,7 +203,7 @@
         )
 
     def _build_loops(self) -> None:
-        """The work that is done on this controller's own account."""
+        """Create the background loops, the shard loader and the HTTP server."""
         self.shard_loader = ShardLoader(
             context=self.context,
             writers=self.writers,
@@ -242,13 +242,13 @@
         )
 
     def register_plugin(self, plugin: DurablePlugin) -> None:
-        """Put a further kind of limit in force; to be called before `run`."""
+        """Add an admission plugin. Must be called before `run`."""
         self.admission.register(plugin)
 
     # --- running
 
     async def run(self) -> None:
-        """Serve and run all loops until the process is killed."""
+        """Serve requests and run all loops until the process is killed."""
         await self.peers.run(self._frame_server())
         async with curio.TaskGroup() as group:
             for loop in self._loops():
@@ -290,16 +290,16 @@
         )
 
     async def update_machine_types(self) -> None:
-        """Keep the machine types and their prices as the cloud last gave them."""
+        """Keep the machine types and their prices up to date with the cloud."""
         store = self.machine_type_store
         await refresh_machine_types(self.context, self.cloud_client, store.load, store.store)
 
-    # --- shards owned here
+    # --- owned shards
 
     async def on_shard_acquired(self, shard: int, token: int, epoch: int, wait_s: float) -> None:
-        """Take over a shard: build its parts, load its records, announce its token.
+        """Start serving a shard: create its components, load its records, announce its token.
 
-        `wait_s` is how long leases that a former owner has granted may last.
+        Former owners may renew workers' leases for another `wait_s` seconds.
         """
         jobs = JobShard(self.context, shard, token, epoch)
         writer = RecordWriter(self.context, self.state, jobs, self.admission.durable)
@@ -317,53 +317,54 @@
             )
 
     async def on_shard_lost(self, shard: int) -> None:
-        """Drop the parts of a shard that is owned here no longer."""
+        """Drop the components of a shard that this controller no longer owns."""
         self.writers.pop(shard, None)
         self.machines.pop(shard, None)
         self.autoscaling.on_shard_lost(shard)
 
     async def on_token_raised(self, shard: int, token: int) -> None:
-        """Use the new token of a shard whose ownership goes on."""
+        """Use the new token of a shard that this controller continues to own."""
         writer, machines = self.writers.get(shard), self.machines.get(shard)
         if writer is not None:
-            # A write that met the raised key before we knew of it took the shard for lost.
+            # A write that ran into the raised key before the new token was known here has marked
+            # the ownership as lost.
             writer.shard.token, writer.ownership_lost = token, False
         if machines is not None:
             machines.token = token
 
     def may_hand_back(self, shard: int) -> bool:
-        """Whether a shard may go back to its preferred controller, which is alive again.
+        """Return whether a shard may be returned to its home controller, which is live again.
 
-        That we can't reach that controller is no reason to keep the shard: its machines may be
-        cut off from us just as the controller is.
+        It may be even if this controller can't reach the home controller: the shard's machines may
+        be cut off from this controller, too.
         """
         writer = self.writers.get(shard)
         return self.membership.lease_is_valid() and writer is not None and writer.shard.loaded
 
-    # --- entry points of parts that are built before the one they call
+    # --- entry points for components that are built before the one they call
 
     async def on_cluster_key(self, event: api.Event) -> None:
-        """A cluster key has changed that is neither a node nor a shard."""
+        """Handle a change of a cluster key that membership doesn't handle itself."""
         await self.cluster_keys.handle(event)
 
     async def on_message(self, envelope: pb.Envelope) -> pb.Envelope | None:
-        """A message of a peer has come; the reply, if it has one."""
+        """Handle a peer's message and return its reply, if it has one."""
         return await self.peer_messages.handle(envelope)
 
     def on_reserve(self, request: pb.ReserveRequest) -> pb.ReserveReply:
-        """Reserve capacity on machines owned here."""
+        """Reserve capacity on machines of an owned shard."""
         return self.peer_messages.reserve(request)
 
     def on_resync_request(self, node: int, shard: int) -> None:
-        """A peer needs a full snapshot of a shard."""
+        """Have the next snapshot of a shard sent in full to a peer."""
         self.state_sync.on_resync_request(node, shard)
 
     def build_gossip(self) -> pb.Gossip:
-        """This controller's gossip as of now."""
+        """Return this controller's current gossip."""
         return self.gossip.build()
 
     def request_wake(self) -> None:
-        """Have the scheduler woken once the request in progress is answered."""
+        """Have the reconciler and the planner woken once the current request is answered."""
         self.http_router.request_wake()
 
     async def serve(self, request: Request) -> Response:
@@ -371,5 +372,5 @@
         return await self.http_router.serve(request)
 
     async def reconcile(self) -> None:
-        """Run one round of reconciliation."""
+        """Run one round of reconciliation over all owned shards."""
         await self.reconciler.reconcile()
--- a/starlingdeck/controller/deleted_machines.py
+++ b/starlingdeck/controller/deleted_machines.py
@@ -1,18 +1,19 @@
-"""Machines that the cloud has deleted, as all controllers announce them to each other."""
+"""Machines that the cloud has deleted, which controllers announce to each other by gossip."""
 
 from collections.abc import Iterable, Iterator, Mapping
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.machines.machine_shard import MachineShard
 
-ANNOUNCE_S = 60.0  # how long each controller that learns of a deleted machine announces it
+ANNOUNCE_S = 60.0  # a controller announces a deleted machine for this long after learning of it
 
 
 class DeletedMachines:
-    """The machines known to be deleted, and since when.
+    """The names of deleted machines, with the times when this controller learned of them.
 
-    A name is remembered for longer than all controllers together announce it: otherwise one that
-    had forgotten a name took it as new from one that still announced it, for ever.
+    A name is kept for longer than all controllers together announce it. Otherwise a controller
+    that had dropped a name would take it as new from one that still announces it, and the name
+    would circulate for ever.
     """
 
     def __init__(self, context: ControllerContext, machines: Mapping[int, MachineShard]) -> None:
@@ -27,7 +28,7 @@
         return name in self.deleted_at
 
     def record(self, names: Iterable[str]) -> None:
-        """Mark machines as deleted in all shards, and drop names that are old enough."""
+        """Mark machines as deleted in all owned shards, and drop names that are old enough."""
         now = self.context.now()
         retention_s = ANNOUNCE_S * (self.context.shard_count + 1)
         for name in names:
@@ -38,12 +39,12 @@
             del self.deleted_at[name]
 
     def record_announced(self, names: Iterable[str]) -> None:
-        """Take over what a peer announces, as far as it is new here."""
+        """Record the machines that a peer announces and that are not known here yet."""
         fresh = [name for name in names if name not in self.deleted_at]
         if fresh:
             self.record(fresh)
 
     def announced(self) -> Iterator[str]:
-        """The names to announce to peers now."""
+        """Return the names to announce to peers now."""
         now = self.context.now()
         return (name for name, at in self.deleted_at.items() if now - at <= ANNOUNCE_S)
--- a/starlingdeck/controller/gossip.py
+++ b/starlingdeck/controller/gossip.py
@@ -25,7 +25,7 @@
     deleted_machines: DeletedMachines
 
     def build(self) -> pb.Gossip:
-        """What every peer is to know of this controller and of what it has learned."""
+        """Build the gossip message that is sent to every peer."""
         gossip = pb.Gossip()
         for shard, owner in self.membership.owners.items():
             gossip.ownerships.add(
@@ -62,7 +62,7 @@
             )
 
     async def apply(self, sender: int, gossip: pb.Gossip) -> None:
-        """Apply the gossip of a peer, `sender`'s index among the members."""
+        """Apply the gossip of a peer. `sender` is its index among the members."""
         for item in gossip.ownerships:
             owner = ShardOwner(item.node, item.token, item.epoch)
             await self.membership.observe_owner(item.shard, owner)
--- a/starlingdeck/controller/http_router.py
+++ b/starlingdeck/controller/http_router.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-SLOW_RESPONSE_S = 0.15  # a change answered later than this is logged at level debug
+SLOW_RESPONSE_S = 0.15  # slower responses to change requests are logged at level debug
 
 
 def _is_under(request: Request, path: str) -> bool:
@@ -25,7 +25,7 @@
 
 
 class HttpRouter(Struct, kw_only=True, eq=False, dict=True):
-    """Serves every request that reaches the controller's public address."""
+    """Serves the HTTP requests that arrive at the controller's public address."""
 
     context: ControllerContext
     membership: Membership
@@ -34,14 +34,14 @@
     job_api: JobApi
     heartbeat_api: HeartbeatApi
     wake: curio.Event
-    wake_requested: bool = False  # a request has changed what is to be scheduled
+    wake_requested: bool = False  # whether a request has changed what is to be scheduled
 
     def request_wake(self) -> None:
-        """Have the scheduler woken once the request in progress is answered."""
+        """Have the reconciler and the planner woken once the current request is answered."""
         self.wake_requested = True
 
     async def serve(self, request: Request) -> Response:
-        """Answer one request, then wake the reconciler if it has changed anything."""
+        """Answer one request, then wake the reconciler and the planner if it changed anything."""
         durable = self.admission.durable
         if request.path == api.REPORT:
             if request.method != "POST":
@@ -74,7 +74,7 @@
         self.context.latencies.record(f"answer {kind}", took_s)
         if kind == "change" and (took_s > SLOW_RESPONSE_S or response.status >= 400):
             log.debug(
-                "change answered: status=%d seconds=%.3f body=%s",
+                "slow or failed change request: status=%d seconds=%.3f body=%s",
                 response.status,
                 took_s,
                 response.body,
@@ -82,10 +82,11 @@
         return response
 
     def health(self) -> Response:
-        """Whether users and workers should use this controller.
+        """Return 200 if users and workers should use this controller, else 503.
 
-        With neither the state service nor a peer every answer is a refusal: while the workers'
-        leases are still renewed, users are better off elsewhere.
+        A controller that reaches neither the state service nor a peer has to refuse every user's
+        request. It reports itself unhealthy although it may still renew workers' leases, so that
+        users are sent to other controllers. It also does while it knows no machine types.
         """
         peer_reachable = any(
             self.peers.is_reachable(node)
--- a/starlingdeck/controller/machine_type_store.py
+++ b/starlingdeck/controller/machine_type_store.py
@@ -1,4 +1,4 @@
-"""Machine types stored in the state service, for a start while the cloud can't be reached."""
+"""Storage of the machine types in the state service, for starts while the cloud is unreachable."""
 
 import logging
 from collections.abc import Container
@@ -17,11 +17,11 @@
 
 log = logging.getLogger(__name__)
 
-STORING_SHARD = 0  # its owner stores the types
+STORING_SHARD = 0  # only the owner of this shard stores the types
 
 
 class MachineTypeStore:
-    """Reads and writes the machine types' key; only the owner of shard 0 writes it."""
+    """Reads and writes the key of the machine types; only the owner of STORING_SHARD writes it."""
 
     def __init__(
         self, context: ControllerContext, state: StateClient, owned_shards: Container[int]
@@ -32,7 +32,7 @@
         self.stored: list[api.MachineType] = []
 
     async def load(self) -> list[api.MachineType]:
-        """The machine types that a controller last read from the cloud; none if unreadable."""
+        """Return the stored machine types; an empty list if there are none or reading fails."""
         try:
             entry = await self.state.get(records.TYPES, True)
             if entry is not None:
@@ -42,7 +42,10 @@
         return []
 
     async def store(self, types: list[api.MachineType]) -> None:
-        """Store the types if anything but their prices has changed."""
+        """Store the types if anything but their prices has changed since they were last stored.
+
+        Errors are logged; the next call tries again.
+        """
         unpriced = [msgspec.structs.replace(t, price=0.0, spot_price=0.0) for t in types]
         if STORING_SHARD not in self.owned_shards or unpriced == self.stored:
             return
--- a/starlingdeck/controller/metrics_report.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -1,4 +1,4 @@
-"""The metrics that a controller logs once a minute."""
+"""Metrics that a controller logs once a minute."""
 
 import logging
 from collections.abc import Iterator, Mapping
@@ -18,12 +18,12 @@
 log = logging.getLogger(__name__)
 
 METRICS_INTERVAL_S = 60.0
-LARGEST_JOBS_DIVISOR = 10  # of each class the largest tenth is watched for starvation
-MIN_CPUS = 1e-9  # so that jobs without CPUs are ordered by their tasks
+LARGEST_JOBS_DIVISOR = 10  # the largest tenth of the jobs of each class is checked for starvation
+MIN_CPUS = 1e-9  # sizes jobs that request no CPUs by their number of tasks
 
 
 class MetricsReporter(Struct, kw_only=True, eq=False, dict=True):
-    """Logs the metrics of all parts of a controller, a line each."""
+    """Logs the metrics of all components of a controller, one per line."""
 
     context: ControllerContext
     http_server: HttpServer
@@ -33,7 +33,7 @@
     overload: OverloadController | None
 
     async def run(self) -> None:
-        """Log the metrics every `METRICS_INTERVAL_S`; the profile of tasks at level debug."""
+        """Log the metrics every METRICS_INTERVAL_S, and the profile of tasks at level debug."""
         while True:
             await curio.sleep(METRICS_INTERVAL_S)
             for line in self.lines():
@@ -43,7 +43,7 @@
                     log.debug("%s", line)
 
     def lines(self) -> Iterator[str]:
-        """The lines of one interval; latencies and counters are reset after it."""
+        """Yield the lines for the interval since the last call; resets latencies and counters."""
         yield from self.context.latencies.lines()
         yield from self.context.counters.lines(waiting_tasks(self.context, self.writers))
         if self.admission.durable is not None:
@@ -56,7 +56,11 @@
 
 
 def connection_line(server: HttpServer) -> str:
-    """Open connections of users and workers, and what the connection limit did since the start."""
+    """Return the line with the HTTP server's open connections.
+
+    Connections refused, evicted, or closed with the response because of the connection limit are
+    counted since the start.
+    """
     connections = server.connections
     return (
         f"connections: open={connections.open} limit={connections.limit} "
@@ -66,7 +70,10 @@
 
 
 def reachability_lines(shards: Mapping[int, MachineShard]) -> Iterator[str]:
-    """For each machine shard: machines that our messages don't reach, and unanswered heartbeats."""
+    """Yield a line for each machine shard, with its unreachable machines and rejected reports.
+
+    Unreachable machines send reports but seem to receive nothing from this controller.
+    """
     for shard, machines in shards.items():
         unreachable_s = machines.unreachable_counts()
         yield (
@@ -81,7 +88,11 @@
 def starvation_lines(
     context: ControllerContext, writers: Mapping[int, RecordWriter], admission: AdmissionController
 ) -> Iterator[str]:
-    """For each class's largest tenth: the job that has waited longest to start, and why."""
+    """Yield a line for each team and class with its oldest large job that has not started, and why.
+
+    Large jobs are the largest tenth by requested CPUs. There is no line if all of them have
+    started.
+    """
     jobs_by_class: dict[tuple[str, str], list[Job]] = {}
     for writer in writers.values():
         for job in writer.shard.jobs.values():
@@ -105,7 +116,7 @@
 def waiting_tasks(
     context: ControllerContext, writers: Mapping[int, RecordWriter]
 ) -> Iterator[WaitingTasks]:
-    """The tasks here that wait for a machine, job by job."""
+    """Yield the number of tasks waiting for a machine for each job of the owned shards."""
     now_ms = context.wall_clock_ms()
     for writer in writers.values():
         for job in writer.shard.jobs.values():
--- a/starlingdeck/controller/peer_messages.py
+++ b/starlingdeck/controller/peer_messages.py
@@ -1,4 +1,4 @@
-"""Dispatch of messages from other controllers to the parts that handle them."""
+"""Dispatch of messages from other controllers to the components that handle them."""
 
 from collections.abc import Mapping
 
@@ -16,7 +16,7 @@
 
 
 class PeerMessageHandler(Struct, kw_only=True, eq=False, dict=True):
-    """Handles one message of a peer at a time and builds its reply, if it has one."""
+    """Handles messages of peers and builds their replies."""
 
     membership: Membership
     machines: Mapping[int, MachineShard]
@@ -28,7 +28,7 @@
     flush: curio.Event
 
     async def handle(self, envelope: pb.Envelope) -> pb.Envelope | None:
-        """Handle a message; None if it has no reply."""
+        """Handle a message. Returns its reply, or None if it has none."""
         kind = envelope.WhichOneof("body")
         if kind == "gossip":
             await self.gossip.apply(envelope.sender, envelope.gossip)
@@ -46,7 +46,7 @@
         return None
 
     async def _apply_snapshot(self, snapshot: pb.Snapshot) -> pb.Envelope | None:
-        """Apply a snapshot; ask for a full one when a difference follows none applied here."""
+        """Apply a snapshot; request a full one if the one before it was missed."""
         result = self.state_sync.apply_snapshot(snapshot)
         if result is SnapshotResult.RESYNC_NEEDED:
             return pb.Envelope(resync_request=pb.ResyncRequest(shard=snapshot.shard))
@@ -62,7 +62,10 @@
         return pb.ForwardReply(status=response.status, body=response.body)
 
     def reserve(self, request: pb.ReserveRequest) -> pb.ReserveReply:
-        """Reserve capacity on machines owned here; grants nothing without a valid lease."""
+        """Reserve capacity on machines of an owned shard.
+
+        The reply grants nothing if this controller doesn't own the shard or its lease is invalid.
+        """
         machines = self.machines.get(request.to_shard)
         if machines is None or not self.membership.lease_is_valid():
             return pb.ReserveReply()
--- a/starlingdeck/controller/reconciler.py
+++ b/starlingdeck/controller/reconciler.py
@@ -1,4 +1,4 @@
-"""The reconciliation loop: from observed state to desired state, at this controller's shards."""
+"""The reconciliation loop, which brings owned shards from their observed to their desired state."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -23,11 +23,11 @@
 log = logging.getLogger(__name__)
 
 MAX_RECONCILE_INTERVAL_S = 0.1
-MIN_RECONCILE_INTERVAL_S = 0.04  # what arrives meanwhile is handled together
+MIN_RECONCILE_INTERVAL_S = 0.04  # changes that arrive within it are handled in one round
 
 
 class Reconciler(Struct, kw_only=True, eq=False, dict=True):
-    """Calls workers, publishes snapshots and sends desired state, a round at a time."""
+    """Calls workers, publishes snapshots and sends desired state, in rounds."""
 
     context: ControllerContext
     request_budget: RequestBudget
@@ -41,7 +41,7 @@
     flush: curio.Event
 
     async def run(self) -> None:
-        """Reconcile whenever woken, and at least every `MAX_RECONCILE_INTERVAL_S`."""
+        """Reconcile when woken, and after MAX_RECONCILE_INTERVAL_S at the latest."""
         while True:
             async with curio.ignore_after(MAX_RECONCILE_INTERVAL_S):
                 await self.wake.wait()
@@ -50,21 +50,22 @@
             await curio.sleep(MIN_RECONCILE_INTERVAL_S)
 
     async def reconcile(self) -> None:
-        """One round over all shards owned here."""
-        valid = self.membership.lease_is_valid()
+        """Run one round over all owned shards."""
+        lease_valid = self.membership.lease_is_valid()
         now = self.context.now()
-        if valid:
+        if lease_valid:
             self.request_budget.share_among(len(self.membership.live_nodes))
         for shard, machines in list(self.machines.items()):
-            await self.worker_caller.send_due_commands(machines, valid)
-            if valid and machines.needs_new_token():
+            await self.worker_caller.send_due_commands(machines, lease_valid)
+            if lease_valid and machines.needs_new_token():
                 await self._raise_token(shard)
-        if await self.state_sync.publish_snapshots(valid, now):
+        if await self.state_sync.publish_snapshots(lease_valid, now):
             await self.flush.set()
         self.state_sync.drop_expired(now)
-        if valid:
-            # A former owner's desired state, the first to reach a new owner of machines, started a
-            # long cancelled task again: only who surely owns the shard says what is desired.
+        if lease_valid:
+            # Only a controller that certainly owns a job shard may send its desired state. A former
+            # owner's was the first to reach a new owner of machines, and restarted a task that had
+            # been cancelled long before.
             await self.state_sync.send_desired_state(now)
             for node, text in self.state_sync.build_relay_texts(now, self.build_gossip):
                 await curio.spawn(self.state_sync.write_relay, node, text, daemon=True)
--- a/starlingdeck/controller/record_flusher.py
+++ b/starlingdeck/controller/record_flusher.py
@@ -14,11 +14,11 @@
 
 log = logging.getLogger(__name__)
 
-OWNERSHIP_CHECK_DELAY_S = 0.1  # for the membership to read the shard's key again
+OWNERSHIP_CHECK_DELAY_S = 0.1  # gives the membership time to read the shard's key again
 
 
 class RecordFlusher(Struct, kw_only=True, eq=False, dict=True):
-    """Flushes the record writers of all shards owned here."""
+    """Flushes the record writers of all owned shards."""
 
     context: ControllerContext
     membership: Membership
@@ -27,7 +27,7 @@
     flush: curio.Event
 
     async def run(self) -> None:
-        """Flush whenever there is something to write, and when a writer's idle wait is over."""
+        """Flush when woken by `flush`, and when the shortest idle wait of a writer is over."""
         while True:
             idle_s = min((w.idle_wait_s for w in self.writers.values()), default=IDLE_WAIT_S)
             async with curio.ignore_after(idle_s):
--- a/starlingdeck/controller/shard_loader.py
+++ b/starlingdeck/controller/shard_loader.py
@@ -1,4 +1,4 @@
-"""Loading of a job shard's records after its ownership was acquired."""
+"""Loading of a job shard's records after the shard was acquired."""
 
 import logging
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 
 
 class ShardLoader(Struct, kw_only=True, eq=False, dict=True):
-    """Reads a shard's quota, mailbox and records until it is loaded or owned here no longer."""
+    """Reads quotas, and the mailbox and records of a shard that was acquired."""
 
     context: ControllerContext
     writers: Mapping[int, RecordWriter]
@@ -29,7 +29,7 @@
     wake: curio.Event
 
     async def load(self, writer: RecordWriter) -> None:
-        """Load the shard of a writer, with retries."""
+        """Load a writer's shard; retry until it is loaded or no longer owned here."""
         shard = writer.shard.shard
         while self.writers.get(shard) is writer and not writer.shard.loaded:
             try:
@@ -40,7 +40,8 @@
         await self.wake.set()
 
     async def _load_once(self, writer: RecordWriter) -> None:
-        # The former owner may have transferred quota that our watch has not delivered yet.
+        # The former owner may have transferred quota by a change that the watch has not delivered
+        # yet.
         for entry in (await writer.state.read(records.QUOTA))[0]:
             self.quota_transfer.on_key_changed(entry.key, entry.value, entry.version)
         prefix = records.mailbox_key(writer.shard.shard, "")
--- a/starlingdeck/controller/supervision.py
+++ b/starlingdeck/controller/supervision.py
@@ -15,12 +15,12 @@
 
 
 async def supervise(loop: Loop, rng: random.Random) -> None:
-    """Run a loop for ever: after an unforeseen error, log it and start the loop again."""
+    """Run a loop for ever: when it fails, log the error and restart it after a delay."""
     name = loop.__qualname__
     (await curio.current_task()).name = name
     while True:
         try:
             await loop()
-        except Exception:  # outermost edge of the task: one loop's fault must not end the process
+        except Exception:  # an error of one loop must not end the process
             log.exception("loop failed, restarting: loop=%s", name)
             await curio.sleep(MIN_RESTART_DELAY_S + RESTART_JITTER_S * rng.random())
--- a/starlingdeck/controller/worker_caller.py
+++ b/starlingdeck/controller/worker_caller.py
@@ -1,4 +1,4 @@
-"""Calls from the controller to workers: commands, probes and the announcement of a new token."""
+"""Calls from the controller to workers: commands, probes and announcements of a new token."""
 
 import curio
 import msgspec
@@ -12,38 +12,42 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.transport.client import ConnectionFailedError, HttpClient, NoResponseError
 
-RESERVED_CONNECTIONS = 16  # connections left to the state service and the cloud
-MIN_CALLS = 8
+RESERVED_CONNECTIONS = 16  # connections of the HTTP client left to the state service and the cloud
+MIN_CALLS = 8  # lower bound of the limit of calls in flight
 CONNECTION_WAIT_S = 0.1
-LAUNCH_RETRY_S = 0.3  # until a start that the worker has not shown yet is sent again
+LAUNCH_RETRY_S = 0.3  # delay before a start that the worker has not reported yet is sent again
 
 
 class WorkerCaller(Struct, kw_only=True, eq=False, dict=True):
-    """Calls workers, never more at once than the HTTP client has connections for."""
+    """Calls workers, with a limited number of calls in flight.
+
+    The limit leaves RESERVED_CONNECTIONS of the HTTP client's connections to others, but is at
+    least MIN_CALLS.
+    """
 
     context: ControllerContext
     http: HttpClient
     machines: dict[int, MachineShard]
     wake: curio.Event
-    max_in_flight: int = 0  # set from what the HTTP client has
+    max_in_flight: int = 0  # set from the HTTP client's connection limit
     in_flight: int = 0
 
     def __post_init__(self) -> None:
         self.max_in_flight = max(MIN_CALLS, self.http.max_open - RESERVED_CONNECTIONS)
 
-    async def send_due_commands(self, machines: MachineShard, valid: bool) -> None:
+    async def send_due_commands(self, machines: MachineShard, lease_valid: bool) -> None:
         """Reconcile a shard and call the workers that have something to do.
 
-        `valid`: whether this controller's own lease is valid. What there is no connection for
-        stays due: a call that can't be made would count as unanswered, and after two of them a
-        machine gets no calls any more.
+        `lease_valid` is whether this controller's own lease is valid. Commands for which there is
+        no connection stay due: a call that can't be made would count as unanswered, and after two
+        unanswered calls a machine gets starts only with the responses to its reports.
         """
         machines.expire_leases()
         machines.deschedule()
         for machine in machines.reconcile():
             if self.in_flight >= self.max_in_flight:
                 continue
-            commands = machines.commands_for(machine, valid)
+            commands = machines.commands_for(machine, lease_valid)
             if commands.commands or machine.needs_probe or machine.unanswered_commands:
                 machine.command_in_flight = True
                 self.in_flight += 1
@@ -54,17 +58,21 @@
     async def announce_token_to_workers(
         self, machines: MachineShard, previous: ShardSnapshot
     ) -> None:
-        """Send a new owner's token to the machines of the last snapshot, and take their reports.
+        """Send a new owner's token to the machines of the last snapshot, and apply their reports.
 
-        Bounded in parallel: called all at once, the workers of a large fleet took every
-        connection, most calls failed without being made, and so did those to the state service.
+        The calls in flight are limited. When all workers of a large fleet were called at once,
+        they took every connection: most of the calls failed without being made, and so did
+        requests to the state service.
         """
         waiting = [entry for entry in previous.machines.values() if not entry.lost]
         for _ in range(min(self.max_in_flight, len(waiting))):
             await curio.spawn(self._announce_token, machines, waiting, daemon=True)
 
     async def _announce_token(self, machines: MachineShard, waiting: list[pb.MachineState]) -> None:
-        """One of several tasks that empty `waiting` while the shard is owned here."""
+        """Announce the token to machines taken from `waiting`, while the shard is owned here.
+
+        Several tasks run this on the same list until it is empty.
+        """
         while waiting and self.machines.get(machines.shard) is machines:
             if self.in_flight >= self.max_in_flight:
                 await curio.sleep(CONNECTION_WAIT_S)
@@ -77,7 +85,7 @@
     async def _call(
         self, machines: MachineShard, machine: Machine | None, address: str, commands: api.Commands
     ) -> None:
-        """Make a call that counts as in flight until it has ended."""
+        """Make a call that the caller has counted as in flight; uncount it when it has ended."""
         try:
             await self.send_commands(machines, machine, address, commands)
         finally:
@@ -86,9 +94,10 @@
     async def send_commands(
         self, machines: MachineShard, machine: Machine | None, address: str, commands: api.Commands
     ) -> None:
-        """Send commands to a worker; the response's body is its newest report.
+        """Send commands to a worker, and apply the report that its response contains.
 
-        `machine` is None while a new owner has no report of the machine yet.
+        `machine` is None while a new owner has no report of the machine yet. A call without a
+        valid response is recorded as unanswered.
         """
         position = machine.position() if machine is not None else None
         try:
