--- a/starlingdeck/context.py
+++ b/starlingdeck/context.py
@@ -1,4 +1,4 @@
-"""The context that all parts of a controller share: settings, names, machine types, clocks."""
+"""Context shared by all components of a controller: settings, names, machine types, clocks."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -13,12 +13,14 @@
 from starlingdeck.quarantine import Quarantine
 
 Resources = tuple[float, float, float]  # processors, GPUs, memory in GB
-UNBOUNDED = 1_000_000  # tasks: more than any job has
-CLOCK_DRIFT = 1.002  # ratio of two steady clocks, which drift by at most 0.05% each, with a margin
-# From the end of the last lease renewed under a watermark to when a task not in it must be gone.
+UNBOUNDED = 1_000_000  # stands for any number of tasks: no job has as many
+# Maximum ratio of the rates of two steady clocks. Each drifts by at most 0.05%; the rest is margin.
+CLOCK_DRIFT = 1.002
+# Minimum time between the end of the last lease renewed under a cancellation watermark and the
+# time when a task cancelled after that watermark must be gone.
 WATERMARK_MARGIN_S = 2.0
-# From the end of the last lease renewed in an outage to when a cancelled task must be gone: the
-# larger of a time and a share of `cancel_s`.
+# Minimum time between the end of the last lease renewed in an outage and the time when a cancelled
+# task must be gone: the larger of MIN_OUTAGE_MARGIN_S and a share of `cancel_s`.
 MIN_OUTAGE_MARGIN_S = 4.0
 OUTAGE_MARGIN_SHARE = 0.15
 LEASE_EXPIRY_MARGIN_S = 0.3
@@ -26,9 +28,10 @@
 
 
 class ControllerContext(Struct):
-    """What every part of one controller reads, and the registries that all of them add to.
+    """Settings, clocks and registries shared by the components of one controller.
 
-    `now` is the steady clock in seconds. `rng` is the only source of random decisions.
+    `now` returns the time of the steady clock in seconds. `rng` is the only source of random
+    decisions.
     """
 
     settings: Settings
@@ -45,7 +48,7 @@
     machine_types: dict[int, MachineType] = field(default_factory=dict)
     latencies: LatencyHistograms = field(default_factory=LatencyHistograms)
     counters: Counters = field(default_factory=Counters)
-    profiler: TaskProfiler | None = None  # at log level debug
+    profiler: TaskProfiler | None = None  # set at log level debug
     quarantine: Quarantine = field(default_factory=Quarantine)
     node: int = 0
     shard_count: int = 1
@@ -60,31 +63,33 @@
             self.team_names.intern(team.name)
 
     def quarantine_after_failure(self, kind: str, name: str, error: BaseException) -> None:
-        """Quarantine something whose processing failed."""
+        """Quarantine a job, machine or record whose processing failed."""
         self.quarantine.add(kind, name, error, self.now())
 
     def is_quarantined(self, kind: str, name: str) -> bool:
-        """Whether something must not be processed yet after a failure."""
+        """Return whether something must not be processed yet after a failure."""
         return self.quarantine.is_quarantined(kind, name, self.now())
 
     def update_machine_types(self, types: list[MachineType]) -> None:
         """Add or replace machine types; an invalid one is quarantined."""
-        for kind in types:
-            if not is_valid_machine_type(kind):
-                self.quarantine_after_failure("machine type", kind.name, ValueError(str(kind)))
+        for machine_type in types:
+            if not is_valid_machine_type(machine_type):
+                self.quarantine_after_failure(
+                    "machine type", machine_type.name, ValueError(str(machine_type))
+                )
                 continue
-            self.machine_types[self.type_names.intern(kind.name)] = kind
+            self.machine_types[self.type_names.intern(machine_type.name)] = machine_type
 
     def node_name(self, node: int) -> str:
-        """The host name of a controller."""
+        """Return the host name of a controller."""
         return self.settings.members()[node][0]
 
     @property
     def outage_renewal_s(self) -> float:
-        """How long an owner goes on renewing workers' leases without the state service, in seconds.
+        """How long an owner may renew workers' leases without the state service, in seconds.
 
-        This time and a lease must be over before a cancelled task must be gone, because the
-        cancelling controller may be unable to reach this one.
+        This time, followed by one lease, must be over before a cancelled task must be gone, because
+        the cancelling controller may be unable to reach this one.
         """
         workers = self.settings.settings.workers
         margin_s = max(MIN_OUTAGE_MARGIN_S, OUTAGE_MARGIN_SHARE * workers.cancel_s)
@@ -94,8 +99,8 @@
     def watermark_lifetime_s(self) -> float:
         """How long a task's lease is renewed under one cancellation watermark, in seconds.
 
-        A cancellation acknowledged after the watermark may be unknown here: this time and a lease
-        must be over before the cancelled task must be gone.
+        A cancellation acknowledged after the watermark may be unknown here. This time, followed by
+        one lease, must therefore be over before the cancelled task must be gone.
         """
         workers = self.settings.settings.workers
         cancel_s = workers.cancel_s / CLOCK_DRIFT
@@ -108,8 +113,9 @@
 
 
 def fits(size: Sequence[float], available: Sequence[float]) -> bool:
-    """Whether requested resources fit into the available ones, up to rounding errors."""
-    # Written out: called hundreds of thousands of times a minute, it was the costliest line.
+    """Return whether requested resources fit into the available ones, up to rounding errors."""
+    # Not written as a loop over the resources: it is called hundreds of thousands of times a
+    # minute, and was the costliest line.
     cpus, gpus, memory_gb = size
     return (
         cpus <= available[0] + 1e-9
@@ -119,7 +125,10 @@
 
 
 def fit_count(size: Resources, available: Sequence[float]) -> int:
-    """How many tasks of a size fit; at most UNBOUNDED, also for a size of zero."""
+    """Return how many tasks of a size fit.
+
+    The result is at most UNBOUNDED, which it is for a size of zero.
+    """
     counts = (
         min(UNBOUNDED, (amount + FIT_TOLERANCE) / requested)
         for requested, amount in zip(size, available, strict=True)
@@ -129,10 +138,10 @@
 
 
 def requested_resources(spec: JobSpec) -> Resources:
-    """The resources of one task of a job."""
+    """Return the resources that one task of a job requests."""
     return (spec.cpus, spec.gpus, spec.memory_gb)
 
 
-def machine_capacity(kind: MachineType) -> Resources:
-    """The resources of an empty machine of a type."""
-    return (kind.cpus, kind.gpus, kind.memory_gb)
+def machine_capacity(machine_type: MachineType) -> Resources:
+    """Return the resources of an empty machine of a type."""
+    return (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
