--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""A whole controller, driven without network or clock."""
+"""A whole controller, run without a network and on a simulated clock."""
 
 import itertools
 import random
@@ -31,8 +31,8 @@
 
 
 def test_a_worker_is_not_redirected_to_an_unreachable_owner() -> None:
-    """A controller lost the network; its peers redirected its workers to it until its shard was
-    taken over, each of them waited for it in vain, and 50 tasks ended with their leases."""
+    """A controller lost the network. Until its shard was taken over, its peers redirected its
+    workers to it, each of which waited for it in vain; 50 tasks ended because their leases did."""
     clock = Clock()
     node = Controller(make_context(clock))
     node.membership.owners[1] = ShardOwner(1, 5, 77)
@@ -50,7 +50,7 @@
 
 
 def test_heartbeats_of_a_worker_that_cannot_reach_its_owner_are_forwarded() -> None:
-    """A controller that lost only its workers went on owning its shard; peers redirected the
+    """A controller that only its workers couldn't reach kept its shard, and peers redirected the
     workers to it until their leases ended."""
     clock = Clock()
     node, owner = Controller(make_context(clock)), Controller(make_context(clock, node=1))
@@ -84,7 +84,8 @@
 def test_a_controller_with_neither_state_service_nor_peers_is_not_healthy(
     state: bool, peer: bool, healthy: bool
 ) -> None:
-    """It renewed its workers' leases for 20 s more, and refused the users that were sent to it."""
+    """It reported itself healthy while it renewed its workers' leases for another 20 s, and refused
+    the requests of the users that were sent to it."""
     clock = Clock()
     node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = (
@@ -96,9 +97,9 @@
     assert (node.http_router.health().status == 200) is healthy
 
 
-def test_a_shard_is_handed_back_to_a_live_controller_that_we_cannot_reach() -> None:
-    """Zones were partitioned while both controllers of one zone restarted: the other zone's went on
-    owning their shards, whose workers they couldn't reach, and the leases ended."""
+def test_a_shard_is_handed_back_to_a_live_controller_that_its_owner_cannot_reach() -> None:
+    """Zones were partitioned while both controllers of one zone restarted. Those of the other zone
+    kept the shards, couldn't reach their workers, and the workers' leases ended."""
     clock = Clock()
     node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
@@ -110,7 +111,8 @@
 
 
 def test_a_controller_that_starts_while_the_cloud_is_down_loads_the_machine_types() -> None:
-    """All controllers restarted during a cloud outage, and none was healthy for 40 s."""
+    """All controllers restarted during a cloud outage, and none was healthy for 40 s, because none
+    knew the machine types."""
     state = FakeStateService(random.Random(1))
     first, second = Controller(make_context(Clock())), Controller(make_context(Clock(), node=1))
     for node in (first, second):
@@ -140,7 +142,7 @@
 
 
 def test_an_owner_cut_off_for_long_renews_no_worker_lease() -> None:
-    """It renews leases for a bounded time only: its successor relies on that."""
+    """The owner may renew leases for a bounded time only, and its successor relies on that."""
     clock = Clock()
     node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
@@ -161,8 +163,8 @@
 def linked_nodes(
     clock: Clock, state: FakeStateService, owner: int
 ) -> tuple[Controller, Controller]:
-    """Two controllers with a lease each; the first reaches the second, and `owner` of the two owns
-    the shard of j-000001."""
+    """Return two controllers with a lease each, of which the first can call the second. The one
+    with the index `owner` owns the shard of j-000001."""
     ours, theirs = Controller(make_context(clock)), Controller(make_context(clock, node=1))
     for node in (ours, theirs):
         node.job_api.services.state = FakeStateClient(state, 0.0)  # type: ignore[assignment]
@@ -185,7 +187,7 @@
 
 
 def test_a_submission_is_routed_through_a_peer_when_the_state_service_refuses_only_us() -> None:
-    """The owner of the job's shard answered 503 until its own lease was over."""
+    """The owner of the job's shard answered 503 until its own lease had ended."""
     state = FakeStateService(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 0)
     ours.job_api.services.state.cut = True  # type: ignore[attr-defined]
@@ -194,7 +196,7 @@
     assert curio.run(ours.serve, Request("POST", api.JOBS, body)).status == 201
     assert {k for k in state.keys if "j-000001" in k} == {
         records.job_key(shard, "j-000001"),
-        records.mailbox_key(shard, "j-000001"),  # so that the owner learns of it
+        records.mailbox_key(shard, "j-000001"),  # tells the owner of the shard about the job
     }
     theirs.job_api.services.state.cut = True  # type: ignore[attr-defined]
     refused = curio.run(
@@ -205,7 +207,8 @@
 
 
 def test_a_submission_is_stored_by_us_when_the_state_service_refuses_the_owner() -> None:
-    """Its 503 was forwarded to the user, though we could have stored the job ourselves."""
+    """The owner's 503 was forwarded to the user, although the controller that got the request could
+    have stored the job itself."""
     state = FakeStateService(random.Random(1))
     ours, theirs = linked_nodes(Clock(), state, 1)
     theirs.job_api.services.state.cut = True  # type: ignore[attr-defined]
@@ -217,19 +220,19 @@
 
 
 def test_live_controllers_share_the_request_budgets() -> None:
-    """One controller alone had the work of three, and a third of the requests."""
-    limit = RequestBudget(200.0, 60.0, 3, Clock().now)
-    limit.share_among(1)
-    assert limit.reads.rate == 180.0
-    assert limit.writes.rate == 54.0
-    limit.share_among(3)
-    assert limit.writes.rate == 18.0
-    assert limit.writes.burst == 18.0
+    """A controller left alone had the work of three, but only a third of the request budget."""
+    budget = RequestBudget(200.0, 60.0, 3, Clock().now)
+    budget.share_among(1)
+    assert budget.reads.rate == 180.0
+    assert budget.writes.rate == 54.0
+    budget.share_among(3)
+    assert budget.writes.rate == 18.0
+    assert budget.writes.burst == 18.0
 
 
 def test_a_shard_that_was_retaken_is_not_handed_back_again_at_once() -> None:
-    """A controller back from a partition was alive but hung in its old watch: its shard was handed
-    back, retaken and handed back again, three times in two seconds (incident a99b)."""
+    """A controller back from a partition was live but still blocked in its old watch: its shard was
+    handed back, retaken and handed back again, three times in two seconds (incident a99b)."""
     clock = Clock()
     node = Controller(make_context(clock))
     own = node.membership
@@ -255,8 +258,8 @@
 
 
 def test_a_write_that_conflicts_with_our_own_raised_token_loses_nothing() -> None:
-    """The key's new version was there before the response that reported it: the write's condition
-    failed, and the shard's records would never have been written again."""
+    """The key had its new version before the response with it had arrived. A write in between
+    failed its condition, and the shard's records would never have been written again."""
     clock = Clock()
     node = Controller(make_context(clock))
     own, state = node.membership, FakeStateService(random.Random(1))
@@ -284,8 +287,9 @@
 
 
 def test_only_an_owner_with_a_valid_lease_sends_desired_state() -> None:
-    """The first desired state to reach a new owner of machines came from a former owner of jobs; it
-    named a task that its successor had seen stopped and reaped: it was started once more."""
+    """The first desired state to reach a new owner of machines came from a former owner of a job
+    shard. It named a task that the successor had seen stopped and reaped, so that the task was
+    started once more."""
     clock = Clock()
     node = Controller(make_context(clock))
     node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""A package imports only from itself and from lower layers."""
+"""Packages import only from themselves and from lower layers."""
 
 import ast
 from collections.abc import Iterator
@@ -7,8 +7,8 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[1] / "starlingdeck"
-# As docs/architecture.md has them, the lowest first. Packages of one layer don't import each other;
-# those of the first layer may.
+# The layers of docs/architecture.md, lowest first. Packages of one layer must not import each
+# other, except those of the first layer.
 LAYERS = [
     {"transport", "protocol", "metrics", "fairness", "interning", "quarantine"},
     {"storage", "context"},
@@ -25,17 +25,17 @@
 
 
 def unit_of(path: Path) -> str:
-    """The package or top-level module that a file belongs to."""
+    """Return the package or top-level module that a file belongs to."""
     return unit_named(path.relative_to(ROOT).parts[0].removesuffix(".py"))
 
 
 def unit_named(name: str) -> str:
-    """The modules of the command line count as one."""
+    """Return the name of a package or top-level module; those of the command line count as one."""
     return "cli" if name in {"cli_client", "cli_counts", "__main__"} else name
 
 
 def imported_units(path: Path) -> Iterator[str]:
-    """The project's packages and top-level modules that a file imports, wherever it does."""
+    """Yield the project's packages and top-level modules that a file imports anywhere in it."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("starlingdeck."):
             yield unit_named((node.module or "").split(".")[1])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Shard ownership, driven against a simulated state service with leases, cuts and crashes."""
+"""Shard ownership against a simulated state service, with lost connections, outages and crashes."""
 
 import contextlib
 import random
@@ -25,12 +25,12 @@
 
 
 class LeasedState(FakeStateService):
-    """A state service with keys attached to leases, and a history to watch."""
+    """A state service with keys attached to leases, and with a history of events for watches."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__(random.Random(1))
         self.clock = clock
-        self.leases: dict[int, float] = {}  # lease -> when it ends
+        self.leases: dict[int, float] = {}  # lease -> time of its end
         self.ttl: dict[int, float] = {}
         self.attached: dict[str, int] = {}
         self.history: list[api.Event] = []
@@ -38,12 +38,12 @@
 
     def expire(self) -> None:
         if self.down:
-            return  # after an outage every lease has its full time again
+            return  # leases don't end in an outage; after it each has its full time to live again
         for lease in [i for i, at in self.leases.items() if at <= self.clock.at]:
             del self.leases[lease]
-            gone = [key for key, owner in self.attached.items() if owner == lease]
-            if gone:
-                self.change([api.Change(delete=key) for key in gone], {})
+            expired_keys = [key for key, owner in self.attached.items() if owner == lease]
+            if expired_keys:
+                self.change([api.Change(delete=key) for key in expired_keys], {})
 
     def change(self, changes: list[api.Change], conditions: dict[str, int]) -> list[str]:
         failed = self.apply(conditions, changes)
@@ -61,12 +61,12 @@
 
 
 class LeasedClient:
-    """One node's calls; while it is cut, or the service is down, none is executed."""
+    """The state client of one node. Calls are refused while it is cut or the service is down."""
 
     def __init__(self, state: LeasedState) -> None:
         self.state = state
         self.cut = False
-        self.unanswered = False  # calls are executed, but no answer comes
+        self.unanswered = False  # calls are executed, but get no response
 
     def _call(self) -> LeasedState:
         if self.cut or self.state.down:
@@ -76,7 +76,7 @@
 
     def _answer(self) -> None:
         if self.unanswered:
-            raise OutcomeUnknownError("no answer")
+            raise OutcomeUnknownError("no response")
 
     async def lease(self, ttl_s: float) -> int:
         state = self._call()
@@ -121,7 +121,7 @@
 
 
 class IgnoringHooks:
-    """Hooks that do nothing: only ownership itself is under test."""
+    """Hooks that do nothing, because only ownership itself is under test."""
 
     async def on_shard_acquired(self, shard: int, token: int, epoch: int, wait_s: float) -> None:
         """Nothing to start."""
@@ -136,12 +136,12 @@
         """No other keys are written."""
 
     def may_hand_back(self, shard: int) -> bool:
-        """A shard is always ready to be handed back."""
+        """Shards may always be handed back."""
         return True
 
 
 class Cluster:
-    """Three controllers' memberships under faults, with the invariants of ownership."""
+    """The memberships of three controllers under faults; checks the invariants of ownership."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -149,7 +149,7 @@
         self.clients = [LeasedClient(self.state) for _ in range(NODES)]
         self.nodes = [self.start(i) for i in range(NODES)]
         self.stalled: set[int] = set()
-        self.owners: dict[int, ShardOwner] = {}  # of each shard, as last checked
+        self.owners: dict[int, ShardOwner] = {}  # shard -> its owner at the last check
 
     def start(self, number: int) -> Membership:
         context = make_context(self.clock, seed=self.clock.wall_ms() + number, node=number)
@@ -182,7 +182,7 @@
                 self.state.leases[lease] = self.clock.at + self.state.ttl[lease]
 
     async def run(self, seconds: float) -> None:
-        """Every node that isn't stalled goes round its loops, in another order each time."""
+        """In each tick run the loops of all nodes that aren't stalled, in random order of nodes."""
         for _ in range(int(seconds / TICK_S)):
             self.clock.at += TICK_S
             self.check()
@@ -194,20 +194,20 @@
                         self.check()
 
     def check(self) -> None:
-        """A shard has at most one owner, and every new ownership has a higher token."""
+        """Check that a shard has at most one owner and that every new epoch has a higher token."""
         for shard in range(NODES):
             owners = [n for n in self.nodes if n.lease_is_valid() and shard in n.ownership.owned]
             assert len(owners) <= 1, f"shard {shard} has two owners"
             for node in owners:
                 owner = node.ownership.owned[shard]
                 last = self.owners.get(shard, ShardOwner(-1, 0, -1))
-                assert owner.token >= last.token, f"shard {shard}: its token fell"
+                assert owner.token >= last.token, f"shard {shard}: token decreased"
                 if (owner.node, owner.epoch) != (last.node, last.epoch):
-                    assert owner.token > last.token, f"shard {shard}: a new epoch, an old token"
+                    assert owner.token > last.token, f"shard {shard}: token reused in a new epoch"
                 self.owners[shard] = owner
 
     async def recover(self) -> None:
-        """End all faults and let the cluster settle."""
+        """End all faults and let the cluster settle for 25 s."""
         for client in self.clients:
             client.cut = client.unanswered = False
         if self.state.down:
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -1,4 +1,4 @@
-"""Snapshots and desired state as differences, and the relay."""
+"""Synchronisation between controllers: incremental snapshots and desired state, and the relay."""
 
 import random
 from collections.abc import Callable
@@ -52,15 +52,17 @@
     assert apply_snapshot_message(context, snapshots, late) is None
     assert apply_snapshot_message(context, snapshots, machines.full_snapshot(True)) is not None
     assert set(snapshots[1].machines) == {context.machine_names.intern("vm-2")}
-    # Older than what is known: ignored.
+    # A snapshot older than the last one applied is ignored.
     assert apply_snapshot_message(context, snapshots, late) == set()
 
 
 def assigned_to_a_published_machine() -> tuple[
     MachineShard, JobShard, Job, dict[int, ShardSnapshot]
 ]:
-    """A job whose task is recorded on vm-1, in desired state that the machine's owner has received
-    but not yet reconciled; the owner has published the machine before."""
+    """Return a job with a task recorded on vm-1, its shards, and the snapshots published so far.
+
+    The owner of vm-1 has published the machine. It has since received the desired state with the
+    task, but not reconciled it yet."""
     context = make_context(Clock())
     machines = MachineShard(context, 1, 5, 77, 0.0)
     jobs = JobShard(context, shard_of_job("j-000001", 3), 3, 9)
@@ -80,8 +82,8 @@
 
 
 def test_desired_state_is_not_acknowledged_before_it_is_reconciled() -> None:
-    """A snapshot sent in between acknowledged the desired state and lacked the task, which
-    would have freed a task that was about to start."""
+    """A snapshot between the arrival of desired state and its reconciliation acknowledged it but
+    lacked the task. The attempt would have been ended although it was about to start."""
     machines, jobs, job, snapshots = assigned_to_a_published_machine()
     context = machines.context
     for message in (machines.snapshot_update(True), machines.full_snapshot(True)):
@@ -98,9 +100,10 @@
 
 @pytest.mark.parametrize("every", [False, True])
 def test_a_machine_changed_since_it_was_reconciled_is_published(every: bool) -> None:
-    """While reconciling waited for a raised token, a report made the machine due again: the
-    snapshot acknowledged the desired state and left the machine out. Its last published state,
-    fenced and without the task, was taken for a rejection: the task had started, and ran twice."""
+    """While reconciling waited for a raised token, a report made the machine due again. The next
+    snapshot acknowledged the desired state but left the machine out. Its last published entry,
+    fenced and without the task, was taken for a rejection, although the task had started: it ran
+    twice."""
     machines, jobs, job, snapshots = assigned_to_a_published_machine()
     context = machines.context
     (machine,) = machines.reconcile()
@@ -146,7 +149,8 @@
 
 
 def test_a_relayed_text_of_many_parts_arrives() -> None:
-    """A text beyond a value's limit was dropped: a partitioned zone lost the relay it needed."""
+    """A text larger than the limit for a value was dropped, so that a partitioned zone had no
+    relay."""
     state = FakeStateService(random.Random(3))
     ours, theirs = Controller(make_context(Clock())), Controller(make_context(Clock(), node=1))
     payload = random.Random(5).randbytes(40_000)
@@ -173,8 +177,8 @@
 
 
 def test_parts_of_two_relayed_texts_do_not_mix() -> None:
-    """A text that waited to be written continued under a newer one's number: the receiver put
-    parts of both together."""
+    """A text whose writing was delayed continued under the number of a newer one, and the receiver
+    joined fragments of both."""
     ours, theirs = Controller(make_context(Clock())), Controller(make_context(Clock(), node=1))
     payloads = [random.Random(i).randbytes(90_000) for i in range(2)]
     texts = [
@@ -182,7 +186,8 @@
         for n in payloads
     ]
     arrived: list[list[api.Change]] = []
-    waits = [0.02, 0.0, 0.0, 0.0, 0.0, 0.0]  # the first one's first pieces, then the second's
+    # The first transaction of the first text is delayed beyond those of the second text.
+    waits = [0.02, 0.0, 0.0, 0.0, 0.0, 0.0]
 
     class Slow(FakeStateClient):
         async def transact(
@@ -219,7 +224,7 @@
 
 
 def test_a_link_whose_peer_receives_nothing_is_closed() -> None:
-    """Sending waited for the peer, and with it everything else that the controller does."""
+    """Sending to a peer that received nothing blocked the whole controller."""
 
     async def fill() -> frames.FrameLink:
         link = frames.FrameLink(None)
@@ -237,7 +242,7 @@
 
 
 def full_shard(node: Controller, machines: int) -> MachineShard:
-    """Shard 1 of that many machines, each with all the tasks and images it may have."""
+    """Give the controller shard 1: machines with FULL_TASKS tasks and FULL_IMAGES images each."""
     shard = MachineShard(node.context, 1, 5, 77, 0.0)
     for number in range(machines):
         tasks = [
@@ -259,7 +264,8 @@
 
 
 def test_a_full_snapshot_of_4000_full_machines_passes_over_a_link() -> None:
-    """It was larger than a link's backlog: the link was closed and dialled again, for ever."""
+    """The snapshot was larger than the backlog allowed on a link, so that the link was closed and
+    dialled again, endlessly."""
     clock = Clock()
     ours, theirs = Controller(make_context(clock, node=1)), Controller(make_context(clock))
     shard = full_shard(ours, 4_000)
@@ -282,7 +288,7 @@
         clock.at += 1.0
         shard.apply_report(report("vm-new"), True)
         shard.reconcile()
-        await ours.state_sync.publish_snapshots(True, clock.at)  # a difference to the one before
+        await ours.state_sync.publish_snapshots(True, clock.at)  # sent as a difference
         await until(lambda: "vm-new" in names())
         await drain.cancel()
         await serving.cancel()
@@ -293,11 +299,12 @@
     first = theirs.state_sync.snapshots[1].machines[theirs.context.machine_names.intern("vm-00000")]
     assert len(first.tasks) == FULL_TASKS
     assert len(first.images) == FULL_IMAGES
-    # Also for the largest fleet, half as many machines again, it is one frame.
+    # The snapshot of the largest fleet, with half as many machines again, also fits in one frame.
     size = len(pb.Envelope(snapshot=shard.full_snapshot(True)).SerializeToString())
     assert size * frames.MAX_MACHINES // 4_001 <= frames.MAX_FRAME
 
 
+# Report, delete a machine, reserve (h), let time pass, lose a snapshot: with a machine and a task.
 events = st.lists(
     st.tuples(st.sampled_from("rrrrdhtl"), st.integers(0, 3), st.integers(0, 2)), max_size=25
 )
@@ -308,8 +315,8 @@
 @example([("r", 1, 1), ("h", 0, 0), ("r", 1, 1)])
 @example([("r", 1, 0), ("t", 0, 0), *[("r", 0, 0)] * 6, ("t", 0, 0)])
 @example([("r", 1, 0), *[("r", 0, 0)] * 6, ("t", 0, 0), ("t", 0, 0), ("r", 1, 0)])
-def test_differences_add_up_to_the_whole(steps: list[tuple[str, int, int]]) -> None:
-    """Reports, deletions, reservations, time and lost views, against the view made whole."""
+def test_snapshot_differences_add_up_to_a_full_snapshot(steps: list[tuple[str, int, int]]) -> None:
+    """The applied differences equal a full snapshot, also after lost ones and a resync."""
     clock = Clock()
     context = make_context(clock)
     machines = MachineShard(context, 1, 5, 77, 0.0)
@@ -324,9 +331,9 @@
         elif kind == "d":
             machines.mark_deleted(f"vm-{number}")
         elif kind == "h":
-            ask = pb.ReserveRequest(to_shard=1, to_epoch=77, job=job)
-            ask.tasks.add(task=task + 5, attempt=1, machine=f"vm-{number}")
-            machines.reserve(ask)
+            request = pb.ReserveRequest(to_shard=1, to_epoch=77, job=job)
+            request.tasks.add(task=task + 5, attempt=1, machine=f"vm-{number}")
+            machines.reserve(request)
         clock.at += 4.0 if kind == "t" else 0.3
         machines.expire_leases()
         machines.deschedule()
@@ -339,23 +346,25 @@
             lost = False
             apply_snapshot_message(context, snapshots, machines.full_snapshot(True))
         if kind != "l":
-            whole: dict[int, ShardSnapshot] = {}
-            apply_snapshot_message(context, whole, machines.full_snapshot(True))
-            seen, want = snapshots[1].machines, whole[1].machines
-            for index, entry in (*seen.items(), *want.items()):
-                # What only time changes is counted on by who sees it. It alone also ends the time
-                # unconfirmed of a machine that has been silent for a lease.
+            full: dict[int, ShardSnapshot] = {}
+            apply_snapshot_message(context, full, machines.full_snapshot(True))
+            actual, expected = snapshots[1].machines, full[1].machines
+            for index, entry in (*actual.items(), *expected.items()):
+                # Values that only time changes are not published again: the receiver adds the time
+                # that has passed. Time alone also ends unconfirmed_s of a machine that has been
+                # silent for a lease.
                 silent_s = clock.at - machines.machines[index].last_message_at
                 unconfirmed = entry.unconfirmed_s > 0 and silent_s <= machines.state.lease_s
                 entry.silent_s = entry.idle_s = 0.0
                 entry.unconfirmed_s = float(unconfirmed)
                 del entry.youngest_s[:]
-            assert seen == want
+            assert actual == expected
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("pppelcw"), st.integers(0, 7)), max_size=30))
 def test_desired_state_matches_the_recorded_placements(steps: list[tuple[str, int]]) -> None:
+    """Place (p) or end (e) a task, cancel the job, lose a message (l) or send it in full (w)."""
     context = make_context(Clock())
     jobs = JobShard(context, 0, 3, 9)
     machines = MachineShard(context, 1, 5, 77, 0.0)
@@ -383,21 +392,22 @@
         message = jobs.desired_state_message(1, 77, kind == "w")
         if kind == "l" or not machines.apply_desired_state(message):
             assert machines.apply_desired_state(jobs.desired_state_message(1, 77, True))
-        there = {
+        expected = {
             (index, task_key(job.index, task)): (placement.attempt, job.cancelled)
             for task, placement in job.placements.items()
             for index in [placement.machine]
         }
-        listed = {
+        actual = {
             (index, key): (desired.attempt, desired.stop)
             for index, table in machines.desired_tasks.get(0, {}).items()
             for key, desired in table.items()
         }
-        assert listed == there
+        assert actual == expected
 
 
 def test_machines_known_only_to_a_former_owner_are_forgotten() -> None:
-    """They stayed in the candidate pool: chosen in vain, and never removed."""
+    """Machines that the new owner didn't know stayed in the candidate pool: they were chosen in
+    vain, and never removed."""
     clock = Clock()
     node = Controller(make_context(clock))
     for epoch, names in ((77, ("vm-1", "vm-2")), (78, ()), (78, ("vm-2",))):
