--- a/starlingdeck/context.py
+++ b/starlingdeck/context.py
@@ -86,7 +86,7 @@
 
     @property
     def outage_renewal_s(self) -> float:
-        """How long an owner may renew workers' leases without the state service, in seconds.
+        """Time for which an owner may renew workers' leases without the state service, in seconds.
 
         This time, followed by one lease, must be over before a cancelled task must be gone, because
         the cancelling controller may be unable to reach this one.
@@ -97,7 +97,7 @@
 
     @property
     def watermark_lifetime_s(self) -> float:
-        """How long a task's lease is renewed under one cancellation watermark, in seconds.
+        """Time for which a task's lease is renewed under one cancellation watermark, in seconds.
 
         A cancellation acknowledged after the watermark may be unknown here. This time, followed by
         one lease, must therefore be over before the cancelled task must be gone.
@@ -108,7 +108,7 @@
 
     @property
     def lease_expiry_s(self) -> float:
-        """How long after the last renewal a worker's lease has certainly expired, in seconds."""
+        """Time after the last renewal until a worker's lease has certainly expired, in seconds."""
         return self.settings.settings.workers.lease_s * CLOCK_DRIFT + LEASE_EXPIRY_MARGIN_S
 
 
--- a/starlingdeck/controller/__init__.py
+++ b/starlingdeck/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller process: wiring of its parts, request and message handlers, loops, metrics."""
+"""The controller process: its wiring, request and message handlers, loops, metrics."""
