--- a/starlingdeck/machines/descheduling.py
+++ b/starlingdeck/machines/descheduling.py
@@ -38,7 +38,7 @@
                 try:
                     self._deschedule(machine, now)
                 except Exception as error:  # one machine must not stop the others
-                    context.quarantine_failed("machine", machine.name, error)
+                    context.quarantine_after_failure("machine", machine.name, error)
 
     def _deschedule(self, machine: Machine, now: float) -> None:
         live = {
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -78,7 +78,7 @@
                 self._add_entry(message, machine)
             except Exception as error:  # one machine must not stop the others
                 # Unfenced and without tasks, so that nothing is concluded from the last entry.
-                state.context.quarantine_failed("machine", machine.name, error)
+                state.context.quarantine_after_failure("machine", machine.name, error)
                 del message.machines[before:]
                 message.machines.add(id=machine.name, session=machine.session)
 
