--- a/starlingdeck/scheduling/accumulation.py
+++ b/starlingdeck/scheduling/accumulation.py
@@ -1,4 +1,4 @@
-"""Machines that keep released resources until a task which needs more than is free fits there."""
+"""Chooses machines that accumulate released resources for tasks larger than the free capacity."""
 
 from collections.abc import Sequence
 
@@ -12,9 +12,10 @@
 
 
 def missing_share(job: Job, candidate: Candidate) -> float:
-    """What a task still lacks on a machine, as a share of what is in use there.
+    """Return the share of the resources in use on a machine that a task still lacks.
 
-    The larger it is, the longer the machine has to accumulate released resources.
+    It is the largest share of any resource, and 0 if the task fits. The larger it is, the longer
+    the machine has to accumulate released resources.
     """
     share = 0.0
     for size, available, capacity in zip(
@@ -28,11 +29,12 @@
 def accumulate_capacity(
     job: Job, tasks: Sequence[int], candidates: Sequence[Candidate], accumulating: set[int]
 ) -> list[PlacementDecision]:
-    """Choose machines to keep what is released there until one of the job's tasks fits.
+    """Choose machines that keep released resources until one of the job's tasks fits.
 
-    In a backlog of small tasks the capacity for a larger one is never free at once: each part of
-    it goes to the next small task. `accumulating` are the machines that do so already, and those
-    chosen are added; machines that lack the smallest share come first.
+    In a backlog of small tasks the capacity for a larger one is never free all at once: each
+    released part goes to the next small task. `accumulating` contains the machines that
+    accumulate already; the chosen ones are added to it. Machines with the smallest
+    `missing_share` are chosen first.
     """
     zone_counts = count_by_zone(job)
     decisions: list[PlacementDecision] = []
--- a/starlingdeck/scheduling/candidate_pool.py
+++ b/starlingdeck/scheduling/candidate_pool.py
@@ -1,7 +1,7 @@
-"""Every known machine as a placement candidate.
+"""Keeps every known machine as a placement candidate.
 
 A candidate's free capacity is that of the newest snapshot, less the pending allocations:
-reservations that this controller requested and the snapshot doesn't show yet.
+reservations that this controller has requested and the snapshot doesn't show yet.
 """
 
 from collections.abc import Collection, Iterator
@@ -16,8 +16,8 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
-UNANSWERED_RETENTION_S = 2.5  # how long a request without an answer counts as allocated
-GRANTED_RETENTION_S = 0.4  # how long after its grant: by then a snapshot shows it
+UNANSWERED_RETENTION_S = 2.5  # how long an unanswered request counts as allocated
+GRANTED_RETENTION_S = 0.4  # after its grant; by then a snapshot shows the reservation
 
 TaskKey = tuple[int, int]  # job index, task number
 
@@ -27,7 +27,7 @@
 
     expires_at: float
     size: Resources
-    candidate: Candidate  # as it was when it was chosen
+    candidate: Candidate  # the chosen one; a newer snapshot may have replaced it
     image: str
     granted: bool = False
 
@@ -41,39 +41,41 @@
         self.peers = peers
         self.shards: dict[int, dict[int, Candidate]] = {}
         self.snapshots: dict[int, ShardSnapshot] = {}
-        self.owner_schedulable: dict[int, bool] = {}
+        self.shard_schedulable: dict[int, bool] = {}
         self.pending_allocations: dict[int, dict[TaskKey, PendingAllocation]] = {}
         self.changed = True  # whether any machine has changed since the last scheduling cycle
 
     def update(self, snapshot: ShardSnapshot, changed_machines: Collection[int]) -> None:
         """Rebuild the candidates of a shard's machines that have changed."""
         if self.snapshots.get(snapshot.shard) is not snapshot:
-            # A new owner: machines that only the former one knew may be gone, and no update
-            # would ever remove them.
+            # The shard has a new owner: machines that only the former owner knew may be gone, and
+            # no update would ever remove them.
             self.shards.pop(snapshot.shard, None)
             self.snapshots[snapshot.shard] = snapshot
         shard = self.shards.setdefault(snapshot.shard, {})
         for index in changed_machines:
             machine = snapshot.machines.get(index)
-            candidate = self._candidate(snapshot, index, machine) if machine is not None else None
+            candidate = (
+                self._build_candidate(snapshot, index, machine) if machine is not None else None
+            )
             if candidate is not None:
                 shard[index] = candidate
             else:
                 shard.pop(index, None)
         if shard and changed_machines:
-            self.owner_schedulable.pop(snapshot.shard, None)
+            self.shard_schedulable.pop(snapshot.shard, None)
             self.changed = True
 
     def remove_shard(self, shard: int) -> None:
-        """Forget a machine shard and its machines."""
+        """Remove a machine shard and its candidates."""
         self.shards.pop(shard, None)
         self.snapshots.pop(shard, None)
-        self.owner_schedulable.pop(shard, None)
+        self.shard_schedulable.pop(shard, None)
 
-    def _candidate(
+    def _build_candidate(
         self, snapshot: ShardSnapshot, index: int, machine: pb.MachineState
     ) -> Candidate | None:
-        """A machine's candidate; None while its type isn't known."""
+        """Return a machine's candidate, or None while its type isn't known."""
         context = self.context
         machine_type = context.machine_types.get(context.type_names.intern(machine.type))
         if machine_type is None:
@@ -111,13 +113,16 @@
         )
 
     def candidates(self) -> list[Candidate]:
-        """All candidates; those whose owner can't be asked now aren't schedulable."""
+        """Return all candidates, after expiring pending allocations.
+
+        Candidates whose shard's owner can't reserve capacity now are marked as unschedulable.
+        """
         now = self.context.now()
         self._expire(now)
         for shard, candidates in self.shards.items():
             schedulable = self._owner_can_reserve(shard, now)
-            if self.owner_schedulable.get(shard) is not schedulable:
-                self.owner_schedulable[shard] = schedulable
+            if self.shard_schedulable.get(shard) is not schedulable:
+                self.shard_schedulable[shard] = schedulable
                 for candidate in candidates.values():
                     candidate.schedulable = schedulable and candidate.owner_schedulable
         return [
@@ -125,7 +130,7 @@
         ]
 
     def _owner_can_reserve(self, shard: int, now: float) -> bool:
-        """Whether a shard's snapshot is fresh, of its present owner, and that one reachable."""
+        """Return whether a shard's snapshot is fresh, valid and of its current, reachable owner."""
         snapshot = self.snapshots[shard]
         owner = self.membership.owners.get(shard)
         return (
@@ -139,21 +144,21 @@
     # --- pending allocations
 
     def allocate(self, candidate: Candidate, key: TaskKey, size: Resources, image: str) -> None:
-        """Record a requested reservation of one task.
+        """Record a reservation requested for one task.
 
-        The scheduler has already reduced the candidate's free capacity and noted the task there.
+        The scheduler has already reduced the candidate's free capacity and added the task to it.
         """
         expires_at = self.context.now() + UNANSWERED_RETENTION_S
         self.pending_allocations.setdefault(candidate.index, {})[key] = PendingAllocation(
             expires_at, size, candidate, image
         )
-        current = self._current(candidate.index)
+        current = self._current_candidate(candidate.index)
         if current is not None and current is not candidate:
-            # A snapshot arrived while the scheduling cycle yielded.
+            # A snapshot that arrived while the scheduling cycle yielded replaced the candidate.
             current.available = _subtract(current.available, size)
 
     def resolve(self, candidate: Candidate, key: TaskKey, granted: bool) -> None:
-        """Record the answer to a requested reservation: a refused one is no longer pending."""
+        """Record the answer to a requested reservation; a refused one is released at once."""
         pending = self.pending_allocations.get(candidate.index, {}).get(key)
         if pending is None:
             return
@@ -163,7 +168,7 @@
         else:
             self._release(candidate.index, key)
 
-    def _current(self, index: int) -> Candidate | None:
+    def _current_candidate(self, index: int) -> Candidate | None:
         return next(
             (candidates[index] for candidates in self.shards.values() if index in candidates), None
         )
@@ -172,15 +177,15 @@
         """Return a pending allocation's size to the machine's free capacity."""
         pending = self.pending_allocations[index].pop(key)
         others = self.pending_allocations[index].values()
-        candidate = self._current(index)
+        candidate = self._current_candidate(index)
         if candidate is not None:
             candidate.available = [
                 available + size
                 for available, size in zip(candidate.available, pending.size, strict=True)
             ]
         if candidate is pending.candidate and not pending.granted:
-            # Otherwise the task would avoid the machine, and its image would count as being
-            # fetched there, until the next snapshot of the machine.
+            # Without this the task would avoid the machine, and its image would count as being
+            # fetched there, until the machine's next snapshot.
             candidate.tasks.discard(key)
             if not any(other.image == pending.image for other in others):
                 candidate.fetching.discard(pending.image)
--- a/starlingdeck/scheduling/churn.py
+++ b/starlingdeck/scheduling/churn.py
@@ -1,11 +1,11 @@
-"""How many of the recently started tasks were preempted again."""
+"""Measures churn: how many of the recently started tasks were preempted again."""
 
 from starlingdeck.metrics import counters
 from starlingdeck.metrics.counters import Counters
 
-HALF_LIFE_S = 10.0  # (start) after which an event counts for half
+HALF_LIFE_S = 10.0  # after this time an event counts half as much
 MAX_ELAPSED_S = 60.0
-MIN_RECENT_STARTS = 20.0  # with fewer recent starts, so many are assumed
+MIN_RECENT_STARTS = 20.0  # preemptions are compared with at least this many starts
 
 
 class ChurnMeter:
@@ -18,7 +18,7 @@
         self._recent_preempted = 0.0
 
     def update(self, task_counters: Counters, elapsed_s: float) -> None:
-        """Add what happened since the last update, `elapsed_s` ago."""
+        """Add the starts and preemptions since the last update, which was `elapsed_s` ago."""
         decay = 0.5 ** (min(elapsed_s, MAX_ELAPSED_S) / HALF_LIFE_S)
         started = task_counters.totals[counters.STARTED]
         preempted = task_counters.totals[counters.PREEMPTED]
@@ -27,5 +27,5 @@
         self._last_started, self._last_preempted = started, preempted
 
     def exceeds(self, share: float) -> bool:
-        """Whether more than `share` of the recent starts were preempted."""
+        """Return whether the recent preemptions exceed `share` of the recent starts."""
         return self._recent_preempted > share * max(self._recent_started, MIN_RECENT_STARTS)
--- a/starlingdeck/scheduling/constraints.py
+++ b/starlingdeck/scheduling/constraints.py
@@ -1,4 +1,4 @@
-"""Where a job's tasks may run: machine types, zones, spot machines, and spreading."""
+"""Determines where a job's tasks may run: machine types, zones, spot machines and spreading."""
 
 from collections.abc import Callable, Sequence
 
@@ -11,17 +11,17 @@
 
 
 # Machine types, zone, and whether spot machines are allowed; jobs with equal keys may use the
-# same machines. A plain tuple: every cycle builds one for each waiting job.
+# same machines. A plain tuple because every cycle builds one for each waiting job.
 ConstraintKey = tuple[tuple[str, ...], str | None, bool]
 
 
 def constraint_key(job: Job) -> ConstraintKey:
-    """The key of a job's constraints."""
+    """Return the key of a job's constraints."""
     return tuple(job.spec.types or ()), job.spec.zone, job.spec.spot
 
 
 def satisfies_constraints(context: ControllerContext, job: Job, candidate: Candidate) -> bool:
-    """Whether a machine's type, zone and kind are among those that the job allows."""
+    """Return whether the job allows a machine's type, zone and kind (spot or not)."""
     spec = job.spec
     if spec.types is not None and context.type_names[candidate.type] not in spec.types:
         return False
@@ -31,7 +31,7 @@
 
 
 def zone_filter(job: Job, zone_counts: dict[int, int]) -> ZoneFilter:
-    """Which zones the job's next task may use, given how many tasks each zone has."""
+    """Return a filter for the zones of the job's next task, given its number of tasks by zone."""
     spec = job.spec
     if spec.one_zone and zone_counts:
         return lambda zone: zone_counts.get(zone, 0) > 0
@@ -42,10 +42,10 @@
 
 
 def count_by_zone(job: Job, leaving: TaskPlacement | None = None) -> dict[int, int]:
-    """The job's tasks by zone: those placed, starting, and with a reservation requested.
+    """Count the job's tasks by zone: those placed, starting, or with a reservation requested.
 
-    `leaving` is a placement about to be left: it isn't counted, so that it doesn't restrict the
-    same task's next placement.
+    A task that is being moved also counts in its target's zone. `leaving` is a placement that its
+    task is about to leave: it isn't counted, so that it doesn't restrict the task's next placement.
     """
     counts: dict[int, int] = {}
     for placement in (*job.placements.values(), *job.pending_starts.values()):
@@ -59,7 +59,7 @@
 
 
 def task_filter(job: Job, task: int, zone_allowed: ZoneFilter) -> CandidateFilter:
-    """Which machines one task may use: allowed zones, without those it failed on or runs on."""
+    """Return a filter for one task's machines: allowed zones, not those it failed on or runs on."""
     avoided, key = job.avoided_machines.get(task, ()), (job.index, task)
     return lambda candidate: (
         zone_allowed(candidate.zone)
@@ -69,9 +69,9 @@
 
 
 class EligibleCandidates:
-    """The schedulable machines of one scheduling cycle, by the constraints of jobs.
+    """The schedulable machines of one scheduling cycle, grouped by job constraints.
 
-    Machines are filtered once for all jobs that share the same constraints.
+    Machines are filtered once for all jobs that have the same constraints.
     """
 
     def __init__(self, context: ControllerContext, candidates: Sequence[Candidate]) -> None:
@@ -80,7 +80,7 @@
         self._by_constraints: dict[ConstraintKey, list[Candidate]] = {}
 
     def for_job(self, job: Job) -> list[Candidate]:
-        """The schedulable machines that satisfy a job's constraints, whether it fits or not."""
+        """Return the schedulable machines that a job's constraints allow, even full ones."""
         key = constraint_key(job)
         eligible = self._by_constraints.get(key)
         if eligible is None:
--- a/starlingdeck/scheduling/demand_tracker.py
+++ b/starlingdeck/scheduling/demand_tracker.py
@@ -1,4 +1,4 @@
-"""Demand that found no machine, at this controller and as its peers published it."""
+"""Tracks the unplaced demand of this controller and of its peers, as they published it."""
 
 from collections.abc import Iterable
 
@@ -9,8 +9,8 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.scheduling.decision import JobTaskCount
 
-MAX_PUBLISHED_DEMANDS = 200
-DEMAND_EXPIRY_S = 5.0  # a controller that published nothing for this long doesn't count
+MAX_PUBLISHED_DEMANDS = 200  # jobs of a cycle
+DEMAND_EXPIRY_S = 5.0  # what a controller published longer ago than this is ignored
 
 
 class _PublishedDemand(Struct):
@@ -19,7 +19,7 @@
 
 
 def demand_messages(unplaced: list[JobTaskCount]) -> list[pb.Demand]:
-    """The demand of a cycle's unplaced tasks, one message a job."""
+    """Return messages with the demand of a cycle's unplaced tasks, one for each job."""
     return [
         pb.Demand(
             cpus=job.spec.cpus,
@@ -44,20 +44,20 @@
         self._by_node: dict[int, _PublishedDemand] = {}
 
     def publish(self, unplaced: list[JobTaskCount], at: float) -> None:
-        """Record the unplaced tasks of this controller's cycle that began at `at`."""
+        """Record the unplaced tasks of this controller's cycle, which began at `at`."""
         self._by_node[self.context.node] = _PublishedDemand(at, demand_messages(unplaced))
 
     def published(self) -> list[pb.Demand]:
-        """What this controller last published."""
+        """Return the demand that this controller published last."""
         own = self._by_node.get(self.context.node)
         return own.demands if own is not None else []
 
     def receive(self, node: int, demands: Iterable[pb.Demand]) -> None:
-        """Record what another controller published."""
+        """Record the demand that another controller published."""
         self._by_node[node] = _PublishedDemand(self.context.now(), list(demands))
 
     def recent(self) -> list[Demand]:
-        """The demand of all controllers that published within `DEMAND_EXPIRY_S`."""
+        """Return the demand of all controllers that published within `DEMAND_EXPIRY_S`."""
         now = self.context.now()
         return [
             Demand(
--- a/starlingdeck/scheduling/dependencies.py
+++ b/starlingdeck/scheduling/dependencies.py
@@ -1,4 +1,4 @@
-"""What the planner uses of the rest of a controller."""
+"""The parts of a controller that its planner depends on."""
 
 from collections.abc import Callable, Mapping
 
@@ -17,14 +17,14 @@
 
 
 class PlannerDependencies(Struct, frozen=True):
-    """The collaborators of a planner; shared with the controller, not owned."""
+    """The objects that a planner uses; the controller owns them."""
 
     membership: Membership
     peers: Peers
-    writers: Mapping[int, RecordWriter]  # job shard -> writer, of the shards owned here
+    writers: Mapping[int, RecordWriter]  # by job shard, for the shards owned here
     candidates: CandidatePool
     admission: AdmissionController
-    reserve_local: ReserveHandler  # answers for the machine shards owned here
+    reserve_local: ReserveHandler  # answers requests to the machine shards owned here
     overload: OverloadController | None
     wake: curio.Event  # set when a desired state has to be sent
     flush: curio.Event  # set when a job record has to be written
--- a/starlingdeck/scheduling/guarantees.py
+++ b/starlingdeck/scheduling/guarantees.py
@@ -1,6 +1,6 @@
-"""Which unfinished jobs fit within their team's guaranteed resources.
+"""Determines which unfinished jobs fit within their team's guaranteed resources.
 
-Every controller computes the same answer from the jobs that all controllers publish.
+Every controller computes the same result from the jobs that all controllers publish.
 """
 
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 from starlingdeck.context import ControllerContext
 
-UNLIMITED = 1e9  # cpus or gpus, of a guarantee that names only the other resource
+UNLIMITED = 1e9  # cpus or gpus of a guarantee that specifies only the other resource
 TOLERANCE = 1e-6  # sums of decimal amounts may be off by this
 
 
@@ -25,7 +25,7 @@
 
 
 def team_guarantees(context: ControllerContext) -> dict[int, list[float]]:
-    """Guaranteed [cpus, gpus] by team, for the teams that have a guarantee of either."""
+    """Return the guaranteed [cpus, gpus] by team index, for teams with a guarantee of either."""
     teams = context.settings.settings.teams
     return {
         index: [
@@ -38,21 +38,21 @@
 
 
 def claim_order(jobs: Iterable[TeamJob]) -> list[TeamJob]:
-    """The order in which jobs claim their team's guarantee: by rank, then by submission."""
+    """Sort jobs as they claim their team's guarantee: highest rank first, then by submission."""
     return sorted(jobs, key=lambda job: (-job.rank, job.submitted_ms, job.id))
 
 
 def within_guarantee(remaining: list[float]) -> bool:
-    """Whether the [cpus, gpus] that remain of a guarantee aren't overdrawn."""
+    """Return whether neither of the [cpus, gpus] remaining of a guarantee is negative."""
     return remaining[0] >= -TOLERANCE and remaining[1] >= -TOLERANCE
 
 
 def guaranteed_jobs(context: ControllerContext, jobs: Iterable[TeamJob]) -> set[str]:
-    """Ids of the jobs that fit their team's guarantee together with all jobs ahead of them.
+    """Return the ids of the jobs that fit their team's guarantee with all jobs ahead of them.
 
-    A team's jobs of higher rank come first, then the earlier ones. By submission alone, a
-    backlog of low-rank jobs used up the guarantee, and the team's urgent jobs waited behind
-    it and could not preempt it.
+    A team's jobs of higher rank come first, then the earlier ones. In order of submission alone,
+    a backlog of low-rank jobs would use up the guarantee, and the team's urgent jobs would wait
+    behind it and could not preempt it.
     """
     remaining_by_team = team_guarantees(context)
     guaranteed: set[str] = set()
@@ -68,10 +68,10 @@
 
 
 def guarantee_relevant_jobs(context: ControllerContext, jobs: Iterable[TeamJob]) -> list[TeamJob]:
-    """The part of one controller's jobs that `guaranteed_jobs` over all controllers depends on.
+    """Return those of one controller's jobs that the cluster-wide `guaranteed_jobs` depends on.
 
-    For each team with a guarantee: its jobs up to and including the first that doesn't fit.
-    No job behind that one can fit, whatever jobs other controllers have.
+    These are, for each team with a guarantee, its jobs up to and including the first that
+    doesn't fit. No job after that one can fit, whatever jobs other controllers have.
     """
     remaining_by_team = team_guarantees(context)
     relevant = []
--- a/starlingdeck/scheduling/moves.py
+++ b/starlingdeck/scheduling/moves.py
@@ -1,4 +1,4 @@
-"""Targets for tasks that their machines deschedule, so that others can be released (DESIGN 4)."""
+"""Chooses new machines for descheduled tasks, so that machines can be released (DESIGN 4)."""
 
 from collections.abc import Mapping, Sequence
 
@@ -12,7 +12,7 @@
 from starlingdeck.scheduling.decision import PlacementDecision
 from starlingdeck.storage.limiter import TokenBucket
 
-RETRY_S = 0.3  # before a task without a target is tried again
+MOVE_RETRY_S = 0.3  # delay before a task that found no target is tried again
 
 
 class MovePlanner:
@@ -26,9 +26,9 @@
         )
 
     def plan(self, candidates: Sequence[Candidate], now: float) -> list[PlacementDecision]:
-        """Decisions for the descheduled tasks of the job shards owned here.
+        """Return decisions for the descheduled tasks of the job shards owned here.
 
-        `candidates` are schedulable machines; a chosen one's free capacity is reduced.
+        `candidates` are schedulable machines; the free capacity of the chosen ones is reduced.
         """
         decisions = []
         for writer in self.writers.values():
@@ -37,9 +37,9 @@
                 job = writer.shard.jobs[index]
                 if not _may_move(job, task, now):
                     continue
-                target = self._target(job, task, candidates)
+                target = self._choose_target(job, task, candidates)
                 if target is None:
-                    job.retry_at[task] = now + RETRY_S
+                    job.retry_at[task] = now + MOVE_RETRY_S
                     continue
                 job.reserving[task] = target.zone
                 target.available = [
@@ -49,8 +49,13 @@
                 decisions.append(PlacementDecision(job, task, target))
         return decisions
 
-    def _target(self, job: Job, task: int, candidates: Sequence[Candidate]) -> Candidate | None:
-        """A machine for the task, preferably with its image; None without one or at the limit."""
+    def _choose_target(
+        self, job: Job, task: int, candidates: Sequence[Candidate]
+    ) -> Candidate | None:
+        """Return a machine for the task, preferably one that has its image.
+
+        None if no machine fits or the limit on moves per second is reached.
+        """
         source, tuning = job.placements[task], self.context.tuning
         zone_allowed = zone_filter(job, count_by_zone(job, source))
         fitting = [
@@ -75,7 +80,7 @@
 
 
 def _may_move(job: Job, task: int, now: float) -> bool:
-    """Whether a descheduled task needs a target now: it has none and isn't about to end."""
+    """Return whether a descheduled task may get a target now: it has none and isn't ending."""
     if job.cancelled or job.stale or job.placements[task].target:
         return False
     if job.retry_at.get(task, 0.0) > now:
