--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -1,7 +1,7 @@
-"""Minimum shares under overload, at one controller (docs/design/overload.md).
+"""Enforces minimum shares under overload, at one controller (docs/design/overload.md).
 
-The demand and capacity of a controller's shards are published with its gossip. From what they
-receive all controllers compute the same shares, and each shard spends only its own part.
+A controller publishes the demand and capacity of its shards with its gossip. All controllers
+compute the same shares from what they receive, and each shard spends only its own part of them.
 """
 
 import logging
@@ -32,19 +32,19 @@
 
 log = logging.getLogger(__name__)
 
-PROTECT_INTERVAL_S = 0.5  # (start) between updates of which running tasks are protected
-REFRESH_INTERVAL_S = 0.25  # (start) between updates of the demand of the shards owned here
-OVERLOAD_HOLD_S = 10.0  # (start) an overload lasts this long after the last impatient job's wait
-MAX_CLASS_NAME = 200  # characters of a class name that a peer may send
-MAX_PEER_LOADS = 1000  # classes of one shard that a peer may send
-MAX_PEER_AMOUNT = 1e12
+PROTECT_INTERVAL_S = 0.5  # between updates of which running tasks are protected
+REFRESH_INTERVAL_S = 0.25  # between updates of the demand of the shards owned here
+OVERLOAD_HOLD_S = 10.0  # from the last wait that began or prolonged an overload to its end
+MAX_CLASS_NAME_LENGTH = 200  # characters accepted of a class name from a peer
+MAX_PEER_LOADS = 1000  # classes of one shard accepted from a peer
+MAX_PEER_AMOUNT = 1e12  # of a resource: from here on a peer's amounts are malformed
 NEVER = -1e9
 
 
 class OverloadController:
-    """Detects overload, and keeps a minimum share of the fleet for every team's classes.
+    """Detects overload, and then keeps a minimum share of the fleet for each team's classes.
 
-    Inactive until a job waits for a machine for longer than `patience_s`, at any controller.
+    Inactive until a job at any controller has waited for a machine for `patience_s`.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
 
     @staticmethod
     def team_class(job: Job) -> TeamClass:
-        """The team and class that a job's tasks count for."""
+        """Return the team and class that a job's tasks count for."""
         return job.team, job.spec.cls
 
     # --- the demand snapshot that all controllers share
@@ -79,39 +79,42 @@
         """Publish the demand and capacity of the shards owned here."""
         self.refresh()
         for shard in self.writers:
-            part = self.demand.shards.get(shard)
-            if part is None:
+            shard_demand = self.demand.shards.get(shard)
+            if shard_demand is None:
                 continue
             item = gossip.shard_demands.add(
-                shard=part.shard,
-                token=part.token,
-                seq=part.seq,
-                overloaded=part.overloaded,
-                capacity=part.capacity,
+                shard=shard_demand.shard,
+                token=shard_demand.token,
+                seq=shard_demand.seq,
+                overloaded=shard_demand.overloaded,
+                capacity=shard_demand.capacity,
             )
-            for (team, name), load in part.loads.items():
+            for (team, name), load in shard_demand.loads.items():
                 item.loads.add(team=team, cls=name, running=load.running, waiting=load.waiting)
 
     def receive_gossip(self, gossip: pb.Gossip) -> None:
-        """Record what another controller published of its shards; malformed amounts count as 0."""
+        """Record the demand that another controller published; malformed amounts count as 0."""
         now = self.context.now()
         for item in gossip.shard_demands[: self.context.shard_count]:
             if item.shard >= self.context.shard_count or item.shard in self.writers:
                 continue
             loads = {
-                (load.team, load.cls[:MAX_CLASS_NAME]): ClassDemand(
+                (load.team, load.cls[:MAX_CLASS_NAME_LENGTH]): ClassDemand(
                     _valid_resources(load.running), _valid_resources(load.waiting)
                 )
                 for load in item.loads[:MAX_PEER_LOADS]
             }
             capacity = _valid_resources(item.capacity)
-            part = ShardDemand(
+            shard_demand = ShardDemand(
                 item.shard, item.token, item.seq, capacity, bounded(loads), item.overloaded
             )
-            self.demand.update(part, now)
+            self.demand.update(shard_demand, now)
 
     def refresh(self) -> None:
-        """Update the demand of the shards owned here, and the shares from all known demand."""
+        """Update the demand of the shards owned here, then the shares from all known demand.
+
+        Does nothing within `REFRESH_INTERVAL_S` of the last update.
+        """
         now = self.context.now()
         if now - self.refreshed_at < REFRESH_INTERVAL_S:
             return
@@ -122,19 +125,19 @@
         for shard, writer in self.writers.items():
             if writer.shard.loaded:
                 loads = bounded(self._loads(writer.shard))
-                part = ShardDemand(
+                shard_demand = ShardDemand(
                     shard, writer.shard.token, self.seq, self._capacity(shard), loads, overloaded
                 )
-                self.demand.update(part, now)
-        parts = self.demand.known(now, self.context.tuning.expiry_s)
-        shares = compute_fair_shares(parts, self.context.shard_count, self.settings.floor)
+                self.demand.update(shard_demand, now)
+        shard_demands = self.demand.known(now, self.context.tuning.expiry_s)
+        shares = compute_fair_shares(shard_demands, self.context.shard_count, self.settings.floor)
         if shares.overload != self.shares.overload:
             change = "began" if shares.overload else "ended"
             log.info("overload %s: signals=%s", change, shares.signals)
         self.shares = shares
 
     def _capacity(self, shard: int) -> Resources:
-        """The capacity of a machine shard's machines that take new work."""
+        """Return the capacity of those machines of a shard that may take new work."""
         machine_shard = self.machines.get(shard)
         machines = machine_shard.machines.values() if machine_shard is not None else ()
         types = [
@@ -147,11 +150,11 @@
         )
 
     def _loads(self, shard: JobShard) -> dict[TeamClass, ClassDemand]:
-        """What a job shard's running and waiting tasks need, by team and class."""
+        """Return what a job shard's running and waiting tasks need, by team and class."""
         running: dict[TeamClass, list[Resources]] = {}
         waiting: dict[TeamClass, list[Resources]] = {}
         for job in shard.jobs.values():
-            pair = self.team_class(job)
+            team_class = self.team_class(job)
             for tasks, sizes in (
                 (job.active_attempts(), running),
                 (self.waiting_jobs.tasks(job.index), waiting),
@@ -159,31 +162,33 @@
                 if tasks:
                     cpus, gpus, memory_gb = job.size
                     size = (tasks * cpus, tasks * gpus, tasks * memory_gb)
-                    sizes.setdefault(pair, []).append(size)
+                    sizes.setdefault(team_class, []).append(size)
         return {
-            pair: ClassDemand(total(running.get(pair, ())), total(waiting.get(pair, ())))
-            for pair in running.keys() | waiting.keys()
+            team_class: ClassDemand(
+                total(running.get(team_class, ())), total(waiting.get(team_class, ()))
+            )
+            for team_class in running.keys() | waiting.keys()
         }
 
     # --- the part of the shards owned here
 
-    def own_share(self, pair: TeamClass) -> float:
-        """The minimum share of a team's class that the shards owned here may spend."""
-        return sum(self.shares.shard_share(shard, pair) for shard in self.writers)
+    def own_share(self, team_class: TeamClass) -> float:
+        """Return the part of a class's minimum share that the shards owned here may spend."""
+        return sum(self.shares.shard_share(shard, team_class) for shard in self.writers)
 
     def is_churning(self) -> bool:
-        """Whether more than the setting `churn` of the recent starts here were preempted."""
+        """Return whether, in an overload, more than `churn` of the recent starts were preempted."""
         return self.shares.overload and self.churn.exceeds(self.settings.churn)
 
     def _work_items(self, jobs: Iterable[Job], count_protected: bool = False) -> list[WorkItem]:
-        """The jobs as the minimum shares are computed from, optionally with protected tasks."""
+        """Return the jobs as work items; protected tasks are counted only on request."""
         now_ms = self.context.wall_clock_ms()
         items = []
         for job in jobs:
             waiting = self.waiting_jobs.tasks(job.index)
             late = bool(waiting) and priority_key(self.context, job, now_ms)[0]
             # A task that a machine accumulates capacity for counts as running: otherwise more
-            # and more machines were asked.
+            # and more machines would be asked to accumulate for its class.
             running = job.active_attempts() + len(job.accumulating & job.nominated.keys())
             protected = 0
             if count_protected:
@@ -203,7 +208,7 @@
         return items
 
     def protect_tasks(self) -> None:
-        """Mark the running tasks that may not be preempted, within the minimum shares."""
+        """Mark the running tasks that the minimum shares protect from preemption."""
         self.refresh()
         now = self.context.now()
         if now < self.protect_at or not (self.shares.overload or self.protecting):
@@ -221,14 +226,12 @@
                     _protect(shard, job, protected.get(job.index, 0))
 
     def below_minimum_share(self, jobs: Sequence[Job]) -> list[JobTaskCount]:
-        """The jobs that go before all others, and with how many tasks.
+        """Return the jobs that go before all others, with how many tasks each.
 
-        `jobs` are those of a scheduling cycle, in its order.
+        `jobs` are those of a scheduling cycle, in scheduling order.
         """
         below = self._classes_below_share() if self.shares.overload else set()
-        planned = {
-            job.index: job for job in jobs if self._share_owner(self.team_class(job)) in below
-        }
+        planned = {job.index: job for job in jobs if self._share_key(self.team_class(job)) in below}
         if not planned:
             return []
         others = [
@@ -237,7 +240,7 @@
             for job in writer.shard.jobs.values()
             if job.placements
             and job.index not in planned
-            and self._share_owner(self.team_class(job)) in below
+            and self._share_key(self.team_class(job)) in below
         ]
         items = self._work_items([*planned.values(), *others])
         found = minimum_share.below_share(items, self.own_share)
@@ -245,26 +248,30 @@
         return [(planned[index], tasks) for index, tasks in found if index in planned]
 
     def _classes_below_share(self) -> set[TeamClass]:
-        """Classes that ran less than their share here at the last refresh.
+        """Return the classes that ran less than their share here at the last refresh.
 
-        Only the jobs of these are examined one by one.
+        Only the jobs of these classes are examined one by one.
         """
         running: dict[TeamClass, float] = {}
         for shard in self.writers:
-            part = self.demand.shards.get(shard)
-            for pair, load in part.loads.items() if part is not None else ():
+            shard_demand = self.demand.shards.get(shard)
+            for team_class, load in shard_demand.loads.items() if shard_demand is not None else ():
                 share = dominant_share(load.running, self.shares.capacity)
-                running[pair] = running.get(pair, 0.0) + share
-        return {pair for pair, share in running.items() if share < self.own_share(pair)}
+                running[team_class] = running.get(team_class, 0.0) + share
+        return {
+            team_class
+            for team_class, share in running.items()
+            if share < self.own_share(team_class)
+        }
 
-    def _share_owner(self, pair: TeamClass) -> TeamClass:
-        """The entry of the shares that a class belongs to: its own, or its team's remainder."""
-        return pair if pair in self.shares.minimum_shares else (pair[0], "")
+    def _share_key(self, team_class: TeamClass) -> TeamClass:
+        """Return the key of a class's share: its own, or that of its team's classes not named."""
+        return team_class if team_class in self.shares.minimum_shares else (team_class[0], "")
 
     # --- waits
 
     def on_cycle_end(self, unplaced: Iterable[JobTaskCount]) -> None:
-        """Record which jobs' tasks found no machine in a cycle."""
+        """Record the tasks that found no machine in a cycle; detect or prolong an overload."""
         now = self.context.now()
         longest_wait_s = self.waiting_jobs.record(unplaced, now)
         if longest_wait_s is not None and longest_wait_s >= self.settings.patience_s:
@@ -272,16 +279,17 @@
         self.waiting_jobs.expire(now, self.settings.patience_s)
         lasting = self.shares.overload and now - self.overloaded_at < OVERLOAD_HOLD_S
         if longest_wait_s is not None and lasting:
-            # What is kept for those below their minimum share ends their waits, not the overload.
+            # Capacity kept for the classes below their minimum share ends their waits, but not the
+            # overload: any wait prolongs it.
             self.overloaded_at = now
 
     def on_idle(self) -> None:
-        """Record that nothing waits."""
+        """Record that no task waits."""
         self.waiting_jobs.clear_tasks()
         self.waiting_jobs.expire(self.context.now(), self.settings.patience_s)
 
     def lines(self) -> list[str]:
-        """The regular log line with the minimum shares; none without overload."""
+        """Return the regular log line with the minimum shares; no line without overload."""
         shares = self.shares
         if not shares.overload:
             return []
@@ -307,7 +315,7 @@
 
 
 def _valid_resources(amounts: Sequence[float]) -> Resources:
-    """Resources that a peer sent; zeros where they are malformed."""
+    """Return the resources that a peer sent, or zeros if they are malformed."""
     if len(amounts) != 3 or not all(0 <= amount < MAX_PEER_AMOUNT for amount in amounts):
         return 0.0, 0.0, 0.0
     return amounts[0], amounts[1], amounts[2]
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -1,7 +1,7 @@
 """Runs scheduling cycles for the job shards that this controller owns.
 
-A cycle places waiting tasks, requests capacity by preemption or accumulation for those without
-a machine, and moves descheduled tasks.
+A cycle places waiting tasks, requests capacity by preemption or accumulation for those that find
+no machine, and moves descheduled tasks.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -24,28 +24,28 @@
 from starlingdeck.scheduling.scheduler import SchedulingCycle
 from starlingdeck.storage.limiter import TokenBucket
 
-MAX_DECISIONS = 100  # of a cycle
-MAX_TEAM_JOBS = 10_000  # published to peers; some 41 bytes each, twice a second
-MAX_PREEMPTIONS = 48  # (start) tasks of a cycle that request preemption
-MAX_PREEMPTIONS_PER_JOB = 32  # tasks of a job that request preemption at once
-PREEMPTION_INTERVAL_S = 0.5  # between two requests for preemption of a job
+MAX_DECISIONS_PER_CYCLE = 100
+MAX_PUBLISHED_TEAM_JOBS = 10_000  # some 41 bytes each, published to peers twice a second
+MAX_PREEMPTIONS_PER_CYCLE = 48  # tasks that request preemption
+MAX_PREEMPTIONS_PER_JOB = 32  # tasks that request preemption at once
+PREEMPTION_INTERVAL_S = 0.5  # between two requests for preemption by a job
 CYCLE_INTERVAL_S = 0.1
-IDLE_CYCLE_INTERVAL_S = 0.25  # while no machine's capacity has changed
-MAX_PAUSE_S = 0.5  # (start) between cycles, however long they take
-URGENT_PAUSE_S = 0.2  # (start) while work of the two upper ranks waits
-PAUSE_FACTOR = 30.0  # (start) pause after a cycle, times the time that it took
-SERVICE_PAUSE_FACTOR = 1.0  # while replicas wait
+IDLE_CYCLE_INTERVAL_S = 0.25  # while no machine has changed
+MAX_PAUSE_S = 0.5  # between cycles, however long they take
+URGENT_PAUSE_S = 0.2  # the same while work of the two upper ranks waits
+PAUSE_FACTOR = 30.0  # pause after a cycle, as a multiple of the cycle's duration
+SERVICE_PAUSE_FACTOR = 1.0  # the same while replicas wait
 POLL_INTERVAL_S = 0.04  # between checks whether a cycle is due
-MAX_STRETCH_S = 0.005  # (start) of a cycle before other tasks of the event loop run
-MAX_STARVING = 4  # (start) starving jobs placed first in a cycle
-PROBE_SHARE = 0.05  # (start) of the state writes: for jobs that fail on every machine
-PATIENCE_SHARE = 0.25  # of an array's objective on waiting, before it preempts under churn
+MAX_RUN_WITHOUT_YIELD_S = 0.005  # of a cycle, until it yields to other tasks of the event loop
+MAX_STARVING_JOBS_PER_CYCLE = 4  # placed first
+PROBE_WRITE_SHARE = 0.05  # of the state writes, for jobs that fail on every machine
+CHURN_WAIT_SHARE = 0.25  # of its objective on waiting that an array waits before it preempts
 
 DecisionFunction = Callable[[Job], list[PlacementDecision]]
 
 
 class Planner:
-    """Decides when a scheduling cycle runs, and carries out its steps."""
+    """Decides when scheduling cycles run, and runs their steps."""
 
     def __init__(self, context: ControllerContext, dependencies: PlannerDependencies) -> None:
         self.context = context
@@ -62,7 +62,7 @@
         self.demand = DemandTracker(context)
         writes_per_s = context.settings.settings.state.write_rps
         self.probe_limiter = TokenBucket(
-            PROBE_SHARE * writes_per_s / 2 / context.shard_count, 2.0, context.now
+            PROBE_WRITE_SHARE * writes_per_s / 2 / context.shard_count, 2.0, context.now
         )
         self.team_jobs: dict[int, list[TeamJob]] = {}  # of the other controllers, by node
         self.next_cycle_at = 0.0
@@ -72,7 +72,7 @@
         self.preempt_after: dict[int, float] = {}  # job -> when it may request preemption again
 
     def own_team_jobs(self) -> list[TeamJob]:
-        """This controller's unfinished jobs that all controllers need for the guarantees."""
+        """Return those unfinished jobs here that all controllers need to compute the guarantees."""
         jobs = []
         for job in self._all_jobs():
             if not job.cancelled:
@@ -87,7 +87,7 @@
                         spec.rank,
                     )
                 )
-        return guarantees.guarantee_relevant_jobs(self.context, jobs)[:MAX_TEAM_JOBS]
+        return guarantees.guarantee_relevant_jobs(self.context, jobs)[:MAX_PUBLISHED_TEAM_JOBS]
 
     def _all_jobs(self) -> Iterable[Job]:
         return (job for writer in self.writers.values() for job in writer.shard.jobs.values())
@@ -95,17 +95,16 @@
     # --- when a cycle runs
 
     async def run(self) -> None:
-        """Run cycles for ever, for a thirtieth of the time under load.
+        """Run cycles until cancelled, under load for about a thirtieth of the time.
 
-        In a backlog every cycle finds some capacity: run every 0.1 s, cycles took a third of
-        the processor time. A cycle yields to other tasks now and then: one took up to 70 ms of
-        processor time, three times that on a small machine, and submissions, reports and
-        renewals waited for it.
+        In a backlog every cycle finds some capacity, and cycles that ran every 0.1 s took a third
+        of the processor time. A cycle yields regularly: it can take 70 ms of processor time, three
+        times that on a small machine, and submissions, reports and lease renewals waited for it.
         """
         while True:
             started_at = self.context.now()
             due = started_at >= self.next_cycle_at or (
-                started_at >= self.next_urgent_cycle_at and self._is_urgent()
+                started_at >= self.next_urgent_cycle_at and self._needs_early_cycle()
             )
             if self.membership.lease_is_valid() and self.context.machine_types and due:
                 interval_s = CYCLE_INTERVAL_S if self.candidates.changed else IDLE_CYCLE_INTERVAL_S
@@ -114,7 +113,7 @@
             await curio.sleep(POLL_INTERVAL_S)
 
     def _schedule_next(self, started_at: float, interval_s: float) -> None:
-        """Set the pause after a cycle that had work, by the time that it took."""
+        """Set the pause after a cycle that had work, from the cycle's duration."""
         now = self.context.now()
         duration_s = now - started_at
         self.next_urgent_cycle_at = now + min(MAX_PAUSE_S, duration_s)
@@ -122,22 +121,22 @@
         max_pause_s = URGENT_PAUSE_S if self.urgent_waiting else MAX_PAUSE_S
         self.next_cycle_at = now + min(max_pause_s, max(interval_s, factor * duration_s))
 
-    def _is_urgent(self) -> bool:
-        """Whether something waits that needs a cycle at once, such as a replica."""
+    def _needs_early_cycle(self) -> bool:
+        """Return whether to run a cycle early: for a replica, or for scarce units just released."""
         return self.admission.is_due() or any(
             writer.shard.replicas_waiting for writer in self.writers.values()
         )
 
     async def _yield_control(self) -> None:
-        """Let other tasks run once the cycle has run for long; state read before may be stale."""
-        if self.context.now() - self.running_since > MAX_STRETCH_S:
+        """Let other tasks run if the cycle has run for long; state read before may be stale."""
+        if self.context.now() - self.running_since > MAX_RUN_WITHOUT_YIELD_S:
             await curio.sleep(0)
             self.running_since = self.context.now()
 
     # --- one cycle
 
     async def run_cycle(self) -> bool:
-        """Run one cycle; False when nothing waits."""
+        """Run one cycle. Return False if nothing waited."""
         now = self.running_since = self.context.now()
         for writer in self.writers.values():
             writer.shard.replicas_waiting = False
@@ -157,7 +156,7 @@
             self.context,
             self.candidates.candidates(),
             self.admission.headroom,
-            MAX_DECISIONS,
+            MAX_DECISIONS_PER_CYCLE,
             self._may_preempt,
         )
         ordered = priority.priority_order(self.context, jobs, self.context.wall_clock_ms())
@@ -173,7 +172,7 @@
         return True
 
     def _pending_jobs(self, now: float) -> list[Job]:
-        """The jobs with tasks to place."""
+        """Return the jobs with tasks to place, without quarantined jobs and held-back probes."""
         return [
             job
             for job in self._all_jobs()
@@ -182,7 +181,10 @@
         ]
 
     def _may_probe(self, job: Job, now: float) -> bool:
-        """Limit jobs that fail wherever they run to a small share of all state writes."""
+        """Return whether a job may be placed now.
+
+        Jobs that fail wherever they run are limited to a small share of all state writes.
+        """
         if (
             len(job.failed_on) < self.context.tuning.suspect_machines
             or job.reserving
@@ -202,27 +204,32 @@
             self.overload.on_idle()
 
     def _update_guarantees(self) -> None:
-        """Mark which of the jobs fit their team's guarantee, given all controllers' jobs."""
-        everyone = [job for jobs in self.team_jobs.values() for job in jobs]
-        everyone += self.own_team_jobs()
-        guaranteed = guarantees.guaranteed_jobs(self.context, everyone)
+        """Mark the jobs that fit their team's guarantee, given all controllers' jobs."""
+        all_team_jobs = [job for jobs in self.team_jobs.values() for job in jobs]
+        all_team_jobs += self.own_team_jobs()
+        guaranteed = guarantees.guaranteed_jobs(self.context, all_team_jobs)
         for writer in self.writers.values():
             for job in writer.shard.jobs.values():
                 writer.shard.set_guaranteed(job, job.id in guaranteed)
 
     def _prioritized(self, jobs: Sequence[Job], ordered: Sequence[Job]) -> list[JobTaskCount]:
-        """Starving jobs and those below their minimum share, which go before all others."""
+        """Return the starving jobs and those below their minimum share, with how many tasks each.
+
+        These tasks are placed before all others.
+        """
         first = [(job, 1) for job in self._starving(jobs)]
         if self.overload is not None:
             first += self.overload.below_minimum_share(ordered)
         return first
 
     def _starving(self, jobs: Iterable[Job]) -> list[Job]:
-        """A few starving jobs that may start now, the longest waiting first."""
+        """Return a few starving jobs that may start tasks now, the longest waiting first."""
         now_ms = self.context.wall_clock_ms()
         starving = [job for job in jobs if priority.is_starving(job, now_ms)]
         startable = [job for job in starving if self.admission.headroom(job) > 0]
-        return sorted(startable, key=lambda job: (job.submitted_ms, job.id))[:MAX_STARVING]
+        return sorted(startable, key=lambda job: (job.submitted_ms, job.id))[
+            :MAX_STARVING_JOBS_PER_CYCLE
+        ]
 
     async def _place_waiting(
         self,
@@ -231,26 +238,29 @@
         ordered: Sequence[Job],
     ) -> None:
         for job, count in prioritized:
-            if self._still_pending(job):
+            if self._still_active(job):
                 place = partial(cycle.place, limit=count, prioritized=True)
                 await self._place(job, place, protected=True)
         for job in ordered:
             if cycle.remaining <= 0:
                 break
-            if self._still_pending(job) and not cycle.is_unschedulable(job):
+            if self._still_active(job) and not cycle.is_unschedulable(job):
                 await self._place(job, cycle.place)
 
-    def _still_pending(self, job: Job) -> bool:
-        """Whether a job is still owned here, with tasks to place, after the cycle yielded."""
+    def _still_active(self, job: Job) -> bool:
+        """Return whether a job is still owned here, and neither ended nor stale.
+
+        This can change while the cycle yields.
+        """
         writer = self.writers.get(job.shard)
         owned = writer is not None and writer.shard.jobs.get(job.index) is job
         return owned and not (job.cancelled or job.terminal_state or job.stale)
 
     async def _place(self, job: Job, decide: DecisionFunction, protected: bool = False) -> None:
-        """Request the reservations that `decide` chooses for a job, then maybe yield."""
+        """Request the reservations that `decide` chooses for a job, then yield if it is time."""
         decisions = self._decide(job, decide)
         if protected:
-            # Marked only once it ran, a task was preempted before its machine knew of the mark.
+            # A task marked only once it runs could be preempted before its machine knows of it.
             for decision in decisions:
                 decision.protected = True
         if decisions:
@@ -261,7 +271,7 @@
     def _decide(self, job: Job, decide: DecisionFunction) -> list[PlacementDecision]:
         try:
             return decide(job)
-        except Exception as error:  # one job's bad data must not keep all others from their cycle
+        except Exception as error:  # one job's bad data must not prevent the cycle for all others
             self.context.quarantine_failed("job", job.id, error)
             job.reserving.clear()
             return []
@@ -271,23 +281,23 @@
     async def _request_preemptions(
         self, cycle: SchedulingCycle, unplaced: Sequence[JobTaskCount], now: float
     ) -> None:
-        plan = PreemptionPlan(cycle.eligible, MAX_PREEMPTIONS)
+        plan = PreemptionPlan(cycle.eligible, MAX_PREEMPTIONS_PER_CYCLE)
         for job, _ in unplaced:
             if plan.remaining <= 0:
                 break
-            if self._still_pending(job) and self._may_request_preemption(job, now):
+            if self._still_active(job) and self._may_request_preemption(job, now):
                 await self._place(job, partial(self._assign_preemptions, plan=plan, now=now))
 
     def _assign_preemptions(
         self, job: Job, plan: PreemptionPlan, now: float
     ) -> list[PlacementDecision]:
-        """Machines to ask to stop lower-ranked work for the job's tasks."""
+        """Assign the job's tasks to machines to ask to stop lower-ranked work."""
         candidates = plan.cheapest(job, now)
         if not candidates:
             return []
         self.preempt_after[job.index] = now + PREEMPTION_INTERVAL_S
-        # Without the headroom a cycle that found no machine for one task requested capacity for
-        # 32, whatever limit held the others back.
+        # Without the headroom, a cycle that found no machine for one task would request capacity
+        # for 32 tasks, although a limit may hold back the others.
         limit = min(MAX_PREEMPTIONS_PER_JOB, self.admission.headroom(job))
         return plan.assign(job, job.ready(limit, now), candidates)
 
@@ -298,23 +308,24 @@
         return self._may_preempt(job)
 
     def _may_preempt(self, job: Job) -> bool:
-        """Whether other work may be stopped for a job now; under churn arrays wait first.
+        """Return whether other work may be stopped for a job now; under churn arrays wait first.
 
-        While many starts are preempted, an array preempts only after a quarter of what it may
-        wait: it is first to get released capacity, which is more per second than it needs.
-        Otherwise a sixth of all starts under overload were preempted and started again. Applied
-        in every overload, the wait cost a burst's urgent jobs more than the starts it saved.
+        While many starts are preempted, an array preempts only after a quarter of its objective on
+        waiting (of `patience_s` without one): it is the first to get released capacity, and more is
+        released per second than it needs. Without this wait a sixth of all starts under overload
+        were preempted and started again. A wait in every overload, also without churn, cost a
+        burst's urgent jobs more than the starts it saved.
         """
         if job.spec.service or self.overload is None or not self.overload.is_churning():
             return True
         limit_s = priority.wait_objective_s(self.context, job) or self.overload.settings.patience_s
         waited_ms = self.context.wall_clock_ms() - job.submitted_ms
-        return waited_ms > 1000 * PATIENCE_SHARE * limit_s
+        return waited_ms > 1000 * CHURN_WAIT_SHARE * limit_s
 
     async def _accumulate(
         self, prioritized: Sequence[JobTaskCount], cycle: SchedulingCycle, now: float
     ) -> None:
-        """For prioritized jobs without a machine: machines that keep what is released there."""
+        """Ask machines to accumulate capacity for prioritized jobs that found no machine."""
         if not prioritized:
             return
         schedulable = {candidate.index for candidate in cycle.candidates}
@@ -326,7 +337,7 @@
         remaining = int(self.overload_settings.gathers) - len(accumulating & schedulable)
         for job, count in prioritized:
             unplaced = cycle.unplaced.get(job.index, (job, 0))[1]
-            if remaining <= 0 or not unplaced or not self._still_pending(job):
+            if remaining <= 0 or not unplaced or not self._still_active(job):
                 continue
             limit = min(remaining, count, unplaced)
             before = len(accumulating)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -17,7 +17,7 @@
 from starlingdeck.protocol.config import OverloadSettings
 from starlingdeck.scheduling.candidate_pool import UNANSWERED_RETENTION_S
 from starlingdeck.scheduling.overload import OverloadController
-from starlingdeck.scheduling.planner import MAX_STRETCH_S
+from starlingdeck.scheduling.planner import MAX_RUN_WITHOUT_YIELD_S
 from tests.support.builders import Clock, make_context, spec
 
 
@@ -82,7 +82,7 @@
         await curio.sleep(0)
 
     node.planner.reservations.reserve_local = slow
-    step = MAX_STRETCH_S * 2
+    step = MAX_RUN_WITHOUT_YIELD_S * 2
     ticking = iter(range(10_000))  # every reading of the clock takes long
     node.context.now = lambda: 1000.0 + step * next(ticking)
     node.membership.lease.renewed_at = 1e9
@@ -142,12 +142,12 @@
     node, jobs = planning_controller(Clock())
     service = new_job(node.context, spec("j-000001", shape="daemon", chores=1), 0, 1)
     jobs.jobs[service.index] = service
-    assert not node.planner._is_urgent()
+    assert not node.planner._needs_early_cycle()
     service.placements[0] = TaskPlacement(node.context.machine_names.intern("vm-1"), 1, 1, 2, 0)
     jobs.end_attempt(service, 0, service.placements[0], api.CAUSE_STOPPED, "stopped")
-    assert node.planner._is_urgent()
+    assert node.planner._needs_early_cycle()
     curio.run(node.planner.run_cycle)
-    assert not node.planner._is_urgent()
+    assert not node.planner._needs_early_cycle()
 
 
 def test_refused_reservation_restores_the_candidate() -> None:
