--- a/starlingdeck/scheduling/preemption.py
+++ b/starlingdeck/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Which machines to ask to stop lower-ranked work for tasks that found no free capacity."""
+"""Chooses machines to ask to stop lower-ranked work for tasks that found no free capacity."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -17,46 +17,47 @@
 from starlingdeck.scheduling.decision import PlacementDecision
 from starlingdeck.scheduling.priority import has_quota_pressure, wait_objective_s
 
-MAX_PREEMPTION_CANDIDATES = 64  # (start) machines sampled, of which the cheapest are asked
-LOST_RUN_WEIGHT = 0.3  # (start) a second of a preempted task's run against a second of fetching
+MAX_PREEMPTION_CANDIDATES = 64  # machines sampled, of which the cheapest are asked
+LOST_RUN_WEIGHT = 0.3  # cost of a second of lost run time, in seconds of image fetch
 SERVICE_FETCH_SHARE = 0.6  # of the objective on waiting that a replica's image fetch may take
-MAX_TASKS_PER_MACHINE = 8  # of a job, asked of one machine by preemption at once
+MAX_PREEMPTING_TASKS_PER_MACHINE = 8  # of one job, for which a machine is asked to preempt at once
 SHARE_TOLERANCE = 1e-6
 
 
 def fetch_too_long(context: ControllerContext, job: Job, candidate: Candidate) -> bool:
-    """Whether fetching the image to a machine takes longer than the objective on waiting allows.
+    """Return whether fetching the image to a machine takes longer than the objective on waiting.
 
-    Always false for classes without such an objective.
+    Always False for classes without such an objective.
     """
-    # A replica's fetch sometimes takes a third longer, and the other steps of its start take
-    # time too. An array has many tasks: each preemption there costs more than a wait near the
-    # objective.
+    # For a replica the limit is lower, because its fetch sometimes takes a third longer, and the
+    # other steps of its start take time too. An array has many tasks, and each preemption for one
+    # costs more than a wait near the objective.
     limit_s = wait_objective_s(context, job) * (SERVICE_FETCH_SHARE if job.spec.service else 1.0)
     return 0 < limit_s < candidate.fetch_s(job.spec.image, job.spec.image_gb)
 
 
 def preemptible_ranks(context: ControllerContext, job: Job) -> int:
-    """Work of ranks below this one may be stopped for the job's tasks, as the protocol allows."""
+    """Return the rank below which the protocol allows work to be stopped for the job's tasks."""
     if has_quota_pressure(context, job):
         return len(api.RANKS)
     return job.spec.rank + job.guaranteed
 
 
 def has_preemptible_work(job: Job, ranks: int, candidate: Candidate) -> bool:
-    """Whether a machine that is large enough for a task runs any work below `ranks`.
+    """Return whether a machine is large enough for a task and runs any work of ranks below `ranks`.
 
-    On a full fleet most machines run none, and were asked all the same: the requests and their
-    refusals took a fifth of a controller's processor time.
+    On a full fleet most machines run no such work. Asking them all the same took a fifth of a
+    controller's processor time, for the requests and their refusals.
     """
     return candidate.lowest_rank < ranks and fits(job.size, candidate.capacity)
 
 
 def fetch_cost(job: Job) -> Callable[[Candidate], float]:
-    """How a machine's image fetch counts for a job's tasks, in seconds for arrays.
+    """Return a function for the cost of fetching the job's image to a machine.
 
-    For replicas a machine only has the image or not: otherwise the few machines with the fastest
-    fetch would take the replicas of many services, and all of those would fail with one of them.
+    For arrays this is the duration in seconds. For replicas it depends only on whether the machine
+    has the image: otherwise the few machines with the fastest fetch would take the replicas of
+    many services, and all of those would fail with one machine.
     """
     image, image_gb = job.spec.image, job.spec.image_gb
     if job.spec.service:
@@ -67,10 +68,10 @@
 def cheapest_preemptions(
     job: Job, candidates: Sequence[Candidate], now: float, rng: Random
 ) -> list[Candidate]:
-    """Machines by the cost of a preemption there: image fetch and lost run time, cheapest first.
+    """Sort machines by the cost of a preemption there, cheapest first.
 
-    Machines asked at random stopped work that had run for half its time: on a full fleet that
-    lost a tenth of all work.
+    The cost is the image fetch and the run time lost. Machines chosen at random stopped work that
+    had run for half its time, which on a full fleet lost a tenth of all work.
     """
     fetch_s = fetch_cost(job)
 
@@ -86,10 +87,10 @@
 class PreemptionPlan:
     """The machines to ask for capacity by preemption, for all jobs of one scheduling cycle.
 
-    Machines used to be filtered and sorted for each waiting job, which was by far the largest
-    part of a cycle's processor time under overload; and similar jobs asked the same machines,
-    which stopped more than one of them needed. Now similar jobs share a sorted list, a machine
-    is asked for no more than its capacity, and a cycle for no more than `limit` tasks.
+    Similar jobs share one sorted list of machines: filtering and sorting them for each waiting job
+    was by far the largest part of a cycle's processor time under overload. A machine is asked for
+    no more than its capacity, because similar jobs ask the same machines, which otherwise stop
+    more than any one of the jobs needs. A cycle asks for no more than `limit` tasks.
     """
 
     def __init__(self, eligible: EligibleCandidates, limit: int) -> None:
@@ -113,7 +114,7 @@
         return candidates
 
     def cheapest(self, job: Job, now: float) -> list[Candidate]:
-        """Machines that may have work to stop for a job's tasks, the cheapest first."""
+        """Return machines that may have work to stop for a job's tasks, cheapest first."""
         ranks = preemptible_ranks(self.context, job)
         candidates = self._with_preemptible_work(job, ranks)
         if not candidates:
@@ -132,11 +133,12 @@
     def assign(
         self, job: Job, tasks: Sequence[int], candidates: Sequence[Candidate]
     ) -> list[PlacementDecision]:
-        """Assign tasks to the machines to ask, several to one machine where its capacity allows.
+        """Assign tasks to the machines to ask, several to one machine if its capacity allows it.
 
-        One stopped task often frees capacity for several: asking each machine for one task
-        stopped four times as much as was needed, and placed a large job over many seconds.
-        Replicas are asked for one per machine, so that a machine's failure doesn't take several.
+        One stopped task often frees capacity for several. When each machine was asked for one task,
+        four times as much work was stopped as was needed, and placing a large job took many
+        seconds. Each machine is asked for only one replica, so that a machine's failure doesn't
+        affect several.
         """
         zone_counts = count_by_zone(job)
         decisions: list[PlacementDecision] = []
@@ -150,7 +152,7 @@
             requested = self._requested_share.get(candidate.index, 0.0)
             limit = 1
             if not job.spec.service:
-                limit = min(MAX_TASKS_PER_MACHINE, fit_count(job.size, capacity))
+                limit = min(MAX_PREEMPTING_TASKS_PER_MACHINE, fit_count(job.size, capacity))
             while (
                 waiting
                 and limit > 0
--- a/starlingdeck/scheduling/priority.py
+++ b/starlingdeck/scheduling/priority.py
@@ -1,21 +1,21 @@
-"""The order in which waiting jobs are scheduled: guarantee, rank, deadline slack and size."""
+"""Determines the order in which waiting jobs are scheduled: guarantee, rank, slack and size."""
 
 from collections.abc import Iterable
 
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.job import Job
 
-NO_DUE_TIME_MS = 1e9  # slack of a job without a due time: after every job that has one
-MIN_ESTIMATE_SHARE = 0.8  # (start) of the owner's run time estimate, which is often too high
-STARVATION_S = 120.0  # (start) a job that nothing has run of for this long goes before all others
-SIZE_PENALTY_MS = 5.0  # (start) slack added per cpu-second of work: larger jobs go later
-DEFAULT_QUOTA_PRESSURE_S = 5.0  # without an objective on guarantees
+NO_DUE_TIME_SLACK_MS = 1e9  # slack without a due time: after all jobs that can be on time
+MIN_ESTIMATE_SHARE = 0.8  # of the user's run time estimate, which is often too high
+STARVATION_S = 120.0  # a job that has waited longer without any task run goes before all others
+SIZE_PENALTY_MS_PER_CPU_S = 5.0  # added to the slack, so that larger jobs go later
+DEFAULT_QUOTA_PRESSURE_S = 5.0  # used if there is no objective on guarantees
 
 
 def due_times_ms(context: ControllerContext, job: Job) -> tuple[float, ...]:
-    """When the job should have finished by its class's objectives and its deadline, soonest first.
+    """Return when the job is due by its class's objectives and its deadline, soonest first.
 
-    Wall clock milliseconds; computed once per job.
+    Times are wall clock milliseconds. They are computed once per job.
     """
     if job.due_times_ms is not None:
         return job.due_times_ms
@@ -34,33 +34,34 @@
 
 
 def priority_key(context: ControllerContext, job: Job, now_ms: int) -> tuple[bool, float]:
-    """Whether the job is late for every due time, and its size-weighted slack in milliseconds.
+    """Return whether the job is late for every due time, and its size-weighted slack in ms.
 
-    A large job's slack is counted as longer than it is: when not all jobs can be on time, more
-    of them are if the small ones go first. Jobs that can no longer be on time go last: ordered
-    by slack alone they went first, and made the jobs after them late as well.
+    A large job's slack is counted as longer than it is, because when not all jobs can be on time,
+    more of them are if the small ones go first. Jobs that can no longer be on time go last: ordered
+    by slack alone they would go first, and make the jobs after them late as well.
     """
     run_ms = job.spec.estimate_s * MIN_ESTIMATE_SHARE * 1000
-    size_ms = job.unfinished * job.spec.cpus * job.spec.estimate_s * SIZE_PENALTY_MS
+    size_ms = job.unfinished * job.spec.cpus * job.spec.estimate_s * SIZE_PENALTY_MS_PER_CPU_S
     due_times = due_times_ms(context, job)
     for due_ms in due_times:
         if due_ms - now_ms >= run_ms:
             return False, due_ms - now_ms - run_ms + size_ms
-    return bool(due_times), size_ms + (NO_DUE_TIME_MS if not due_times else 0.0)
+    return bool(due_times), size_ms + (NO_DUE_TIME_SLACK_MS if not due_times else 0.0)
 
 
 def is_starving(job: Job, now_ms: int) -> bool:
-    """Whether nothing of a job has run although it has waited longer than `STARVATION_S`.
+    """Return whether a job has waited longer than `STARVATION_S` and none of its tasks has run.
 
-    Ordered by slack alone, a class's largest jobs waited for as long as smaller ones arrived,
-    and a job that was late for its objectives waited behind all others of its rank.
+    Such jobs need to go first: ordered by slack alone, a class's largest jobs waited for as long as
+    smaller ones arrived, and a job that was late for its objectives waited behind all others of
+    its rank.
     """
     has_run = job.completed or job.placements or job.failed_on
     return not has_run and now_ms - job.submitted_ms > STARVATION_S * 1000
 
 
 def priority_order(context: ControllerContext, jobs: Iterable[Job], now_ms: int) -> list[Job]:
-    """Guaranteed jobs first, then by rank, then by `priority_key`."""
+    """Sort jobs: guaranteed ones first, then by rank from the highest, then by `priority_key`."""
 
     def key(job: Job) -> tuple[bool, int, bool, float, str]:
         late, slack_ms = priority_key(context, job, now_ms)
@@ -70,7 +71,10 @@
 
 
 def has_quota_pressure(context: ControllerContext, job: Job) -> bool:
-    """Whether a guaranteed job has waited for half of what the objective on guarantees allows."""
+    """Return whether a guaranteed job has waited too long for its team's guaranteed resources.
+
+    The limit is half of the tightest objective on guarantees, or `DEFAULT_QUOTA_PRESSURE_S`.
+    """
     limits_s = [
         objective.within_s
         for objective in context.settings.settings.objectives
@@ -83,7 +87,7 @@
 
 
 def wait_objective_s(context: ControllerContext, job: Job) -> float:
-    """How long the job's tasks may wait by the tightest objective of its class; 0 without one."""
+    """Return the tightest objective on waiting of the job's class, in seconds; 0 without one."""
     limits_s = [
         objective.within_s
         for objective in context.settings.settings.objectives
