--- a/starlingdeck/scheduling/reservation_client.py
+++ b/starlingdeck/scheduling/reservation_client.py
@@ -1,7 +1,7 @@
-"""Requests reservations of the machines' owners, and turns what they grant into starts and moves.
+"""Requests reservations from machines' owners, and turns granted ones into starts and moves.
 
-A granted reservation of a waiting task becomes a pending start of its job's record; that of a
-running task becomes the target of a move.
+A reservation granted to a waiting task becomes a pending start, to be written to its job's record;
+one granted to a running task becomes the target of its move.
 """
 
 import logging
@@ -22,14 +22,14 @@
 
 log = logging.getLogger(__name__)
 
-REFUSED_RETRY_S = 0.1  # before a task whose reservation was refused is placed again
-PREEMPTION_RETRY_S = 0.15  # before a machine that preempts for a task is asked again
+REFUSED_RETRY_S = 0.1  # delay before a task whose reservation was refused is placed again
+PREEMPTION_RETRY_S = 0.15  # delay before a machine that preempts for a task is asked again
 PREEMPTION_NOMINATION_S = 2.0  # how long a task waits for a machine that preempts for it
-ACCUMULATE_RETRY_S = 0.4  # (start) before a machine that accumulates capacity is asked again
+ACCUMULATE_RETRY_S = 0.4  # delay before a machine that accumulates capacity is asked again
 
 
 class _RequestGroup(NamedTuple):
-    """Decisions with equal groups are sent in one request."""
+    """The properties shared by the decisions that are sent in one request."""
 
     shard: int
     job: int
@@ -57,7 +57,7 @@
         self.overload_settings = overload_settings
 
     async def request(self, decisions: list[PlacementDecision]) -> None:
-        """Request the reservations of some decisions in the background, one task a group."""
+        """Request reservations in the background, with one event loop task for each group."""
         groups: dict[_RequestGroup, list[PlacementDecision]] = {}
         for decision in decisions:
             job, candidate = decision.job, decision.candidate
@@ -67,18 +67,18 @@
                 self.candidates.allocate(
                     candidate, (job.index, decision.task), job.size, job.spec.image
                 )
-        for decisions_of_group in groups.values():
-            await curio.spawn(self._reserve, decisions_of_group, daemon=True)
+        for group_decisions in groups.values():
+            await curio.spawn(self._reserve, group_decisions, daemon=True)
 
     async def _reserve(self, decisions: list[PlacementDecision]) -> None:
-        """Request the reservations of one group, and apply the answer to its job."""
+        """Request the reservations of one group, and apply the answers to its job."""
         job, shard = decisions[0].job, decisions[0].candidate.shard
         owner = self.membership.owners.get(shard)
         granted: dict[int, pb.GrantedTask] = {}
         hold_s, requested_at = 0.0, self.context.now()
         if owner is not None:
             if any(decision.task in job.placements for decision in decisions):
-                # A move's target waits until the source has saved and stopped.
+                # A move's reservation has to last until the source has saved and stopped.
                 hold_s = self.context.tuning.reserve_s + job.spec.save_s
             request = self._build_request(decisions, hold_s)
             request.to_shard, request.to_epoch = shard, owner.epoch
@@ -136,7 +136,7 @@
         return request
 
     async def _send(self, node: int, request: pb.ReserveRequest) -> dict[int, pb.GrantedTask]:
-        """The granted tasks by number; none when the owner can't be reached."""
+        """Send a request. Return the grants by task number; none if the owner can't be reached."""
         try:
             if node == self.context.node:
                 reply = self.reserve_local(request)
@@ -156,7 +156,10 @@
     def _retry_later(
         self, decision: PlacementDecision, grant: pb.GrantedTask | None, now: float
     ) -> None:
-        """The task has no reservation yet: its machine refused, or is still preempting for it."""
+        """Record when a task without a reservation is tried again.
+
+        If its machine is making room for it, that machine stays nominated for the task.
+        """
         job, task = decision.job, decision.task
         if not decision.preempt:
             job.retry_at[task] = now + REFUSED_RETRY_S
--- a/starlingdeck/scheduling/scheduler.py
+++ b/starlingdeck/scheduling/scheduler.py
@@ -1,6 +1,7 @@
 """Chooses machines for waiting tasks, most urgent job first (DESIGN 2).
 
-Pure: candidate machines and jobs in, placement decisions out.
+Does no I/O: takes candidate machines and jobs, notes the choices in them, and returns placement
+decisions.
 """
 
 from collections.abc import Callable, Sequence
@@ -28,18 +29,18 @@
 )
 from starlingdeck.scheduling.priority import priority_order
 
-IDLE_RESERVE_SHARE = 0.1  # (start) of all processors, which work of the lowest rank leaves free
-MIN_PREEMPTING_RANK = 2  # work of lower ranks waits for an image fetch rather than preempt
-MAX_MISSES = 3  # tasks without a machine, after which the job's other tasks aren't tried
+IDLE_RESERVE_SHARE = 0.1  # of all processors, kept free of work of the lowest rank
+MIN_PREEMPTING_RANK = 2  # work of lower ranks waits for an image fetch instead of preempting
+MAX_MISSES_PER_JOB = 3  # tasks without a machine; after more, the job's others aren't tried
 
 SizeKey = tuple[ConstraintKey, Resources]
 
 
 class SchedulingCycle:
-    """The placement decisions of one cycle, for up to `limit` tasks, made job by job.
+    """Makes the placement decisions of one cycle job by job, for up to `limit` tasks.
 
-    `headroom(job)` is how many more of the job's tasks may start by its limits, and
-    `may_preempt(job)` whether others may be stopped for it now.
+    `headroom(job)` returns how many more of the job's tasks its limits allow to start, and
+    `may_preempt(job)` whether other work may be stopped for it now.
     """
 
     def __init__(
@@ -61,17 +62,17 @@
             sum(max(0.0, candidate.available[0]) for candidate in self.candidates)
             - IDLE_RESERVE_SHARE * total
         )
-        self.unplaced: dict[int, JobTaskCount] = {}  # by job: tasks that found no machine
-        self._full: set[SizeKey] = set()  # no machine has capacity for a task like these
+        self.unplaced: dict[int, JobTaskCount] = {}  # by job index: tasks that found no machine
+        self._unplaceable: set[SizeKey] = set()  # no machine has capacity for such a task
         self._fitting: dict[SizeKey, list[Candidate]] = {}
 
     def is_unschedulable(self, job: Job) -> bool:
-        """Whether no machine has capacity for a task like the job's; notes how many wait.
+        """Return whether no machine has capacity for the job's tasks; if so, update `unplaced`.
 
-        Free capacity only shrinks within a cycle. Waiting tasks are counted rather than listed
-        one by one: in a backlog that took half of a cycle's time.
+        Free capacity only shrinks within a cycle, so a negative finding stays true. Waiting tasks
+        are counted, because listing them one by one took half of a cycle's time in a backlog.
         """
-        if (constraint_key(job), job.size) not in self._full or job.nominated:
+        if (constraint_key(job), job.size) not in self._unplaceable or job.nominated:
             return False
         self.unplaced.pop(job.index, None)
         limit = self._limit(job, UNBOUNDED)
@@ -83,7 +84,7 @@
         return True
 
     def _limit(self, job: Job, limit: int) -> int:
-        """How many of the job's tasks may be placed now, at most `limit`."""
+        """Return how many of the job's tasks may be placed now, at most `limit`."""
         if self.remaining <= 0 or job.backoff_until > self.context.now():
             return 0
         limit = min(self.remaining, limit, self.headroom(job))
@@ -92,11 +93,11 @@
         return limit
 
     def _idle_limit(self, job: Job) -> int:
-        """How many tasks a job of the lowest rank may place now; other jobs aren't limited.
+        """Return how many tasks a job of the lowest rank may place now; other jobs aren't limited.
 
-        Such work used all capacity that others left free, and each of their next tasks then had
-        to preempt some of it: with an idle array of 25,000 small tasks a third of all starts
-        were stopped again.
+        Without this limit, work of the lowest rank used all capacity that other work left free, and
+        each next task of the other work had to preempt some of it: with an idle array of 25,000
+        small tasks a third of all starts were stopped again.
         """
         if job.spec.rank > 0 or job.guaranteed or job.spec.cpus <= 0:
             return UNBOUNDED
@@ -107,8 +108,9 @@
     ) -> list[PlacementDecision]:
         """Choose machines for up to `limit` of a job's waiting tasks.
 
-        `unplaced` then has how many of them found none. A `prioritized` job is placed ahead of
-        others whatever its rank, and may use the capacity that idle work leaves free.
+        The number that found none is recorded in `unplaced`. A `prioritized` job is placed ahead
+        of others whatever its rank, and may use the capacity that work of the lowest rank has to
+        leave free.
         """
         now = self.context.now()
         if self.is_unschedulable(job):
@@ -132,10 +134,10 @@
         return decisions
 
     def _sample(self, job: Job) -> CandidateSample:
-        """A sample of the machines with free capacity for the job's tasks."""
+        """Return a sample of the machines with free capacity for one of the job's tasks."""
         key = (constraint_key(job), job.size)
-        # Free capacity only shrinks within a cycle: machines that had none for a task like these
-        # need no second check.
+        # Free capacity only shrinks within a cycle: machines that had none for a task with the same
+        # key don't have to be checked again.
         candidates = self._fitting.get(key, self.eligible.for_job(job))
         fitting = [candidate for candidate in candidates if candidate.fits(job.size)]
         self._fitting[key] = fitting
@@ -144,7 +146,7 @@
             fitting, job.size, fetch_cost(job), context.tuning.score_machines, context.rng
         )
         if not sample.pool:
-            self._full.add(key)
+            self._unplaceable.add(key)
         return sample
 
 
@@ -167,14 +169,14 @@
         self.preempting_on: set[int] = set()  # machines asked to preempt for the job's tasks
 
     def place(self, tasks: Sequence[int], may_preempt: Callable[[Job], bool], now: float) -> int:
-        """Place the tasks, adding to `decisions`; returns how many found no machine."""
+        """Place the tasks, adding to `decisions`. Return how many found no machine."""
         job, missed = self.job, 0
         preempts = job.spec.rank >= MIN_PREEMPTING_RANK and may_preempt(job)
         for position, task in enumerate(tasks):
             if self._place_task(task, preempts, now):
                 continue
             missed += 1
-            if missed > MAX_MISSES and not job.nominated:
+            if missed > MAX_MISSES_PER_JOB and not job.nominated:
                 return missed + len(tasks) - position - 1
         return missed
 
@@ -189,7 +191,7 @@
         usable = task_filter(job, task, zone_allowed)
         candidate = self.sample.best(usable)
         if candidate is None:
-            # Where only machines are left that the task failed on, those have to do.
+            # The only machines left may be those that the task failed on: allow them again.
             job.avoided_machines.pop(task, None)
             return False
         if (
@@ -208,7 +210,7 @@
     def _nominated_machine(
         self, task: int, zone_allowed: ZoneFilter, now: float
     ) -> Candidate | None:
-        """The machine that preempts or accumulates capacity for the task already, to ask again."""
+        """Return the machine that is already making room for the task, to ask it again, or None."""
         job = self.job
         machine, until = job.nominated.pop(task, (-1, 0.0))
         if machine < 0 or now >= until:
@@ -220,9 +222,10 @@
         return None
 
     def _preemption_with_image(self, usable: CandidateFilter, now: float) -> Candidate | None:
-        """The cheapest machine to preempt on that has the image already: faster than a fetch.
+        """Return the cheapest machine to preempt on that has the image: faster than a fetch.
 
-        Machines asked at random mostly had nothing to stop, and the task's one try was lost.
+        None if there is no such machine. Machines chosen at random mostly had nothing to stop, and
+        the task's only attempt was lost.
         """
         job, image = self.job, self.job.spec.image
         ranks = preemptible_ranks(self.context, job)
@@ -244,7 +247,7 @@
         return chosen
 
     def _allocate(self, task: int, candidate: Candidate) -> None:
-        """Place a task in free capacity, which is then no longer free for the next one."""
+        """Place a task in free capacity, and reduce the candidate's free capacity by its size."""
         job = self.job
         candidate.available = [
             available - size for available, size in zip(candidate.available, job.size, strict=True)
@@ -272,7 +275,7 @@
     headroom: Callable[[Job], int],
     limit: int,
 ) -> tuple[list[PlacementDecision], list[JobTaskCount]]:
-    """One whole cycle: its decisions, and how many of each job's tasks found no machine."""
+    """Run one cycle. Return its decisions, and how many of each job's tasks found no machine."""
     cycle = SchedulingCycle(context, candidates, headroom, limit)
     decisions = [
         decision
--- a/starlingdeck/scheduling/waiting_jobs.py
+++ b/starlingdeck/scheduling/waiting_jobs.py
@@ -1,4 +1,4 @@
-"""How long jobs have been waiting for a machine without getting any further."""
+"""Measures how long jobs have been waiting for a machine without making progress."""
 
 from collections.abc import Iterable
 
@@ -11,8 +11,8 @@
     """A job with tasks that found no machine."""
 
     since: float
-    max_progress: int  # the most tasks that had been running or completed at any time
-    tasks: int = 0  # that found no machine in the last cycle
+    max_progress: int  # the most tasks that were active or completed at one time
+    tasks: int = 0  # tasks that found no machine in the last cycle
     last_waiting_at: float = 0.0
 
 
@@ -23,31 +23,34 @@
         self._by_index: dict[int, WaitingJob] = {}
 
     def tasks(self, job: int) -> int:
-        """How many of a job's tasks found no machine in the last cycle."""
+        """Return how many of a job's tasks found no machine in the last cycle."""
         waiting = self._by_index.get(job)
         return waiting.tasks if waiting is not None else 0
 
     def record(self, unplaced: Iterable[JobTaskCount], now: float) -> float | None:
-        """Take over what a cycle left unplaced; the longest wait in seconds, None without any."""
+        """Record the tasks that a cycle left unplaced.
+
+        Return the longest wait in seconds, or None if no task is unplaced.
+        """
         self.clear_tasks()
         longest_s = None
         for job, tasks in unplaced:
             progress = job.active_attempts() + job.completed
             waiting = self._by_index.get(job.index)
             if waiting is None or progress > waiting.max_progress:
-                # A job whose tasks are started and preempted again and again gets no further.
+                # Progress restarts the wait. Tasks started and preempted repeatedly are none.
                 waiting = self._by_index[job.index] = WaitingJob(now, progress)
             waiting.tasks, waiting.last_waiting_at = tasks, now
             longest_s = max(longest_s or 0.0, now - waiting.since)
         return longest_s
 
     def clear_tasks(self) -> None:
-        """Nothing waits now."""
+        """Record that no task waits now."""
         for waiting in self._by_index.values():
             waiting.tasks = 0
 
     def expire(self, now: float, patience_s: float) -> None:
-        """Forget jobs that haven't waited for `patience_s`: their next wait is a new one."""
+        """Remove jobs that last waited `patience_s` ago or longer: their next wait is a new one."""
         self._by_index = {
             job: waiting
             for job, waiting in self._by_index.items()
