--- a/starlingdeck/fairness/__init__.py
+++ b/starlingdeck/fairness/__init__.py
@@ -1,1 +1,1 @@
-"""Fair shares under overload. Pure functions: no clock, no I/O, no imports from higher layers."""
+"""Fair shares under overload, without clock, I/O and imports from higher layers."""
--- a/starlingdeck/fairness/fair_share.py
+++ b/starlingdeck/fairness/fair_share.py
@@ -1,8 +1,8 @@
-"""Fair shares of the cluster under overload, and the part of them that each shard may guarantee.
+"""Computes the fair shares of the cluster under overload, and which part each shard may guarantee.
 
-Amounts are shares of the whole capacity, from 0 to 1, of the resource of which a team's class
-needs most (dominant resource fairness). All controllers with the same demand snapshot compute the
-same shares.
+Amounts are dominant shares (dominant resource fairness): from 0 to 1, the share of the whole
+capacity of that resource of which a team's class needs the largest share. All controllers with the
+same demand snapshot compute the same shares.
 """
 
 from collections.abc import Hashable, Mapping
@@ -10,7 +10,7 @@
 
 from msgspec import Struct, field
 
-from starlingdeck.fairness.demand_snapshot import Resources, ShardDemand, TeamClass, total
+from starlingdeck.fairness.demand_snapshot import Resources, ShardDemand, TeamClass, sum_resources
 
 K = TypeVar("K", bound=Hashable)
 
@@ -18,29 +18,37 @@
 
 
 class FairShares(Struct, frozen=True):
-    """The shares that follow from one demand snapshot; without overload there are none."""
+    """The shares computed from one demand snapshot; without overload there are none."""
 
     overload: bool = False
     capacity: Resources = (0.0, 0.0, 0.0)
     minimum_shares: dict[TeamClass, float] = field(default_factory=dict)
     split: ShardShares = field(default_factory=dict)  # each shard's part of the minimum shares
-    signals: tuple[tuple[int, int, int], ...] = ()  # shard, token, seq of every part used
+    signals: tuple[tuple[int, int, int], ...] = ()  # shard, token, seq of every report used
 
     def shard_share(self, shard: int, team_class: TeamClass) -> float:
-        """What a shard may guarantee to a team's class; one not named uses that of "" together."""
+        """Return the share that a shard may guarantee to a team's class.
+
+        The classes of a team that aren't named use the share of its class "" together.
+        """
         own = self.split.get(shard, {})
         share = own.get(team_class)
         return own.get((team_class[0], ""), 0.0) if share is None else share
 
 
 def dominant_share(amount: Resources, capacity: Resources) -> float:
-    """The largest share that an amount is of any resource; resources without capacity are
-    ignored."""
+    """Return the largest share of any resource that an amount takes.
+
+    Resources without capacity are ignored.
+    """
     return max(a / c if c > 0 else 0.0 for a, c in zip(amount, capacity, strict=True))
 
 
 def water_fill(wanted: Mapping[K, float], capacity: float) -> dict[K, float]:
-    """Max-min fairness: none gets more than wanted, and what it leaves is split over the others."""
+    """Divide capacity with max-min fairness.
+
+    None gets more than it wants; what it doesn't want is divided among the others.
+    """
     remaining = capacity
     shares: dict[K, float] = {}
     ordered = sorted(wanted.items(), key=lambda item: (item[1], item[0]))
@@ -51,10 +59,10 @@
 
 
 def max_min_shares(wanted: Mapping[TeamClass, float]) -> dict[TeamClass, float]:
-    """Max-min over teams, then over each team's classes.
+    """Divide the whole capacity with max-min fairness over teams, then over each team's classes.
 
     Users choose the names of classes freely, so a team with a thousand classes must not get a
-    thousand times the share of a team with one.
+    thousand times the share of a team with one class.
     """
     by_team: dict[int, dict[TeamClass, float]] = {}
     for team_class in sorted(wanted):
@@ -67,24 +75,24 @@
 
 
 def compute_fair_shares(
-    parts: Mapping[int, ShardDemand], shards: int, min_share_ratio: float
+    reports: Mapping[int, ShardDemand], shards: int, min_share_ratio: float
 ) -> FairShares:
-    """The minimum shares, and their split over the shards by demand.
+    """Compute the minimum shares, and split them over the shards by demand.
 
-    A minimum share is `min_share_ratio` of a class's fair share. Only capacity of shards whose
-    part is known is guaranteed.
+    A minimum share is `min_share_ratio` of a class's fair share. Only the capacity of shards whose
+    report is known is guaranteed.
     """
-    capacity = total(part.capacity for part in parts.values())
-    signals = tuple((shard, part.token, part.seq) for shard, part in sorted(parts.items()))
-    overload = any(part.overloaded for part in parts.values())
+    capacity = sum_resources(report.capacity for report in reports.values())
+    signals = tuple((shard, report.token, report.seq) for shard, report in sorted(reports.items()))
+    overload = any(report.overloaded for report in reports.values())
     if not overload or max(capacity, default=0.0) <= 0:
         return FairShares(overload, capacity, signals=signals)
-    demand = _demand_by_class(parts, capacity)
+    demand = _demand_by_class(reports, capacity)
     wanted = {team_class: sum(by_shard.values()) for team_class, by_shard in demand.items()}
     minimum_shares = {
         team_class: min_share_ratio * share for team_class, share in max_min_shares(wanted).items()
     }
-    split: ShardShares = {shard: {} for shard in parts}
+    split: ShardShares = {shard: {} for shard in reports}
     for team_class, by_shard in demand.items():
         for shard, share in by_shard.items():
             if share > 0:
@@ -95,22 +103,22 @@
 
 
 def _demand_by_class(
-    parts: Mapping[int, ShardDemand], capacity: Resources
+    reports: Mapping[int, ShardDemand], capacity: Resources
 ) -> dict[TeamClass, dict[int, float]]:
-    """Each class's dominant share of the capacity, by shard."""
+    """Return each class's running and waiting demand by shard, as dominant shares."""
     demand: dict[TeamClass, dict[int, float]] = {}
-    for shard, part in sorted(parts.items()):
-        for team_class, load in part.loads.items():
-            share = dominant_share(total((load.running, load.waiting)), capacity)
+    for shard, report in sorted(reports.items()):
+        for team_class, load in report.loads.items():
+            share = dominant_share(sum_resources((load.running, load.waiting)), capacity)
             demand.setdefault(team_class, {})[shard] = share
     return demand
 
 
 def _limit_to_equal_parts(split: ShardShares, shards: int) -> None:
-    """Scale each shard's guarantees down to an equal part of the capacity.
+    """Scale each shard's guarantees down to at most an equal part of the capacity.
 
-    Shards whose snapshots differ, being out of date or from both sides of a partition, then
-    together guarantee no more than there is.
+    Snapshots may differ between shards: they can be out of date, or from both sides of a network
+    partition. With this limit all shards together still guarantee no more than the capacity.
     """
     for guaranteed in split.values():
         total_share = sum(guaranteed.values())
--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -14,8 +14,8 @@
     DemandSnapshot,
     ShardDemand,
     TeamClass,
-    bounded,
-    total,
+    merge_small_classes,
+    sum_resources,
 )
 from starlingdeck.fairness.fair_share import FairShares, compute_fair_shares, dominant_share
 from starlingdeck.fairness.minimum_share import WorkItem
@@ -79,17 +79,17 @@
         """Publish the demand and capacity of the shards owned here."""
         self.refresh()
         for shard in self.writers:
-            shard_demand = self.demand.shards.get(shard)
-            if shard_demand is None:
+            report = self.demand.shards.get(shard)
+            if report is None:
                 continue
             item = gossip.shard_demands.add(
-                shard=shard_demand.shard,
-                token=shard_demand.token,
-                seq=shard_demand.seq,
-                overloaded=shard_demand.overloaded,
-                capacity=shard_demand.capacity,
+                shard=report.shard,
+                token=report.token,
+                seq=report.seq,
+                overloaded=report.overloaded,
+                capacity=report.capacity,
             )
-            for (team, name), load in shard_demand.loads.items():
+            for (team, name), load in report.loads.items():
                 item.loads.add(team=team, cls=name, running=load.running, waiting=load.waiting)
 
     def receive_gossip(self, gossip: pb.Gossip) -> None:
@@ -105,10 +105,15 @@
                 for load in item.loads[:MAX_PEER_LOADS]
             }
             capacity = _valid_resources(item.capacity)
-            shard_demand = ShardDemand(
-                item.shard, item.token, item.seq, capacity, bounded(loads), item.overloaded
+            report = ShardDemand(
+                item.shard,
+                item.token,
+                item.seq,
+                capacity,
+                merge_small_classes(loads),
+                item.overloaded,
             )
-            self.demand.update(shard_demand, now)
+            self.demand.update(report, now)
 
     def refresh(self) -> None:
         """Update the demand of the shards owned here, then the shares from all known demand.
@@ -124,13 +129,13 @@
         self.seq += 1
         for shard, writer in self.writers.items():
             if writer.shard.loaded:
-                loads = bounded(self._loads(writer.shard))
-                shard_demand = ShardDemand(
+                loads = merge_small_classes(self._loads(writer.shard))
+                report = ShardDemand(
                     shard, writer.shard.token, self.seq, self._capacity(shard), loads, overloaded
                 )
-                self.demand.update(shard_demand, now)
-        shard_demands = self.demand.known(now, self.context.tuning.expiry_s)
-        shares = compute_fair_shares(shard_demands, self.context.shard_count, self.settings.floor)
+                self.demand.update(report, now)
+        reports = self.demand.known(now, self.context.tuning.expiry_s)
+        shares = compute_fair_shares(reports, self.context.shard_count, self.settings.floor)
         if shares.overload != self.shares.overload:
             change = "began" if shares.overload else "ended"
             log.info("overload %s: signals=%s", change, shares.signals)
@@ -145,7 +150,7 @@
             for machine in machines
             if not (machine.lost or machine.draining or machine.faulty_since is not None)
         ]
-        return total(
+        return sum_resources(
             machine_capacity(machine_type) for machine_type in types if machine_type is not None
         )
 
@@ -165,7 +170,8 @@
                     sizes.setdefault(team_class, []).append(size)
         return {
             team_class: ClassDemand(
-                total(running.get(team_class, ())), total(waiting.get(team_class, ()))
+                sum_resources(running.get(team_class, ())),
+                sum_resources(waiting.get(team_class, ())),
             )
             for team_class in running.keys() | waiting.keys()
         }
@@ -254,8 +260,8 @@
         """
         running: dict[TeamClass, float] = {}
         for shard in self.writers:
-            shard_demand = self.demand.shards.get(shard)
-            for team_class, load in shard_demand.loads.items() if shard_demand is not None else ():
+            report = self.demand.shards.get(shard)
+            for team_class, load in report.loads.items() if report is not None else ():
                 share = dominant_share(load.running, self.shares.capacity)
                 running[team_class] = running.get(team_class, 0.0) + share
         return {
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -12,8 +12,8 @@
     DemandSnapshot,
     ShardDemand,
     TeamClass,
-    bounded,
-    total,
+    merge_small_classes,
+    sum_resources,
 )
 from starlingdeck.fairness.fair_share import compute_fair_shares, max_min_shares, water_fill
 from starlingdeck.fairness.minimum_share import PROTECTION_SLACK, WorkItem
@@ -89,9 +89,11 @@
     shares = max_min_shares(honest | hostile)
     assert shares[(0, "x")] == pytest.approx(0.5)
     loads = {p: ClassDemand((n, 0.0, 0.0), (0.0, 0.0, n)) for p, n in (honest | hostile).items()}
-    small = bounded(loads)
+    small = merge_small_classes(loads)
     assert len(small) <= 34
-    assert total(x.running for x in small.values()) == total(x.running for x in loads.values())
+    assert sum_resources(x.running for x in small.values()) == sum_resources(
+        x.running for x in loads.values()
+    )
 
 
 def test_a_part_is_replaced_by_newer_ones_only_and_expires() -> None:
