--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The scheduling cycle: what it requests, and what it does after it has yielded."""
+"""Tests of the planner: what a cycle requests, and how it continues after it has yielded."""
 
 import curio
 
@@ -21,17 +21,19 @@
 from tests.support.builders import Clock, make_context, spec
 
 
-def overloaded(node: Controller, *jobs: Job) -> OverloadController:
-    """A minimum share of all capacity for the jobs' classes, by the demand of one shard."""
-    found = OverloadController(
-        node.context, node.writers, node.machines, OverloadSettings(churn=0.05)
+def overload_with_shares(controller: Controller, *jobs: Job) -> OverloadController:
+    """Return an overload controller; each job's class has all capacity as its minimum share."""
+    overload = OverloadController(
+        controller.context, controller.writers, controller.machines, OverloadSettings(churn=0.05)
     )
-    pairs = {found.team_class(job) for job in jobs}
-    part = ShardDemand(0, 3, 1, (8.0, 0.0, 32.0), {pair: ClassDemand() for pair in pairs}, True)
-    found.demand.update(part, node.context.now())
-    minimum_shares = dict.fromkeys(pairs, 1.0)
-    found.shares = FairShares(True, part.capacity, minimum_shares, {0: minimum_shares})
-    return found
+    team_classes = {overload.team_class(job) for job in jobs}
+    report = ShardDemand(
+        0, 3, 1, (8.0, 0.0, 32.0), {team_class: ClassDemand() for team_class in team_classes}, True
+    )
+    overload.demand.update(report, controller.context.now())
+    minimum_shares = dict.fromkeys(team_classes, 1.0)
+    overload.shares = FairShares(True, report.capacity, minimum_shares, {0: minimum_shares})
+    return overload
 
 
 def machine(name: str, free: float = 4.0) -> pb.MachineState:
@@ -46,30 +48,32 @@
 
 
 def planning_controller(clock: Clock, *machines: pb.MachineState) -> tuple[Controller, JobShard]:
-    """A controller that owns job shard 0; machine shard 2 belongs to a reachable peer."""
-    node = Controller(make_context(clock))
-    node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, clock.at
-    jobs = JobShard(node.context, 0, 3, 9)
-    jobs.loaded = True
-    node.writers[0] = RecordWriter(node.context, node.state, jobs)
-    node.membership.owners[2] = ShardOwner(0, 5, 77)
-    snapshot = ShardSnapshot(node.context, 2, 77)
+    """Return a controller that owns job shard 0 and is named as the owner of machine shard 2."""
+    controller = Controller(make_context(clock))
+    controller.membership.lease.lease_id, controller.membership.lease.renewed_at = 1, clock.at
+    shard = JobShard(controller.context, 0, 3, 9)
+    shard.loaded = True
+    controller.writers[0] = RecordWriter(controller.context, controller.state, shard)
+    controller.membership.owners[2] = ShardOwner(0, 5, 77)
+    snapshot = ShardSnapshot(controller.context, 2, 77)
     snapshot.apply(pb.Snapshot(shard=2, epoch=77, seq=1, valid=True, full=True, machines=machines))
-    node.candidates.update(snapshot, set(snapshot.machines))
-    return node, jobs
+    controller.candidates.update(snapshot, set(snapshot.machines))
+    return controller, shard
 
 
 def test_cycle_yields_and_skips_jobs_that_changed_meanwhile() -> None:
-    """A cycle delayed submissions and renewals for as long as it took; a job cancelled while it
-    yields must not be placed after."""
+    """A cycle that didn't yield delayed submissions and lease renewals; a job that is cancelled
+    while a cycle yields must not be placed."""
     clock = Clock()
-    node, jobs = planning_controller(clock, machine("vm-1", 2.0), machine("vm-2", 2.0))
-    first, second = (new_job(node.context, spec(f"j-00000{i}", chores=1), 0, i) for i in (1, 2))
-    for one in (first, second):
-        jobs.jobs[one.index] = one
+    controller, shard = planning_controller(clock, machine("vm-1", 2.0), machine("vm-2", 2.0))
+    first, second = (
+        new_job(controller.context, spec(f"j-00000{i}", chores=1), 0, i) for i in (1, 2)
+    )
+    for job in (first, second):
+        shard.jobs[job.index] = job
     requested: list[tuple[str, bool]] = []
 
-    def slow(message: pb.ReserveRequest) -> pb.ReserveReply:
+    def reserve(message: pb.ReserveRequest) -> pb.ReserveReply:
         requested.append((message.job.id, second.cancelled))
         return pb.ReserveReply()
 
@@ -78,30 +82,30 @@
 
     async def drive() -> None:
         await curio.spawn(cancel, daemon=True)
-        await node.planner.run_cycle()
+        await controller.planner.run_cycle()
         await curio.sleep(0)
 
-    node.planner.reservations.reserve_local = slow
+    controller.planner.reservations.reserve_local = reserve
     step = MAX_RUN_WITHOUT_YIELD_S * 2
-    ticking = iter(range(10_000))  # every reading of the clock takes long
-    node.context.now = lambda: 1000.0 + step * next(ticking)
-    node.membership.lease.renewed_at = 1e9
-    node.peers.last_heard_at[0] = 1e9
+    clock_readings = iter(range(10_000))  # each reading of the clock advances it
+    controller.context.now = lambda: 1000.0 + step * next(clock_readings)
+    controller.membership.lease.renewed_at = 1e9
+    controller.peers.last_heard_at[0] = 1e9
     curio.run(drive)
     assert requested == [("j-000001", True)]
 
 
 def test_job_without_waiting_tasks_is_not_prioritized() -> None:
-    """Under overload a job whose last tasks were placed by the cycle that recorded them as waiting
-    made the next cycle fail (KeyError)."""
-    node, jobs = planning_controller(Clock())
-    now_ms = node.context.wall_clock_ms()
+    """A job whose last tasks were placed by the cycle that recorded them as waiting made the next
+    cycle fail with a KeyError under overload."""
+    controller, shard = planning_controller(Clock())
+    now_ms = controller.context.wall_clock_ms()
     placed, waiting = (
-        new_job(node.context, spec(f"j-00000{i}", chores=4), 0, now_ms + i) for i in (1, 2)
+        new_job(controller.context, spec(f"j-00000{i}", chores=4), 0, now_ms + i) for i in (1, 2)
     )
-    for one in (placed, waiting):
-        jobs.jobs[one.index] = one
-    overload = overloaded(node, placed, waiting)
+    for job in (placed, waiting):
+        shard.jobs[job.index] = job
+    overload = overload_with_shares(controller, placed, waiting)
     overload.on_cycle_end([(placed, 1), (waiting, 1)])
     placed.placements[0] = TaskPlacement(0, 1, 1, 2, 0)
     assert overload.below_minimum_share([waiting]) == [(waiting, 1)]
@@ -109,28 +113,28 @@
 
 
 def test_arrays_wait_before_they_preempt_under_churn() -> None:
-    """Under overload a sixth of all starts were preempted and started again; but a wait in every
-    overload cost a burst's urgent jobs more than it saved."""
+    """Without the wait a sixth of all starts under overload were preempted and started again, but
+    a wait in every overload cost a burst's urgent jobs more than it saved."""
     clock = Clock()
-    node, _ = planning_controller(clock)
-    now_ms = node.context.wall_clock_ms()
-    sweep, service = (
-        new_job(node.context, spec(f"j-00000{n}", shape=shape), 0, now_ms)
+    controller, _ = planning_controller(clock)
+    now_ms = controller.context.wall_clock_ms()
+    array, service = (
+        new_job(controller.context, spec(f"j-00000{n}", shape=shape), 0, now_ms)
         for n, shape in enumerate(("sweep", "daemon"))
     )
-    overload = node.planner.overload = overloaded(node, sweep)
-    node.context.counters.increment("red", "batch", counters.STARTED, 100)
+    overload = controller.planner.overload = overload_with_shares(controller, array)
+    controller.context.counters.increment("red", "batch", counters.STARTED, 100)
     for preempted, churning in ((4, False), (8, True)):
-        node.context.counters.increment("red", "batch", counters.PREEMPTED, preempted)
+        controller.context.counters.increment("red", "batch", counters.PREEMPTED, preempted)
         clock.at += 0.3
         shares = overload.shares
         overload.refresh()
         overload.shares = shares
         assert overload.is_churning() is churning
-        assert node.planner._may_preempt(sweep) is not churning
-        assert node.planner._may_preempt(service)
+        assert controller.planner._may_preempt(array) is not churning
+        assert controller.planner._may_preempt(service)
     clock.at += 0.3 * overload.settings.patience_s
-    assert node.planner._may_preempt(sweep)
+    assert controller.planner._may_preempt(array)
     clock.at += 60.0
     overload.refresh()
     overload.shares = shares
@@ -138,24 +142,26 @@
 
 
 def test_waiting_replica_makes_a_cycle_due() -> None:
-    """Cycles in a backlog pause for up to 0.5 s; a replica has to start within a second or two."""
-    node, jobs = planning_controller(Clock())
-    service = new_job(node.context, spec("j-000001", shape="daemon", chores=1), 0, 1)
-    jobs.jobs[service.index] = service
-    assert not node.planner._needs_early_cycle()
-    service.placements[0] = TaskPlacement(node.context.machine_names.intern("vm-1"), 1, 1, 2, 0)
-    jobs.end_attempt(service, 0, service.placements[0], api.CAUSE_STOPPED, "stopped")
-    assert node.planner._needs_early_cycle()
-    curio.run(node.planner.run_cycle)
-    assert not node.planner._needs_early_cycle()
+    """In a backlog cycles pause for up to 0.5 s, but a replica has to start in a second or two."""
+    controller, shard = planning_controller(Clock())
+    service = new_job(controller.context, spec("j-000001", shape="daemon", chores=1), 0, 1)
+    shard.jobs[service.index] = service
+    assert not controller.planner._needs_early_cycle()
+    service.placements[0] = TaskPlacement(
+        controller.context.machine_names.intern("vm-1"), 1, 1, 2, 0
+    )
+    shard.end_attempt(service, 0, service.placements[0], api.CAUSE_STOPPED, "stopped")
+    assert controller.planner._needs_early_cycle()
+    curio.run(controller.planner.run_cycle)
+    assert not controller.planner._needs_early_cycle()
 
 
 def test_refused_reservation_restores_the_candidate() -> None:
-    """After a refusal the task avoided the machine, and its image counted as being fetched there,
-    until the next snapshot of the machine."""
+    """Without this the task avoided the machine after a refusal, and its image counted as being
+    fetched there, until the machine's next snapshot."""
     clock = Clock()
-    node, _ = planning_controller(clock, machine("vm-1"))
-    candidates = node.candidates
+    controller, _ = planning_controller(clock, machine("vm-1"))
+    candidates = controller.candidates
     (candidate,) = candidates.candidates()
     for granted in (False, True):
         candidate.available[0] -= 2.0
@@ -171,8 +177,8 @@
 
 def test_snapshot_during_a_yield_counts_the_pending_allocation() -> None:
     clock = Clock()
-    node, _ = planning_controller(clock, machine("vm-1"))
-    candidates = node.candidates
+    controller, _ = planning_controller(clock, machine("vm-1"))
+    candidates = controller.candidates
     (chosen,) = candidates.candidates()
     snapshot = candidates.snapshots[2]
     candidates.update(snapshot, set(snapshot.machines))
@@ -184,7 +190,7 @@
     assert current.available[0] == 4.0
 
 
-def test_profiler_reports_how_long_each_kind_of_task_ran_at_a_stretch() -> None:
+def test_profiler_reports_how_long_each_kind_of_task_ran_without_yielding() -> None:
     clock = Clock()
     profiler = TaskProfiler(clock.now)
 
@@ -207,28 +213,28 @@
 
 def test_preemption_is_requested_for_no_more_tasks_than_the_headroom() -> None:
     """A cycle that found no machine for the few tasks within the team's limit requested preemption
-    for 32 of the job's tasks, and all that were granted a reservation were started."""
+    for 32 of the job's tasks, and all tasks that were granted a reservation were started."""
     clock = Clock()
     full = machine("vm-1", 0.0)
     full.youngest_s.extend([5.0, -1.0, -1.0, -1.0])
-    node, jobs = planning_controller(clock, full)
+    controller, shard = planning_controller(clock, full)
     job = new_job(
-        node.context, spec(crew="blue", cores=0.5, ram_gb=0.1, chores=40, rank="prod"), 0, 1
+        controller.context, spec(crew="blue", cores=0.5, ram_gb=0.1, chores=40, rank="prod"), 0, 1
     )
-    jobs.jobs[job.index] = job
+    shard.jobs[job.index] = job
     requested: list[int] = []
 
     def reserve(message: pb.ReserveRequest) -> pb.ReserveReply:
-        requested.extend(spot.task for spot in message.tasks if message.preempt)
+        requested.extend(target.task for target in message.tasks if message.preempt)
         return pb.ReserveReply()
 
     async def drive() -> None:
-        await node.planner.run_cycle()
+        await controller.planner.run_cycle()
         await curio.sleep(0)
 
-    node.quota_transfer.quota.learn(0, [(3.0, 0.0), (10.0, 0.0), (11.0, 0.0)], 9)
-    node.planner.reservations.reserve_local = reserve
-    node.peers.last_heard_at[0] = 1e9
+    controller.quota_transfer.quota.learn(0, [(3.0, 0.0), (10.0, 0.0), (11.0, 0.0)], 9)
+    controller.planner.reservations.reserve_local = reserve
+    controller.peers.last_heard_at[0] = 1e9
     curio.run(drive)
     assert requested
     assert len(requested) <= 6
