--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -1,4 +1,4 @@
-"""Which waiting jobs are placed and recorded first."""
+"""Tests of the order in which waiting jobs are placed and recorded."""
 
 import random
 
@@ -22,8 +22,8 @@
 from tests.support.reference_model import FakeStateClient, FakeStateService
 
 
-def job(context: ControllerContext, name: str, age_s: float, **other: object) -> Job:
-    return new_job(context, spec(name, **other), 0, context.wall_clock_ms() - int(age_s * 1000))
+def make_job(context: ControllerContext, name: str, age_s: float, **fields: object) -> Job:
+    return new_job(context, spec(name, **fields), 0, context.wall_clock_ms() - int(age_s * 1000))
 
 
 def preemption_plan(
@@ -33,20 +33,22 @@
 
 
 def test_jobs_late_for_every_objective_go_last() -> None:
-    """In a backlog late jobs went first, in order of slack, and made the next ones late too."""
+    """Ordered by slack, late jobs went first in a backlog and made the next ones late too."""
     context = make_context(Clock())
-    late = job(context, "j-000001", 95.0, guess_s=40.0)
-    tight = job(context, "j-000002", 40.0, guess_s=40.0)
-    fresh = job(context, "j-000003", 0.0, guess_s=40.0)
-    urgent = job(context, "j-000004", 99.0, guess_s=40.0, rank="urgent")
-    got = priority.priority_order(context, [late, tight, fresh, urgent], context.wall_clock_ms())
-    assert got == [urgent, tight, fresh, late]
+    late = make_job(context, "j-000001", 95.0, guess_s=40.0)
+    tight = make_job(context, "j-000002", 40.0, guess_s=40.0)
+    fresh = make_job(context, "j-000003", 0.0, guess_s=40.0)
+    urgent = make_job(context, "j-000004", 99.0, guess_s=40.0, rank="urgent")
+    ordered = priority.priority_order(
+        context, [late, tight, fresh, urgent], context.wall_clock_ms()
+    )
+    assert ordered == [urgent, tight, fresh, late]
 
 
 def test_smaller_of_equal_jobs_goes_first() -> None:
     context = make_context(Clock())
-    large = job(context, "j-000001", 1.0, chores=70)
-    small = job(context, "j-000002", 0.0, chores=4)
+    large = make_job(context, "j-000001", 1.0, chores=70)
+    small = make_job(context, "j-000002", 0.0, chores=4)
     assert priority.priority_order(context, [large, small], context.wall_clock_ms()) == [
         small,
         large,
@@ -54,34 +56,43 @@
 
 
 def test_preempting_tasks_share_machines_and_respect_spreading() -> None:
-    """All tasks of a spread job were assigned by one count of its zones, taken before."""
+    """All tasks of a spread job were assigned by one count of its zones, made before the first."""
     context = make_context(Clock())
     candidates = [
         Candidate(i, 0, i % 2, False, 0, (4.0, 0.0, 16.0), [0.0, 0.0, 0.0]) for i in range(8)
     ]
-    sweep = job(context, "j-000001", 0.0, chores=9, cores=1.0)
-    decisions = preemption_plan(context).assign(sweep, list(range(9)), candidates)
-    assert [p.candidate.index for p in decisions] == [0] * 4 + [1] * 4 + [2]
-    spread = job(context, "j-000002", 0.0, chores=3, shape="daemon", spread=True)
+    array = make_job(context, "j-000001", 0.0, chores=9, cores=1.0)
+    decisions = preemption_plan(context).assign(array, list(range(9)), candidates)
+    assert [decision.candidate.index for decision in decisions] == [0] * 4 + [1] * 4 + [2]
+    spread = make_job(context, "j-000002", 0.0, chores=3, shape="daemon", spread=True)
     decisions = preemption_plan(context).assign(
         spread, [0, 1, 2], [candidates[0], candidates[2], candidates[4], candidates[1]]
     )
-    assert [p.candidate.index for p in decisions] == [0, 2, 1]
+    assert [decision.candidate.index for decision in decisions] == [0, 2, 1]
 
 
 def test_preemption_plan_asks_a_machine_for_no_more_than_its_capacity() -> None:
-    """Similar jobs asked the same machines in one cycle, and too much was stopped for them."""
+    """Similar jobs asked the same machines in one cycle, and too much work was stopped for them."""
     context = make_context(Clock())
-    total, ages = (4.0, 0.0, 16.0), [5.0, -1.0, -1.0, -1.0]
-    candidates = [Candidate(i, 0, 0, False, 0, total, [0.0] * 3, youngest_s=ages) for i in range(3)]
-    asked = preemption_plan(context, candidates, limit=5)
-    jobs = [job(context, f"j-00000{i}", 0.0, chores=3, cores=2.0, rank="urgent") for i in range(3)]
-    decisions = [p for job in jobs for p in asked.assign(job, [0, 1, 2], asked.cheapest(job, 0.0))]
+    capacity, ages = (4.0, 0.0, 16.0), [5.0, -1.0, -1.0, -1.0]
+    candidates = [
+        Candidate(i, 0, 0, False, 0, capacity, [0.0] * 3, youngest_s=ages) for i in range(3)
+    ]
+    plan = preemption_plan(context, candidates, limit=5)
+    jobs = [
+        make_job(context, f"j-00000{i}", 0.0, chores=3, cores=2.0, rank="urgent") for i in range(3)
+    ]
+    decisions = [
+        decision
+        for job in jobs
+        for decision in plan.assign(job, [0, 1, 2], plan.cheapest(job, 0.0))
+    ]
     assert len(decisions) == 5
-    assert asked.remaining == 0
+    assert plan.remaining == 0
     assert (
         max(
-            sum(p.candidate.index == candidate.index for p in decisions) for candidate in candidates
+            sum(decision.candidate.index == candidate.index for decision in decisions)
+            for candidate in candidates
         )
         == 2
     )
@@ -102,11 +113,12 @@
             job, preemption.preemptible_ranks(context, job), candidate_with(*ages)
         )
 
-    urgent = job(context, "j-000001", 0.0, rank="urgent")
+    urgent = make_job(context, "j-000001", 0.0, rank="urgent")
     assert asked(urgent, -1, 9, -1, -1)
     assert not asked(urgent, -1, -1, 9, 9)
-    assert not asked(job(context, "j-000002", 0.0, rank="urgent", cores=8.0), -1, 9, -1, -1)
-    # A guarantee may stop what another team runs beyond its own: equal rank, later any.
+    assert not asked(make_job(context, "j-000002", 0.0, rank="urgent", cores=8.0), -1, 9, -1, -1)
+    # A guaranteed job may stop other teams' work beyond their guarantees: of equal rank, and of any
+    # rank once it has waited too long.
     urgent.guaranteed = True
     assert asked(urgent, -1, -1, 9, -1)
     assert not asked(urgent, -1, -1, -1, 9)
@@ -115,15 +127,15 @@
 
 
 def test_urgent_starts_are_recorded_first_and_alone() -> None:
-    """Replicas waited for the record of their start behind the submissions of a busy minute."""
+    """Replicas' starts waited to be recorded behind the submissions of a busy minute."""
     context = make_context(Clock())
     shard = JobShard(context, 0, 3, 9)
     writer = RecordWriter(context, FakeStateClient(FakeStateService(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
-    low, high = job(context, "j-000001", 9.0), job(context, "j-000002", 0.0, rank="prod")
-    for one in (low, high):
-        one.key_versions[0] = 1
-        one.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
-        shard.adopt(one)
+    low, high = make_job(context, "j-000001", 9.0), make_job(context, "j-000002", 0.0, rank="prod")
+    for job in (low, high):
+        job.key_versions[0] = 1
+        job.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
+        shard.adopt(job)
     context.machine_names.intern("vm-0")
     context.zone_names.intern("a")
     assert [d.job for d in writer.batches.select()[0]] == [high]
@@ -134,8 +146,8 @@
 
 
 def test_batch_is_chosen_when_the_write_limit_allows_it() -> None:
-    """Chosen before the wait for it, each start of a job was a write of its own, and replicas
-    waited behind what had been chosen first."""
+    """When batches were chosen before waiting for the limit, each start of a job was a write of its
+    own, and replicas waited behind what had been chosen earlier."""
     clock = Clock()
     context = make_context(clock)
     limiter = TokenBucket(10.0, 1.0, clock.now)
@@ -146,12 +158,12 @@
     shard = JobShard(context, 0, client.state.revision, 9)
     shard.loaded = True
     writer = RecordWriter(context, client, shard)  # type: ignore[arg-type]
-    low, high = job(context, "j-000001", 9.0), job(context, "j-000002", 0.0, rank="prod")
-    for one in (low, high):
-        one.pending_starts[0] = TaskPlacement(
+    low, high = make_job(context, "j-000001", 9.0), make_job(context, "j-000002", 0.0, rank="prod")
+    for job in (low, high):
+        job.pending_starts[0] = TaskPlacement(
             context.machine_names.intern("vm-0"), 1, 1, 0, context.zone_names.intern("a")
         )
-        one.key_versions[0] = 0
+        job.key_versions[0] = 0
     shard.adopt(low)
 
     async def drive() -> tuple[bool, bool]:
@@ -173,13 +185,13 @@
 
 
 def test_starts_still_being_reserved_are_recorded_with_the_first() -> None:
-    """Each owner's answer was a write of its own, two or three a service, and in a day's first
-    seconds the changes a second are what starts wait for."""
+    """Each owner's answer was a write of its own, two or three for each service, and in the first
+    seconds of a day starts wait for the limit on changes per second."""
     clock = Clock()
     context = make_context(clock)
     shard = JobShard(context, 0, 3, 9)
     writer = RecordWriter(context, FakeStateClient(FakeStateService(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
-    service = job(context, "j-000001", 0.0, shape="daemon", rank="prod")
+    service = make_job(context, "j-000001", 0.0, shape="daemon", rank="prod")
     service.key_versions[0] = 1
     service.pending_starts[0] = TaskPlacement(
         context.machine_names.intern("vm-0"), 1, 1, 0, 0, state_since=clock.at
@@ -196,7 +208,7 @@
 
 
 def test_preemption_is_requested_where_the_least_work_is_lost() -> None:
-    """Machines asked at random gave up work that had run for half its time."""
+    """Machines chosen at random stopped work that had run for half its time."""
     context = make_context(Clock())
     now = context.now()
 
@@ -212,15 +224,15 @@
         candidate_with(2, -1, 3, 2, -1),
         candidate_with(3),
     ]
-    urgent = job(context, "j-000001", 0.0, rank="urgent")
-    got = preemption.cheapest_preemptions(urgent, candidates, now, context.rng)
+    urgent = make_job(context, "j-000001", 0.0, rank="urgent")
+    ordered = preemption.cheapest_preemptions(urgent, candidates, now, context.rng)
     # Machine 1 only runs work of rank 2, which a task of rank 2 doesn't preempt.
-    assert [candidate.index for candidate in got[:2]] == [2, 0]
+    assert [candidate.index for candidate in ordered[:2]] == [2, 0]
     assert candidates[2].lost_s(2, now) == 8.0
 
 
 def test_replicas_do_not_pile_up_on_the_machine_with_the_fastest_fetch() -> None:
-    """Many replicas were on one large machine, and were gone at once when it died."""
+    """Many replicas ran on one large machine, and all failed at once with it."""
     context = make_context(Clock())
     candidates = [
         Candidate(
@@ -236,54 +248,57 @@
         for i in range(6)
     ]
     jobs = [
-        job(context, f"j-{i:06d}", 0.0, shape="daemon", rank="prod", chores=1, cores=4.0,
+        make_job(context, f"j-{i:06d}", 0.0, shape="daemon", rank="prod", chores=1, cores=4.0,
             ram_gb=16.0, kit=f"img-{i}", image_gb=2.0)
         for i in range(6)
     ]  # fmt: skip
     decisions, _ = scheduler.schedule(context, jobs, candidates, lambda j: 9, 99)
-    assert len({p.candidate.index for p in decisions}) == 6
-    sweep = job(context, "j-000009", 0.0, cores=1.0, ram_gb=4.0, chores=2, image_gb=2.0)
-    fast, _ = scheduler.schedule(context, [sweep], candidates, lambda j: 9, 99)
-    assert {p.candidate.index for p in fast} == {0}
+    assert len({decision.candidate.index for decision in decisions}) == 6
+    array = make_job(context, "j-000009", 0.0, cores=1.0, ram_gb=4.0, chores=2, image_gb=2.0)
+    fast, _ = scheduler.schedule(context, [array], candidates, lambda j: 9, 99)
+    assert {decision.candidate.index for decision in fast} == {0}
 
 
-def test_record_delayed_for_long_is_written_in_its_turn() -> None:
-    """In a flood of urgent starts nothing else was written: ends, which free limits and finish
-    jobs, waited for its end. Of those passed over, the team that wrote least lately goes first."""
+def test_records_passed_over_for_long_are_written_despite_urgent_starts() -> None:
+    """In a flood of urgent starts nothing else was written: ends of tasks, which free capacity
+    under limits and finish jobs, waited until the flood was over. Among the records passed over,
+    those of the team with the fewest recent writes go first."""
     clock = Clock()
     context = make_context(clock)
     shard = JobShard(context, 0, 3, 9)
     writer = RecordWriter(context, FakeStateClient(FakeStateService(random.Random(1)), 0.0), shard)  # type: ignore[arg-type]
     context.machine_names.intern("vm-0")
     context.zone_names.intern("a")
-    cluster = job(context, "j-000001", 0.0, rank="urgent", crew="red")
-    ended = [job(context, f"j-00000{n}", 9.0 - n, crew=c) for n, c in ((2, "red"), (3, "blue"))]
-    for one in (cluster, *ended):
-        one.key_versions[0] = 1
-        shard.adopt(one)
-    for one in ended:
-        one.placements[0] = TaskPlacement(0, 1, 1, 0, 0)
-        one.pending_ends[0] = api.CAUSE_DONE
-    writer.batches.spent[cluster.team] = 50.0
-    seen: list[list[Job]] = []
+    flooding = make_job(context, "j-000001", 0.0, rank="urgent", crew="red")
+    ended = [
+        make_job(context, f"j-00000{n}", 9.0 - n, crew=c) for n, c in ((2, "red"), (3, "blue"))
+    ]
+    for job in (flooding, *ended):
+        job.key_versions[0] = 1
+        shard.adopt(job)
+    for job in ended:
+        job.placements[0] = TaskPlacement(0, 1, 1, 0, 0)
+        job.pending_ends[0] = api.CAUSE_DONE
+    writer.batches.spent[flooding.team] = 50.0
+    batches: list[list[Job]] = []
     for _ in range(8):
         clock.at += 0.4
-        cluster.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
-        shard.dirty_jobs.add(cluster.index)
+        flooding.pending_starts[0] = TaskPlacement(0, 1, 1, 0, 0)
+        shard.dirty_jobs.add(flooding.index)
         batch, _, urgent = writer.batches.select()
         assert urgent
-        seen.append([d.job for d in batch])
-        for update in batch:  # as if written; its next start and the next ends are there at once
+        batches.append([d.job for d in batch])
+        for update in batch:  # as if written, with the next start and ends following at once
             del writer.batches.since[update.job.index]
-    assert seen == [*[[cluster]] * 3, [ended[1], ended[0], cluster]] * 2
+    assert batches == [*[[flooding]] * 3, [ended[1], ended[0], flooding]] * 2
 
 
 def test_idle_work_leaves_headroom_unless_prioritized() -> None:
-    """It used all that others left free, and whatever came next had to preempt some of it."""
+    """Idle work used all capacity that others left free, and any next work had to preempt it."""
     context = make_context(Clock())
-    total = (16.0, 0.0, 64.0)
+    capacity = (16.0, 0.0, 64.0)
     candidates = [
-        Candidate(n, context.type_names.intern("big"), 0, False, 0, total, [*total])
+        Candidate(n, context.type_names.intern("big"), 0, False, 0, capacity, [*capacity])
         for n in range(5)
     ]
     idle = new_job(context, spec("j-1", rank="idle", chores=99, cores=1.0, ram_gb=1.0), 0, 0)
@@ -296,8 +311,8 @@
     assert len(cycle.place(idle, 2, prioritized=True)) == 2
 
 
-def test_starving_job_goes_first_with_one_task() -> None:
-    """A class's largest jobs waited for as long as smaller and more urgent ones came."""
+def test_job_is_starving_until_one_of_its_tasks_has_run() -> None:
+    """A class's largest jobs waited for as long as smaller and more urgent ones arrived."""
     context = make_context(Clock())
     now = context.wall_clock_ms()
     old = new_job(
