--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -1,4 +1,4 @@
-"""Fair shares under overload: the arithmetic, and several controllers together."""
+"""Tests of fair shares under overload: their computation, and several controllers together."""
 
 import random
 
@@ -22,65 +22,74 @@
 from tests.support.overload_cluster import Events, JobClass, OverloadCluster, array
 
 AMOUNTS = st.floats(0, 3, allow_nan=False)
-PAIRS = st.tuples(st.integers(0, 2), st.sampled_from(["a", "b", "c"]))
+TEAM_CLASSES = st.tuples(st.integers(0, 2), st.sampled_from(["a", "b", "c"]))
 CAPACITY = (100.0, 0.0, 400.0)
 
 
-def part_of(shard: int, loads: dict[TeamClass, float], seq: int = 1, token: int = 1) -> ShardDemand:
-    """A shard's part whose work takes so many cpus, half of it waiting."""
-    sizes = {p: ClassDemand((n / 2, 0.0, n), (n / 2, 0.0, n)) for p, n in loads.items()}
-    return ShardDemand(shard, token, seq, CAPACITY, sizes, overloaded=True)
+def make_report(
+    shard: int, loads: dict[TeamClass, float], seq: int = 1, token: int = 1
+) -> ShardDemand:
+    """Return a shard's report in which each class needs the given cpus, half of them waiting."""
+    demands = {p: ClassDemand((n / 2, 0.0, n), (n / 2, 0.0, n)) for p, n in loads.items()}
+    return ShardDemand(shard, token, seq, CAPACITY, demands, overloaded=True)
 
 
-PARTS = st.dictionaries(PAIRS, st.floats(0, 1000, allow_nan=False), max_size=6)
+LOADS = st.dictionaries(TEAM_CLASSES, st.floats(0, 1000, allow_nan=False), max_size=6)
 
 
 @given(st.dictionaries(st.integers(0, 9), AMOUNTS, max_size=8), AMOUNTS)
-def test_filling_is_max_min(wanted: dict[int, float], capacity: float) -> None:
-    """Compared with a slow reference: a level that rises until all is assigned."""
+def test_water_fill_is_max_min_fair(wanted: dict[int, float], capacity: float) -> None:
+    """Compares with a slow reference that searches for the highest level that capacity allows."""
     shares = water_fill(wanted, capacity)
     low, high = 0.0, 4.0
     for _ in range(60):
         level = (low + high) / 2
-        if sum(min(w, level) for w in wanted.values()) <= capacity:
+        if sum(min(want, level) for want in wanted.values()) <= capacity:
             low = level
         else:
             high = level
-    assert shares == pytest.approx({k: min(w, low) for k, w in wanted.items()}, abs=1e-6)
+    assert shares == pytest.approx({k: min(want, low) for k, want in wanted.items()}, abs=1e-6)
 
 
-@given(st.lists(PARTS, min_size=2, max_size=5), st.randoms(use_true_random=False))
+@given(st.lists(LOADS, min_size=2, max_size=5), st.randoms(use_true_random=False))
 def test_shards_with_different_snapshots_guarantee_no_more_than_the_capacity(
     loads: list[dict[TeamClass, float]], rng: random.Random
 ) -> None:
-    """Late and lost messages, and both sides of a partition: each shard computes from parts of
-    random choice and age, its own among them."""
+    """Each shard computes from its own report and a random choice of the others, of random age,
+    as with late and lost messages and on both sides of a network partition."""
     shards = len(loads)
     guaranteed = 0.0
     for own in range(shards):
-        known = {own: part_of(own, loads[own])}
+        known = {own: make_report(own, loads[own])}
         for other in range(shards):
             if other != own and rng.random() < 0.7:
                 old = loads[rng.randrange(shards)]
-                known[other] = part_of(other, old)
+                known[other] = make_report(other, old)
         shares = compute_fair_shares(known, shards, 1.0)
         in_cpus = sum(shares.split[own].values()) * shares.capacity[0]
         guaranteed += in_cpus
     assert guaranteed <= shards * CAPACITY[0] + 1e-6
 
 
-@given(st.lists(PARTS, min_size=1, max_size=4), st.floats(0, 1))
+@given(st.lists(LOADS, min_size=1, max_size=4), st.floats(0, 1))
 def test_the_same_snapshot_gives_the_same_minimum_shares(
     loads: list[dict[TeamClass, float]], floor: float
 ) -> None:
-    parts = [part_of(n, own) for n, own in enumerate(loads)]
-    one = compute_fair_shares({p.shard: p for p in parts}, len(parts), floor)
-    assert one == compute_fair_shares({p.shard: p for p in reversed(parts)}, len(parts), floor)
-    assert sum(one.minimum_shares.values()) <= floor + 1e-9
-    for pair, due in one.minimum_shares.items():
-        assert sum(split.get(pair, 0.0) for split in one.split.values()) <= due + 1e-9
-        wanted = sum(own.get(pair, 0.0) for own in loads)
-        assert due <= floor * wanted / one.capacity[0] + 1e-9 or one.capacity[2] < wanted * 2
+    reports = [make_report(n, own) for n, own in enumerate(loads)]
+    shares = compute_fair_shares({report.shard: report for report in reports}, len(reports), floor)
+    assert shares == compute_fair_shares(
+        {report.shard: report for report in reversed(reports)}, len(reports), floor
+    )
+    assert sum(shares.minimum_shares.values()) <= floor + 1e-9
+    for team_class, min_share in shares.minimum_shares.items():
+        assert (
+            sum(split.get(team_class, 0.0) for split in shares.split.values()) <= min_share + 1e-9
+        )
+        wanted = sum(own.get(team_class, 0.0) for own in loads)
+        assert (
+            min_share <= floor * wanted / shares.capacity[0] + 1e-9
+            or shares.capacity[2] < wanted * 2
+        )
 
 
 def test_many_classes_of_one_team_take_no_share_of_another() -> None:
@@ -89,25 +98,25 @@
     shares = max_min_shares(honest | hostile)
     assert shares[(0, "x")] == pytest.approx(0.5)
     loads = {p: ClassDemand((n, 0.0, 0.0), (0.0, 0.0, n)) for p, n in (honest | hostile).items()}
-    small = merge_small_classes(loads)
-    assert len(small) <= 34
-    assert sum_resources(x.running for x in small.values()) == sum_resources(
+    merged = merge_small_classes(loads)
+    assert len(merged) <= 34
+    assert sum_resources(x.running for x in merged.values()) == sum_resources(
         x.running for x in loads.values()
     )
 
 
-def test_a_part_is_replaced_by_newer_ones_only_and_expires() -> None:
+def test_report_is_replaced_by_newer_ones_only_and_expires() -> None:
     snapshot = DemandSnapshot()
-    assert snapshot.update(part_of(0, {}, seq=5, token=3), 10.0)
-    assert not snapshot.update(part_of(0, {}, seq=5, token=3), 11.0)  # twice
-    assert not snapshot.update(part_of(0, {}, seq=4, token=3), 11.0)  # late
-    assert not snapshot.update(part_of(0, {}, seq=99, token=2), 11.0)  # a former owner's
-    assert snapshot.update(part_of(0, {}, seq=1, token=4), 12.0)  # its successor's
+    assert snapshot.update(make_report(0, {}, seq=5, token=3), 10.0)
+    assert not snapshot.update(make_report(0, {}, seq=5, token=3), 11.0)  # received twice
+    assert not snapshot.update(make_report(0, {}, seq=4, token=3), 11.0)  # late
+    assert not snapshot.update(make_report(0, {}, seq=99, token=2), 11.0)  # a former owner's
+    assert snapshot.update(make_report(0, {}, seq=1, token=4), 12.0)  # its successor's
     assert snapshot.known(31.9, 20.0)
     assert not snapshot.known(32.1, 20.0)
 
 
-WORKS = st.lists(
+WORK_ITEMS = st.lists(
     st.builds(
         WorkItem,
         job=st.integers(0, 99),
@@ -120,48 +129,51 @@
         late=st.booleans(),
     ),
     max_size=8,
-    unique_by=lambda w: w.job,
+    unique_by=lambda item: item.job,
 )
 
 
-@given(WORKS, st.floats(0, 0.5))
+@given(WORK_ITEMS, st.floats(0, 0.5))
 def test_a_shard_exceeds_its_share_by_no_more_than_a_task(
-    works: list[WorkItem], due: float
+    items: list[WorkItem], min_share: float
 ) -> None:
-    by_job = {w.job: w for w in works}
-    protected = minimum_share.protected_work(works, lambda pair: due)
-    first = dict(minimum_share.below_share(works, lambda pair: due))
-    for pair in {w.team_class for w in works}:
-        own = [w for w in works if w.team_class == pair]
-        task = max(w.share for w in own)
-        in_use = sum(protected.get(w.job, 0) * w.share for w in own)
+    by_job = {item.job: item for item in items}
+    protected = minimum_share.protected_work(items, lambda team_class: min_share)
+    prioritized = dict(minimum_share.below_share(items, lambda team_class: min_share))
+    for team_class in {item.team_class for item in items}:
+        own = [item for item in items if item.team_class == team_class]
+        task = max(item.share for item in own)
+        protected_share = sum(protected.get(item.job, 0) * item.share for item in own)
         assert (
-            in_use
-            <= max(due, due * PROTECTION_SLACK if any(w.protected for w in own) else 0)
+            protected_share
+            <= max(
+                min_share,
+                min_share * PROTECTION_SLACK if any(item.protected for item in own) else 0,
+            )
             + task
             + 1e-6
         )
-        running = sum(w.running * w.share for w in own)
-        sooner = sum(first.get(w.job, 0) * w.share for w in own)
-        assert sooner <= max(0.0, due - running) + 2 * task + 1e-6
+        running = sum(item.running * item.share for item in own)
+        prioritized_share = sum(prioritized.get(item.job, 0) * item.share for item in own)
+        assert prioritized_share <= max(0.0, min_share - running) + 2 * task + 1e-6
         # A class below its share with waiting work starts some of it, however small its share is.
-        if running < due - 1e-6 and any(w.waiting for w in own):
-            assert sooner > 0
+        if running < min_share - 1e-6 and any(item.waiting for item in own):
+            assert prioritized_share > 0
     assert all(0 < n <= by_job[k].running for k, n in protected.items())
-    assert all(0 < n <= by_job[k].waiting for k, n in first.items())
+    assert all(0 < n <= by_job[k].waiting for k, n in prioritized.items())
 
 
 def test_late_work_gets_a_quarter_and_protected_tasks_stay_protected() -> None:
     fresh = [WorkItem(i, (0, "a"), 100 + i, 0.01, 0, 10) for i in range(4)]
     late = WorkItem(9, (0, "a"), 1, 0.01, 0, 40, late=True)
-    found = dict(minimum_share.below_share([*fresh, late], lambda pair: 0.2))
-    assert found[9] == 5
-    assert sum(found.values()) == 20
+    tasks_by_job = dict(minimum_share.below_share([*fresh, late], lambda team_class: 0.2))
+    assert tasks_by_job[9] == 5
+    assert sum(tasks_by_job.values()) == 20
     old = WorkItem(1, (0, "a"), 1, 0.01, 10, 0, protected=10)
-    assert minimum_share.protected_work([old], lambda pair: 0.08) == {
+    assert minimum_share.protected_work([old], lambda team_class: 0.08) == {
         1: 10
-    }  # within half as much again
-    assert minimum_share.protected_work([old], lambda pair: 0.04) == {1: 6}
+    }  # within PROTECTION_SLACK times the share
+    assert minimum_share.protected_work([old], lambda team_class: 0.04) == {1: 6}
 
 
 # --- several controllers in simulated time
@@ -172,7 +184,7 @@
 
 
 def high(second: int, rng: random.Random) -> list[api.JobSpec]:
-    """Four small urgent tasks of 15 s, two jobs a second: more than all 112 cpus."""
+    """Return two jobs a second of four small urgent tasks of 15 s: more than all 112 cpus."""
     return [array(second * 10 + i, HIGH, 4, 1.0, 15.0) for i in range(2)]
 
 
@@ -189,19 +201,19 @@
 ON = OverloadSettings(patience_s=5.0, floor=0.5)
 
 
-def crash(context: OverloadCluster) -> None:
-    context.crash(1)
+def crash(cluster: OverloadCluster) -> None:
+    cluster.crash(1)
 
 
-def partition(context: OverloadCluster) -> None:
-    context.partitions = {(0, 1), (1, 2)}
+def partition(cluster: OverloadCluster) -> None:
+    cluster.partitions = {(0, 1), (1, 2)}
 
 
-def heal(context: OverloadCluster) -> None:
-    context.partitions = set()
+def heal(cluster: OverloadCluster) -> None:
+    cluster.partitions = set()
 
 
-TROUBLES: dict[str, tuple[Events, float, int]] = {
+FAILURES: dict[str, tuple[Events, float, int]] = {
     "none": ({}, 0.0, 3),
     "a controller crashes in the flood": ({30.0: crash}, 0.0, 3),
     "one is partitioned from both others for 30 s": ({25.0: partition, 55.0: heal}, 0.0, 3),
@@ -210,29 +222,29 @@
 }
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_a_flood_of_higher_rank_leaves_others_their_minimum_share(trouble: str) -> None:
-    """Without minimum shares low work stood still: the capacity that came free was too little for a
-    task of it, and what ran was preempted for the flood."""
-    events, lost, nodes = TROUBLES[trouble]
-    context = OverloadCluster(1, flood, ON, controllers=nodes, gossip_loss_share=lost)
-    context.run(100, events)
-    began, submitted = context.started_and_total("low", 1000 + 80)
-    assert began >= 0.5 * submitted
-    began, submitted = context.started_and_total("high", 1000 + 80)
-    assert began >= 0.5 * submitted
+@pytest.mark.parametrize("failure", FAILURES)
+def test_a_flood_of_higher_rank_leaves_others_their_minimum_share(failure: str) -> None:
+    """Without minimum shares the low class starved: the capacity released at once was too little
+    for one of its tasks, and its running tasks were preempted for the flood."""
+    events, lost, nodes = FAILURES[failure]
+    cluster = OverloadCluster(1, flood, ON, controllers=nodes, gossip_loss_share=lost)
+    cluster.run(100, events)
+    started, submitted = cluster.started_and_total("low", 1000 + 80)
+    assert started >= 0.5 * submitted
+    started, submitted = cluster.started_and_total("high", 1000 + 80)
+    assert started >= 0.5 * submitted
 
 
 def test_effect_and_cost_of_minimum_shares() -> None:
-    """Compared with the order by rank alone: starvation, preemptions and total goodput."""
+    """Compares starvation, preemptions and total goodput with the order by rank alone."""
     plain, fair = OverloadCluster(1, flood, None), OverloadCluster(1, flood, ON)
-    for context in (plain, fair):
-        context.run(100)
-    began, submitted = plain.started_and_total("low", 1000 + 80)
-    assert began < 0.5 * submitted
+    for cluster in (plain, fair):
+        cluster.run(100)
+    started, submitted = plain.started_and_total("low", 1000 + 80)
+    assert started < 0.5 * submitted
     assert fair.goodput["low"] > 3 * plain.goodput["low"]
     assert sum(fair.goodput.values()) > 0.9 * sum(plain.goodput.values())
-    # Hardly anything is preempted but what ran before the overload was detected.
+    # Hardly any task is preempted except those that ran before the overload was detected.
     assert sum(fair.stopped.values()) <= sum(plain.stopped.values()) + 5
 
 
@@ -241,8 +253,8 @@
         return low(second, 5) + (high(second, rng)[:1] if second % 2 else [])
 
     plain, fair = OverloadCluster(3, quiet, None), OverloadCluster(3, quiet, ON)
-    for context in (plain, fair):
-        context.run(60)
+    for cluster in (plain, fair):
+        cluster.run(60)
     assert plain.started == fair.started
     assert len(plain.started) > 30
 
@@ -251,49 +263,49 @@
     def burst(second: int, rng: random.Random) -> list[api.JobSpec]:
         return flood(second, rng) if second < 40 else []
 
-    context = OverloadCluster(2, burst, ON)
-    seen: list[bool] = []
+    cluster = OverloadCluster(2, burst, ON)
+    agreed: list[bool] = []
 
-    def agree(now: OverloadCluster) -> None:
-        shares = [n.overload.shares for n in now.controllers if n.overload is not None]
+    def check_agreement(cluster: OverloadCluster) -> None:
+        shares = [n.overload.shares for n in cluster.controllers if n.overload is not None]
         by_signals = {s.signals: s for s in shares}
-        seen.append(all(by_signals[s.signals] == s for s in shares))
+        agreed.append(all(by_signals[s.signals] == s for s in shares))
         assert all(s.overload for s in shares)
 
-    def over(now: OverloadCluster) -> None:
-        for node in now.controllers:
-            assert node.overload is not None
-            assert not node.overload.shares.overload
+    def check_overload_ended(cluster: OverloadCluster) -> None:
+        for controller in cluster.controllers:
+            assert controller.overload is not None
+            assert not controller.overload.shares.overload
             placements = [
                 placement
-                for writer in node.writers.values()
+                for writer in controller.writers.values()
                 for job in writer.shard.jobs.values()
                 for placement in job.placements.values()
             ]
             assert not any(placement.protected for placement in placements)
 
-    context.run(140, {30.0: agree, 38.0: agree, 139.0: over})
-    assert seen == [True, True]
+    cluster.run(140, {30.0: check_agreement, 38.0: check_agreement, 139.0: check_overload_ended})
+    assert agreed == [True, True]
 
 
 def test_one_huge_job_gets_its_minimum_share_at_one_controller() -> None:
     def huge(second: int, rng: random.Random) -> list[api.JobSpec]:
         return high(second, rng) + (low(0, tasks=300) if second == 10 else [])
 
-    context = OverloadCluster(4, huge, ON)
-    context.run(100)
-    # A minimum share of a quarter to a third of 112 cpus for 90 s, less 10 s until detection.
-    assert context.goodput["low"] > 0.5 * 80 * 112 / 4
+    cluster = OverloadCluster(4, huge, ON)
+    cluster.run(100)
+    # The minimum share is a quarter to a third of 112 cpus for 90 s, less 10 s until detection.
+    assert cluster.goodput["low"] > 0.5 * 80 * 112 / 4
 
 
 def test_a_flood_of_one_class_leaves_other_teams_and_later_classes_their_share() -> None:
-    """All work has the higher rank: one team's flood, and another team's class that comes later."""
+    """All work has the higher rank: one team's flood, and later a class of another team."""
 
     def both(second: int, rng: random.Random) -> list[api.JobSpec]:
         late = [array(second * 10 + 7, SERVICE, 2, 4.0, 10.0)]
         return high(second, rng) + (late if second >= 40 and second % 4 == 0 else [])
 
-    context = OverloadCluster(5, both, ON)
-    context.run(100)
-    began, submitted = context.started_and_total("svc", 1000 + 85)
-    assert began >= 0.8 * submitted
+    cluster = OverloadCluster(5, both, ON)
+    cluster.run(100)
+    started, submitted = cluster.started_and_total("svc", 1000 + 85)
+    assert started >= 0.8 * submitted
