--- a/starlingdeck/api/job_api.py
+++ b/starlingdeck/api/job_api.py
@@ -40,7 +40,7 @@
         if not path.startswith(api.JOBS + "/"):
             return error_response(404, "no such path")
         name, _, action = path[len(api.JOBS) + 1 :].partition("/")
-        if not api.JOB_ID.fullmatch(name):
+        if not api.JOB_ID_PATTERN.fullmatch(name):
             return error_response(404, "no such job")
         if action not in ("", api.CANCEL):
             return error_response(404, "no such path")
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -85,7 +85,7 @@
         503 means that nothing is known to have changed, 504 that a change may have been made.
         """
         name, _, subpath = request.path[len(api.COUNTS) + 1 :].partition("/")
-        if name and not api.COUNT.fullmatch(name):
+        if name and not api.RESOURCE_NAME_PATTERN.fullmatch(name):
             return error_response(404, "no such count")
         if subpath not in ("", HISTORY):
             return error_response(404, "no such path")
--- a/starlingdeck/counts/ledger_store.py
+++ b/starlingdeck/counts/ledger_store.py
@@ -62,7 +62,7 @@
     def on_key_changed(self, key: str, value: bytes, version: int) -> None:
         """Take over a ledger from the value of its key; ValueError if it is not valid."""
         name = key[len(records.COUNTS) :]
-        if not api.COUNT.fullmatch(name):
+        if not api.RESOURCE_NAME_PATTERN.fullmatch(name):
             raise ValueError(f"key {key!r}: expected the name of a counted resource")
         new = msgspec.json.decode(value, type=Ledger)
         shards = self.context.shard_count
--- a/starlingdeck/machines/report_intake.py
+++ b/starlingdeck/machines/report_intake.py
@@ -215,7 +215,7 @@
             state = api.TASK_STATE_CODES.get(item.state, api.TASK_RUNNING)
             job = job_names.intern(job_name)
             key = task_key(job, number)
-            cause = api.CAUSE_CODES.get(item.why or "", api.CAUSE_NONE)
+            cause = api.CAUSE_CODES.get(item.cause or "", api.CAUSE_NONE)
             entry = ObservedTask(item.attempt, state, cause, bool(item.saved), now)
             old = machine.tasks.get(key)
             if old is not None and old.attempt == item.attempt and old.state == state:
--- a/starlingdeck/protocol/config.py
+++ b/starlingdeck/protocol/config.py
@@ -6,7 +6,7 @@
 import msgspec
 from msgspec import Meta
 
-from starlingdeck.protocol.bounds import COUNT, MAX_UNITS, Amount
+from starlingdeck.protocol.bounds import MAX_UNITS, RESOURCE_NAME_PATTERN, Amount
 from starlingdeck.protocol.struct_validation import validation_errors
 
 MAX_PORT = 65535
@@ -128,7 +128,7 @@
     preempt: bool = False  # work that waits for a unit may preempt lower-ranked work that uses it
 
 
-CountName = Annotated[str, Meta(pattern=rf"\A{COUNT.pattern}\Z")]
+CountName = Annotated[str, Meta(pattern=rf"\A{RESOURCE_NAME_PATTERN.pattern}\Z")]
 
 
 class CountSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/starlingdeck/protocol/users.py
+++ b/starlingdeck/protocol/users.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from starlingdeck.protocol.bounds import MAX_TASKS, Amount, JobId
+from starlingdeck.protocol.bounds import MAX_TASKS_PER_JOB, Amount, JobId
 
 JOBS = "/v2/runs"
 CANCEL = "withdraw"
@@ -29,7 +29,7 @@
     team: str = field(name="crew")
     kind: Literal["sweep", "daemon"] = field(name="shape")
     priority: Literal["prod", "urgent", "normal", "idle"] = field(name="rank")
-    tasks: Annotated[int, Meta(ge=1, le=MAX_TASKS)] = field(name="chores")
+    tasks: Annotated[int, Meta(ge=1, le=MAX_TASKS_PER_JOB)] = field(name="chores")
     cpus: Amount = field(name="cores")
     gpus: Amount = field(name="accelerators")
     memory_gb: Amount = field(name="ram_gb")
--- a/starlingdeck/protocol/validation.py
+++ b/starlingdeck/protocol/validation.py
@@ -6,15 +6,15 @@
 from msgspec import field
 
 from starlingdeck.protocol.bounds import (
-    COUNT,
-    JOB_ID,
+    JOB_ID_PATTERN,
     MAX_AMOUNT,
-    MAX_COUNTED_RESOURCES,
-    MAX_MACHINE_TYPES,
+    MAX_COUNTED_RESOURCES_PER_JOB,
+    MAX_MACHINE_TYPES_PER_JOB,
     MAX_NAME_LENGTH,
     MAX_UNITS,
-    MIN_SIZE,
-    NAME,
+    MIN_NONZERO_SIZE,
+    PRINTABLE_NAME_PATTERN,
+    RESOURCE_NAME_PATTERN,
 )
 from starlingdeck.protocol.cloud import MachineType
 from starlingdeck.protocol.users import JobSpec
@@ -38,8 +38,8 @@
 
 def validate_job(spec: JobSpec) -> str:
     """The first field that is out of its bounds, and which they are; empty if none is."""
-    if not JOB_ID.fullmatch(spec.id):
-        return f"uid: must match {JOB_ID.pattern}"
+    if not JOB_ID_PATTERN.fullmatch(spec.id):
+        return f"uid: must match {JOB_ID_PATTERN.pattern}"
     return (
         _name_error(spec)
         or _counts_error(spec.counts or {})
@@ -52,25 +52,25 @@
     names = {"flock": [spec.cls], "crew": [spec.team], "kit": [spec.image]}
     names |= {"builds": spec.types or [], "roost": [spec.zone or ""]}
     for name, values in names.items():
-        if not all(NAME.fullmatch(value) for value in values):
+        if not all(PRINTABLE_NAME_PATTERN.fullmatch(value) for value in values):
             return f"{name}: at most {MAX_NAME_LENGTH} characters, none of them a control character"
     return ""
 
 
 def _counts_error(counts: Mapping[str, int]) -> str:
-    if len(counts) > MAX_COUNTED_RESOURCES:
-        return f"counts: at most {MAX_COUNTED_RESOURCES}"
+    if len(counts) > MAX_COUNTED_RESOURCES_PER_JOB:
+        return f"counts: at most {MAX_COUNTED_RESOURCES_PER_JOB}"
     for name, units in counts.items():
-        if not COUNT.fullmatch(name):
-            return f"counts: no name of a count: must match {COUNT.pattern}"
+        if not RESOURCE_NAME_PATTERN.fullmatch(name):
+            return f"counts: no name of a count: must match {RESOURCE_NAME_PATTERN.pattern}"
         if not 0 <= units <= MAX_UNITS:
             return f"counts.{name}: from 0 to {MAX_UNITS}"
     return ""
 
 
 def _machine_types_error(spec: JobSpec) -> str:
-    if len(spec.types or ()) > MAX_MACHINE_TYPES:
-        return f"builds: at most {MAX_MACHINE_TYPES} names"
+    if len(spec.types or ()) > MAX_MACHINE_TYPES_PER_JOB:
+        return f"builds: at most {MAX_MACHINE_TYPES_PER_JOB} names"
     return ""
 
 
@@ -87,8 +87,8 @@
         if value > MAX_AMOUNT:
             return f"{name}: at most {MAX_AMOUNT:.0f}"
     for name, value in sizes.items():
-        if 0 < value < MIN_SIZE:
-            return f"{name}: 0, or at least {MIN_SIZE:.6f}"
+        if 0 < value < MIN_NONZERO_SIZE:
+            return f"{name}: 0, or at least {MIN_NONZERO_SIZE:.6f}"
     if not any(sizes.values()):
         return "cores, accelerators, ram_gb: one of them must be over 0"
     return ""
@@ -114,7 +114,7 @@
         machine_type.spot_price,
         machine_type.boot_s,
     )
-    sizes_valid = all(size == 0 or MIN_SIZE <= size <= MAX_AMOUNT for size in sizes)
+    sizes_valid = all(size == 0 or MIN_NONZERO_SIZE <= size <= MAX_AMOUNT for size in sizes)
     return sizes_valid and any(sizes) and all(0 <= amount <= MAX_AMOUNT for amount in amounts)
 
 
@@ -128,4 +128,4 @@
         name = msgspec.json.decode(body, type=_JobName).id
     except (msgspec.DecodeError, UnicodeDecodeError):
         return ""
-    return name if JOB_ID.fullmatch(name) else ""
+    return name if JOB_ID_PATTERN.fullmatch(name) else ""
--- a/starlingdeck/protocol/workers.py
+++ b/starlingdeck/protocol/workers.py
@@ -4,13 +4,13 @@
 from msgspec import field
 
 from starlingdeck.protocol.bounds import (
-    JOB_ID,
+    JOB_ID_PATTERN,
     MAX_TASK_DIGITS,
-    MAX_TASKS,
+    MAX_TASKS_PER_JOB,
     Attempt,
     Counter,
     HostName,
-    OtherName,
+    PrintableName,
 )
 
 REPORT = "/v1/report"  # served by controllers
@@ -55,7 +55,7 @@
     task: str = field(name="chore")
     attempt: Attempt = field(name="try")
     state: str = field(name="status")
-    why: str | None = field(name="cause", default=None)
+    cause: str | None = field(name="cause", default=None)
     saved: bool | None = field(name="kept", default=None)
 
 
@@ -63,9 +63,9 @@
     """A heartbeat: all that a worker runs, numbered by its session and a sequence number."""
 
     machine: HostName = field(name="host")
-    addr: OtherName = field(name="endpoint")
-    type: OtherName = field(name="build")
-    zone: OtherName = field(name="roost")
+    addr: PrintableName = field(name="endpoint")
+    type: PrintableName = field(name="build")
+    zone: PrintableName = field(name="roost")
     session: Counter = field(name="tenure")
     seq: Counter = field(name="tally")
     token: Counter = field(name="baton")
@@ -117,6 +117,6 @@
     """
     job, _, number = name.rpartition("/")
     is_number = number.isascii() and number.isdigit() and len(number) <= MAX_TASK_DIGITS
-    if JOB_ID.fullmatch(job) and is_number and int(number) < MAX_TASKS:
+    if JOB_ID_PATTERN.fullmatch(job) and is_number and int(number) < MAX_TASKS_PER_JOB:
         return job, int(number)
     return job, -1
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("kind", [workload.ARRAY, workload.SERVICE, workload.ONE_TASK])
 def test_an_id_encodes_its_job(kind: int) -> None:
     name = workload.job_id(kind, 339, 12.5, 42)
-    assert api.JOB_ID.fullmatch(name)
+    assert api.JOB_ID_PATTERN.fullmatch(name)
     description = workload.parse_job_id(name)
     assert (description.kind, description.team, description.service) == (
         kind,
