--- a/starlingdeck/transport/__init__.py
+++ b/starlingdeck/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The network: an HTTP server, a pooled HTTP client and framed links between controllers."""
+"""Network transport: an HTTP server, a pooled HTTP client and framed links between controllers."""
--- a/starlingdeck/transport/client.py
+++ b/starlingdeck/transport/client.py
@@ -19,7 +19,7 @@
 
 
 class Reply:
-    """A response. `retry_after`: the header of that name, in seconds."""
+    """A response. `retry_after` is its Retry-After header in seconds, or None."""
 
     __slots__ = ("body", "retry_after", "status")
 
@@ -93,8 +93,8 @@
     def _discard_idle(self) -> bool:
         """Close an idle connection of the address known longest; False when none is idle.
 
-        Machines come and go: without this the connections to those long gone would fill
-        the limit, and even the state service could not be called any more.
+        Without this, idle connections to machines that no longer exist would fill the limit, and
+        then not even the state service could be called.
         """
         for pool in self.idle.values():
             if pool:
@@ -118,7 +118,7 @@
         return await self._receive_reply()
 
     def start_next_cycle(self) -> bool:
-        """Get ready for another request; False when the connection can't take one."""
+        """Prepare for another request; False when the connection can't be reused."""
         if self.protocol.our_state is not h11.DONE or self.protocol.their_state is not h11.DONE:
             return False
         self.protocol.start_next_cycle()
@@ -151,7 +151,7 @@
 
 
 def _retry_after(headers: Iterable[tuple[bytes, bytes]]) -> float | None:
-    """The last Retry-After header in seconds; a date is ignored."""
+    """Return the value of the last Retry-After header in seconds; dates are ignored."""
     retry_after = None
     for name, value in headers:
         if name == b"retry-after" and value.replace(b".", b"", 1).isdigit():
@@ -160,7 +160,7 @@
 
 
 async def connect(address: str) -> curio.io.Socket:
-    """A connection to HOST:PORT. Raises OSError, or ValueError for an invalid port."""
+    """Connect to HOST:PORT. Raises OSError, or ValueError for an invalid port."""
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/starlingdeck/transport/connections.py
+++ b/starlingdeck/transport/connections.py
@@ -1,4 +1,4 @@
-"""The open connections of an HTTP server, and which of them is evicted for a new one."""
+"""Tracks the open connections of an HTTP server and chooses which one to evict for a new one."""
 
 from operator import attrgetter
 
@@ -7,12 +7,12 @@
 from curio import socket
 
 # Shares of the connection limit.
-MAX_WORKER_SHARE = 0.8  # workers above it are evicted first; the rest is reserved for users
-HIGH_WATER_SHARE = 0.9  # above it a worker's connection is closed with the response
+MAX_WORKER_SHARE = 0.8  # above it workers are evicted first: the rest is reserved for users
+HIGH_WATER_SHARE = 0.9  # above it a worker's connection is closed after each response
 
 
 class Connection:
-    """One accepted connection, with what decides whether it may be evicted."""
+    """An accepted connection and the state that its eviction depends on."""
 
     __slots__ = ("evicted", "from_worker", "idle_sequence", "socket", "task")
 
@@ -21,7 +21,7 @@
         self.task: curio.Task | None = None
         self.from_worker = False  # by its last request; a new connection counts as a user's
         self.evicted = False
-        self.idle_sequence = 0  # lower: idle for longer
+        self.idle_sequence = 0  # a lower number means idle for longer
 
     def has_unread_data(self) -> bool:
         """Whether a request has arrived that the connection's task has not read yet."""
@@ -41,7 +41,7 @@
         self.open = 0
         self.workers = 0
         self._next_sequence = 1
-        # Dicts as ordered sets: the first was idle longest.
+        # Dicts used as ordered sets; the first connection has been idle longest.
         self._idle_workers: dict[Connection, None] = {}
         self._idle_others: dict[Connection, None] = {}
 
@@ -57,7 +57,7 @@
         self.workers -= connection.from_worker
 
     def classify(self, connection: Connection, from_worker: bool) -> None:
-        """Record who sent the request that the connection is busy with."""
+        """Record whether a worker sent the request that the connection is busy with."""
         self.workers += from_worker - connection.from_worker
         connection.from_worker = from_worker
 
@@ -68,22 +68,22 @@
         self._idle(connection)[connection] = None
 
     def mark_busy(self, connection: Connection) -> None:
-        """Record that the connection is within a request, so that it can't be evicted."""
+        """Record that the connection is in the middle of a request and can't be evicted."""
         self._idle(connection).pop(connection, None)
 
     def is_full(self) -> bool:
-        """Whether a new connection has to replace another."""
+        """Whether another connection must be evicted before a new one can be added."""
         return self.open >= self.limit
 
     def is_above_high_water(self) -> bool:
-        """Whether workers have to connect for each report."""
+        """Whether workers' connections are closed after each response."""
         return self.open > self.high_water
 
     def pop_victim(self) -> Connection | None:
-        """Take out the connection to evict, or None when every one is within a request.
+        """Return an idle connection to evict, no longer marked idle; None when there is none.
 
-        It is the worker's connection idle longest while workers hold more than their share, else
-        the one idle longest of all.
+        While workers hold more than their share, their connections are chosen first; among equals,
+        the one that has been idle longest. Connections with unread data are passed over.
         """
         while (victim := self._idle_longest()) is not None:
             self.mark_busy(victim)
--- a/starlingdeck/transport/frames.py
+++ b/starlingdeck/transport/frames.py
@@ -10,13 +10,13 @@
 from starlingdeck.transport.listener import accept_connections
 
 # The largest message is the full snapshot of a shard with every machine. A machine with 32 tasks
-# and 20 images takes 920 to 1,030 bytes in it; the rest is for longer names.
-MAX_MACHINES = 6_000
+# and 20 images takes 920 to 1,030 bytes in it; MACHINE_SNAPSHOT_BYTES leaves room for longer names.
+MAX_SNAPSHOT_MACHINES = 6_000
 MACHINE_SNAPSHOT_BYTES = 1_400
-MAX_FRAME = MAX_MACHINES * MACHINE_SNAPSHOT_BYTES  # 8.4 MB
-# Behind a full snapshot a link may have to queue the full desired state of its machines (24 bytes
-# a task, 4.6 MB for 32 tasks each) and the updates that follow while both are sent.
-MAX_BACKLOG = 2 * MAX_FRAME
+MAX_FRAME_BYTES = MAX_SNAPSHOT_MACHINES * MACHINE_SNAPSHOT_BYTES  # 8.4 MB
+# After a full snapshot a link may have to queue the full desired state of its machines (24 bytes
+# a task, 4.6 MB for 32 tasks each) and the updates that follow while both are being sent.
+MAX_BACKLOG_BYTES = 2 * MAX_FRAME_BYTES
 READ_BYTES = 64 * 1024
 WRITE_BYTES = 64 * 1024  # sent under one time-out
 CLOSE_POLL_INTERVAL_S = 0.02
@@ -24,11 +24,11 @@
 
 
 class LinkBusyError(ConnectionError):
-    """Another frame was being sent for the whole time-out; the link stays usable."""
+    """Other frames were being sent until the time-out expired; the link stays usable."""
 
 
 class FrameLink:
-    """A connection that carries frames both ways. Writes are serialised."""
+    """A connection that carries frames in both directions. A lock serialises the writes."""
 
     def __init__(self, sock: curio.io.Socket) -> None:
         self.sock = sock
@@ -39,8 +39,11 @@
         self.has_backlog = curio.Event()
 
     async def enqueue(self, payload: bytes) -> None:
-        """Queue a frame for `drain`. Closes the link when more than MAX_BACKLOG would be queued."""
-        if len(self.backlog) + LENGTH_PREFIX.size + len(payload) > MAX_BACKLOG:
+        """Queue a frame for `drain`.
+
+        Marks the link as closed when more than MAX_BACKLOG_BYTES would be queued.
+        """
+        if len(self.backlog) + LENGTH_PREFIX.size + len(payload) > MAX_BACKLOG_BYTES:
             self.closed = True
             return
         self.backlog += LENGTH_PREFIX.pack(len(payload)) + payload
@@ -82,7 +85,7 @@
             raise LinkBusyError("another frame is being sent") from error
 
     async def _write(self, data: bytes, timeout_s: float) -> None:
-        """Send all data. The time-out is for each WRITE_BYTES: a large frame may take long."""
+        """Send all data. The time-out is per WRITE_BYTES, because a large frame may take longer."""
         view = memoryview(data)
         for start in range(0, len(data), WRITE_BYTES):
             if self.closed:
@@ -91,10 +94,10 @@
                 await self.sock.sendall(view[start : start + WRITE_BYTES])
 
     async def receive(self) -> bytes:
-        """Receive a frame. Raises ConnectionError when the link ends or the frame is too long."""
+        """Receive a frame. Raises ConnectionError when the link ends or the frame is too large."""
         (size,) = LENGTH_PREFIX.unpack(await self._receive_exactly(LENGTH_PREFIX.size))
-        if size > MAX_FRAME:
-            raise ConnectionError(f"frame of {size} bytes, at most {MAX_FRAME} expected")
+        if size > MAX_FRAME_BYTES:
+            raise ConnectionError(f"frame of {size} bytes, at most {MAX_FRAME_BYTES} expected")
         return await self._receive_exactly(size)
 
     async def _receive_exactly(self, size: int) -> bytes:
@@ -107,25 +110,25 @@
         return bytes(received)
 
     async def close(self) -> None:
-        """Close the socket once all senders have ended; the task that reads must have ended before.
+        """Close the socket after all senders have ended. The reading task must have ended before.
 
-        curio keeps a socket registered that is closed while a task waits for it, and the next
-        socket with the same file number ends the whole process.
+        curio keeps a socket registered when it is closed while a task waits for it, and the next
+        socket with the same file descriptor then crashes the whole process.
         """
         self.closed = True
-        while self.active_senders:  # each for its time-out at most
+        while self.active_senders:  # each ends within its time-out
             await curio.sleep(CLOSE_POLL_INTERVAL_S)
         await self.sock.close()
 
 
 async def dial(address: str, timeout_s: float) -> FrameLink:
-    """Connect a link to a peer. Raises OSError or TaskTimeout."""
+    """Connect to a peer and return the link. Raises OSError or TaskTimeout."""
     async with curio.timeout_after(timeout_s):
         return FrameLink(await connect(address))
 
 
 class FrameServer:
-    """Accepts links on one listening address; refuses those beyond `max_links` open ones."""
+    """Accepts links on one listening address; refuses new ones while `max_links` are open."""
 
     def __init__(
         self,
--- a/starlingdeck/transport/server.py
+++ b/starlingdeck/transport/server.py
@@ -15,14 +15,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 READ_BYTES = 16 * 1024
 MAX_CACHED_HEADS = 512
 END_OF_MESSAGE = h11.EndOfMessage()
 
 
 class Request:
-    """A request that was read whole."""
+    """A request, received completely."""
 
     __slots__ = ("body", "method", "path", "query")
 
@@ -56,12 +56,12 @@
 
 
 class HttpServer:
-    """Serves one listening address. A fault on a connection ends that connection only.
+    """Serves one listening address. An error on a connection ends that connection only.
 
-    At the limit of open connections the idle connection that was idle longest is evicted for a
-    new one; the new one is refused when every connection is within a request. Workers'
-    connections are evicted first while they hold more than their share, and are closed with the
-    response above a high-water mark, so that they don't evict each other between reports.
+    At the limit of open connections, the connection that has been idle longest is evicted for a
+    new one; the new one is refused when every connection is in the middle of a request. Workers'
+    connections are evicted first while they hold more than their share. Above a high-water mark
+    they are closed after each response, so that workers don't evict each other between reports.
     """
 
     def __init__(
@@ -69,12 +69,12 @@
         address: tuple[str, int],
         handler: Handler,
         max_connections: int,
-        stall_s: float,
+        stall_timeout_s: float,
         is_from_worker: RequestPredicate = _is_never_from_worker,
     ) -> None:
         self.address = address
         self.handler = handler
-        self.stall_s = stall_s
+        self.stall_timeout_s = stall_timeout_s
         self.is_from_worker = is_from_worker
         self.connections = ConnectionTable(max_connections)
         self.refused = 0
@@ -87,7 +87,7 @@
 
     async def _admit(self, client: curio.io.Socket) -> None:
         if self.connections.is_full() and not await self._evict_idle():
-            # Refuse at once rather than let sockets run out for workers and peers.
+            # Refuse at once, so that sockets remain for connections to workers and peers.
             self.refused += 1
             await client.close()
             return
@@ -96,13 +96,13 @@
         connection.task = await curio.spawn(self._serve_connection, connection, daemon=True)
 
     async def _evict_idle(self) -> bool:
-        """Close the idle connection that is to go first; False when there is none."""
+        """Evict an idle connection and wait until it is closed; False when none is idle."""
         victim = self.connections.pop_victim()
         if victim is None or victim.task is None:
             return False
         self.evicted += 1
-        # The task is woken, not cancelled: it closes its socket itself, as one closed under a
-        # task that waits for it stays registered in curio.
+        # Wake the task with a shutdown, without cancelling it: it then closes its socket itself. A
+        # socket that is closed while a task waits for it stays registered in curio.
         victim.evicted = True
         with contextlib.suppress(OSError):  # the client may have closed it already
             await victim.socket.shutdown(socket.SHUT_RDWR)
@@ -115,38 +115,40 @@
                 await self._serve_requests(connection)
         except (OSError, h11.ProtocolError, curio.TaskTimeout) as error:
             log.debug("connection ended: error=%r", error)
-        except Exception:  # the task's outermost edge: it ends this connection only
+        except Exception:  # an unexpected error ends this connection only
             log.exception("request handler failed")
         finally:
             self.connections.remove(connection)
 
     async def _serve_requests(self, connection: Connection) -> None:
-        conn, client = h11.Connection(h11.SERVER), connection.socket
+        protocol, client = h11.Connection(h11.SERVER), connection.socket
         while True:
             try:
-                request = await self._read_request(conn, connection)
+                request = await self._read_request(protocol, connection)
             except h11.RemoteProtocolError as error:
-                if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                    note = b'{"error":"malformed request"}'
-                    await self._send(conn, client, Response(error.error_status_hint, note), True)
+                if protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+                    body = b'{"error":"malformed request"}'
+                    await self._send(
+                        protocol, client, Response(error.error_status_hint, body), True
+                    )
                 return
             if request is None:
                 return
-            if isinstance(request, Response):  # the request is refused without its handler
-                await self._send(conn, client, request, True)
+            if isinstance(request, Response):  # refused before its handler is called
+                await self._send(protocol, client, request, True)
                 return
             self.connections.classify(connection, self.is_from_worker(request))
             response = await self.handler(request)
-            await self._send(conn, client, response, self._closes_after_response(connection))
-            if conn.our_state is h11.MUST_CLOSE or conn.their_state is h11.MUST_CLOSE:
+            await self._send(protocol, client, response, self._closes_after_response(connection))
+            if protocol.our_state is h11.MUST_CLOSE or protocol.their_state is h11.MUST_CLOSE:
                 return
-            conn.start_next_cycle()
+            protocol.start_next_cycle()
 
     def _closes_after_response(self, connection: Connection) -> bool:
-        """Whether the response ends its connection to leave capacity for others.
+        """Whether to close a connection after its response to leave capacity for others.
 
-        A worker evicted between its reports takes that for a failure and reports to another
-        controller; one whose response says `Connection: close` connects to this one again.
+        A worker that is evicted between its reports treats that as a failure and reports to another
+        controller; one that receives `Connection: close` connects to this controller again.
         """
         if not (connection.from_worker and self.connections.is_above_high_water()):
             return False
@@ -154,25 +156,25 @@
         return True
 
     async def _read_request(
-        self, conn: h11.Connection, connection: Connection
+        self, protocol: h11.Connection, connection: Connection
     ) -> Request | Response | None:
         head: h11.Request | None = None
         body = bytearray()
         while True:
-            event = conn.next_event()
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
-                if head is None and not conn.trailing_data[0]:
-                    conn.receive_data(await self._receive_first(connection))
+                if head is None and not protocol.trailing_data[0]:
+                    protocol.receive_data(await self._receive_first(connection))
                 else:
-                    conn.receive_data(await self._receive_more(conn, connection.socket))
+                    protocol.receive_data(await self._receive_more(protocol, connection.socket))
             elif isinstance(event, h11.Request):
                 head = event
                 length = dict(event.headers).get(b"content-length", b"0")
-                if int(length) > MAX_BODY:
+                if int(length) > MAX_BODY_BYTES:
                     return Response(413, b'{"error":"body over 64 KiB"}')
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MAX_BODY:
+                if len(body) > MAX_BODY_BYTES:
                     return Response(413, b'{"error":"body over 64 KiB"}')
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 target = head.target.decode("ascii", "replace")
@@ -181,39 +183,49 @@
                 return None
 
     async def _receive_first(self, connection: Connection) -> bytes:
-        """The first bytes of the next request; none when the connection ended or was evicted."""
+        """Receive the first bytes of the next request; none at the connection's end or eviction."""
         self.connections.mark_idle(connection)
         data: bytes = await connection.socket.recv(READ_BYTES)
         self.connections.mark_busy(connection)
         return b"" if connection.evicted else data
 
-    async def _receive_more(self, conn: h11.Connection, client: curio.io.Socket) -> bytes:
-        """More of a request that has begun. A half-sent one may not keep a socket for ever."""
-        async with curio.timeout_after(self.stall_s):
-            if conn.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await client.sendall(conn.send(go_on) or b"")
+    async def _receive_more(self, protocol: h11.Connection, client: curio.io.Socket) -> bytes:
+        """Receive more of a request that has begun.
+
+        The time-out prevents an incomplete request from holding a socket for ever.
+        """
+        async with curio.timeout_after(self.stall_timeout_s):
+            if protocol.they_are_waiting_for_100_continue:
+                continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                await client.sendall(protocol.send(continue_response) or b"")
             data: bytes = await client.recv(READ_BYTES)
         return data
 
     async def _send(
-        self, conn: h11.Connection, client: curio.io.Socket, response: Response, close: bool
+        self, protocol: h11.Connection, client: curio.io.Socket, response: Response, close: bool
     ) -> None:
         head = _response_head(response.status, len(response.body), response.headers, close)
-        out = conn.send(head) or b""
-        out += conn.send(h11.Data(data=response.body)) or b""
-        out += conn.send(END_OF_MESSAGE) or b""
-        async with curio.timeout_after(self.stall_s):
+        out = protocol.send(head) or b""
+        out += protocol.send(h11.Data(data=response.body)) or b""
+        out += protocol.send(END_OF_MESSAGE) or b""
+        async with curio.timeout_after(self.stall_timeout_s):
             await client.sendall(out)
 
 
 @functools.lru_cache(MAX_CACHED_HEADS)
 def _response_head(
-    status: int, length: int, more: tuple[tuple[str, str], ...], close: bool
+    status: int, length: int, extra_headers: tuple[tuple[str, str], ...], close: bool
 ) -> h11.Response:
-    """The head of a response, cached: most have one of few, and h11's checks of a new one took a
-    sixth of the processor time of a report."""
-    headers = [("content-type", "application/json"), ("content-length", str(length)), *more]
+    """Return the head of a response.
+
+    Cached because there are few different heads, and h11's validation of a new one took a sixth
+    of the processor time of a report.
+    """
+    headers = [
+        ("content-type", "application/json"),
+        ("content-length", str(length)),
+        *extra_headers,
+    ]
     if close:
         headers.append(("connection", "close"))
     return h11.Response(status_code=status, headers=headers)
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -223,13 +223,13 @@
 
     async def fill() -> frames.FrameLink:
         link = frames.FrameLink(None)
-        for _ in range(frames.MAX_BACKLOG // 100_000 + 1):
+        for _ in range(frames.MAX_BACKLOG_BYTES // 100_000 + 1):
             await link.enqueue(bytes(100_000))
         return link
 
     link = curio.run(fill)
     assert link.closed
-    assert len(link.backlog) <= frames.MAX_BACKLOG
+    assert len(link.backlog) <= frames.MAX_BACKLOG_BYTES
 
 
 FULL_TASKS = 32
@@ -295,7 +295,7 @@
     assert len(first.images) == FULL_IMAGES
     # Also for the largest fleet, half as many machines again, it is one frame.
     size = len(pb.Envelope(snapshot=shard.full_snapshot(True)).SerializeToString())
-    assert size * frames.MAX_MACHINES // 4_001 <= frames.MAX_FRAME
+    assert size * frames.MAX_SNAPSHOT_MACHINES // 4_001 <= frames.MAX_FRAME_BYTES
 
 
 events = st.lists(
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -18,7 +18,7 @@
     delete_change,
 )
 from starlingdeck.transport.client import HttpClient, Reply
-from starlingdeck.transport.frames import MAX_FRAME, FrameLink, LinkBusyError, dial
+from starlingdeck.transport.frames import MAX_FRAME_BYTES, FrameLink, LinkBusyError, dial
 from starlingdeck.transport.listener import listen
 from starlingdeck.transport.server import HttpServer, Request, Response
 from tests.support.builders import Clock, make_context
@@ -152,7 +152,7 @@
     async def drive() -> BaseException | None:
         sock, address = await silent_listener()
         link = await dial(address, 1.0)
-        sender = await curio.spawn(link.send, bytes(MAX_FRAME * 2), 0.3, daemon=True)
+        sender = await curio.spawn(link.send, bytes(MAX_FRAME_BYTES * 2), 0.3, daemon=True)
         await curio.sleep(0.1)  # nothing reads: it waits
         await link.close()
         with pytest.raises(curio.TaskError) as ended:
