--- a/starlingdeck/protocol/api.py
+++ b/starlingdeck/protocol/api.py
@@ -1,7 +1,7 @@
-"""The JSON messages of users, workers, cloud and state service, under standard names.
+"""The JSON messages exchanged with users, workers, the cloud and the state service.
 
-Wire names stand in this package and nowhere else. Other packages import this module as `api`;
-each peer's messages are defined in a module of its own.
+Wire names occur only in this package. Other packages import this module as `api` and use the names
+that it exports; the messages of each kind of peer are defined in a module of their own.
 """
 
 from starlingdeck.protocol.bounds import (
--- a/starlingdeck/protocol/cloud.py
+++ b/starlingdeck/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's JSON messages: machine types, and machines that are rented."""
+"""The cloud's JSON messages: machine types and rented machines."""
 
 import msgspec
 from msgspec import field
@@ -7,7 +7,7 @@
 MACHINES = "/hosts"
 MACHINES_DELETE = "/hosts/delete"
 
-BOOTING, FAILED = "starting", "failed"  # states of machines, besides RUNNING
+BOOTING, FAILED = "starting", "failed"  # states of machines, besides users.RUNNING
 
 
 class MachineType(msgspec.Struct, frozen=True):
@@ -32,7 +32,7 @@
 
 
 class RentRequest(msgspec.Struct):
-    """A request for machines; repeated under the same name it rents them once."""
+    """A request to rent machines; repeated under the same name, it rents them only once."""
 
     request: str = field(name="ask")
     type: str = field(name="build")
@@ -42,7 +42,7 @@
 
 
 class MachineNames(msgspec.Struct):
-    """Machines by their names: those rented, or those to be deleted."""
+    """The names of machines that were rented or are to be deleted."""
 
     machines: list[str] = field(name="hosts")
 
@@ -60,7 +60,7 @@
 
 
 class MachineList(msgspec.Struct):
-    """Rented machines; `more` if there are others after these."""
+    """A page of the list of rented machines; `more` tells whether another page follows."""
 
     machines: list[MachineInfo] = field(name="hosts")
     more: bool = field(name="truncated", default=False)
--- a/starlingdeck/protocol/config.py
+++ b/starlingdeck/protocol/config.py
@@ -11,8 +11,8 @@
 
 MAX_PORT = 65535
 
-Positive = Annotated[float, Meta(gt=0)]
-Count = Annotated[int, Meta(ge=1)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
 
 
 class Peer(msgspec.Struct, frozen=True):
@@ -31,7 +31,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed quota, and its limits; 0: none."""
+    """A team's guaranteed quota and its limits; 0 means no guarantee or no limit."""
 
     name: str
     cpus: Amount = 0.0
@@ -41,7 +41,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """An aim that the platform measures the cluster by, for one class of jobs or for all."""
+    """An objective that the platform measures the cluster by, for one class of jobs or for all."""
 
     kind: str
     cls: str | None = msgspec.field(name="class", default=None)
@@ -51,41 +51,41 @@
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
-    """The workers' heartbeat interval, lease, and the time until a cancellation is due."""
+    """The workers' heartbeat interval and lease, and how soon a cancellation must take effect."""
 
-    report_s: Positive
-    lease_s: Positive
-    cancel_s: Positive
+    report_s: PositiveFloat
+    lease_s: PositiveFloat
+    cancel_s: PositiveFloat
 
 
 class StateSettings(msgspec.Struct, frozen=True):
-    """The state service's limits of requests, values and transactions."""
+    """The state service's limits on requests, values and transactions."""
 
-    rps: Positive
-    write_rps: Positive
-    value_kb: Positive
-    txn_ops: Count
+    rps: PositiveFloat
+    write_rps: PositiveFloat
+    value_kb: PositiveFloat
+    txn_ops: PositiveInt
 
 
 class CloudSettings(msgspec.Struct, frozen=True):
-    """The cloud's limit of requests, and how late its list of machines may be."""
+    """The cloud's limit on requests, and how far its list of machines may lag behind."""
 
-    rps: Positive
+    rps: PositiveFloat
     list_lag_s: Amount
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What the controller's own machine allows it."""
+    """The resources of the machine that a controller runs on, and its limit on connections."""
 
-    cores: Positive
-    mem_mb: Positive
-    max_connections: Count
+    cores: PositiveFloat
+    mem_mb: PositiveFloat
+    max_connections: PositiveInt
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """What is the same for all controllers of a cluster."""
+    """The settings that all controllers of a cluster share."""
 
-    nodes: Count
+    nodes: PositiveInt
     zones: list[str]
     teams: list[Team]
     workers: WorkerSettings
@@ -116,68 +116,97 @@
     settings: Deployment
 
     def members(self) -> list[Member]:
-        """Every controller, in the order that all of them agree on."""
+        """Return all controllers, sorted, so that every controller has them in the same order."""
         own = Member(self.name, self.zone, self.cluster_listen)
         return sorted([own] + [Member(p.name, p.zone, p.address) for p in self.peers])
 
 
 class DeclaredCount(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A counted resource as it is to be created; later changes by operators take precedence."""
+    """A counted resource to create if it does not exist; operators' changes take precedence."""
 
     ceiling: Annotated[int, Meta(ge=0, le=MAX_UNITS)]
-    preempt: bool = False  # work that waits for a unit may preempt lower-ranked work that uses it
+    preempt: bool = False  # tasks that wait for a unit may preempt lower-ranked tasks that use it
 
 
-CountName = Annotated[str, Meta(pattern=rf"\A{RESOURCE_NAME_PATTERN.pattern}\Z")]
+ResourceName = Annotated[str, Meta(pattern=rf"\A{RESOURCE_NAME_PATTERN.pattern}\Z")]
 
 
 class CountSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Section `counts`: counted resources (docs/counts.md)."""
 
-    declare: dict[CountName, DeclaredCount] = {}
-    patience_s: Positive = 1.0  # (start) a unit is left to better work of other shards
-    reserve_s: Positive = 30.0  # (start) units are reserved for one task that needs many
-    turn_s: Positive = 2.0  # (start) an equal rank's earlier arrival that makes work better
-    idle_s: Positive = 0.3  # (start) a shard retains a unit that became free
+    declare: dict[ResourceName, DeclaredCount] = {}
+    # How long free units are left to tasks of other shards that go before those of this shard.
+    patience_s: PositiveFloat = 1.0
+    # How long at a time free units are reserved for a task that needs several.
+    reserve_s: PositiveFloat = 30.0
+    # Between tasks of equal guarantee and rank at different shards, the one submitted earlier goes
+    # first only if it was submitted earlier by more than this.
+    turn_s: PositiveFloat = 2.0
+    # How long a shard keeps units that it does not use and no other shard waits for.
+    idle_s: PositiveFloat = 0.3
 
 
 class OverloadSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Section `overload`: the minimum share of each team's classes of jobs (docs/overload.md)."""
 
-    patience_s: Positive = 10.0  # (start) work that waits longer for a machine shows an overload
-    floor: Annotated[float, Meta(ge=0, le=1)] = 0.35  # (start) minimum, as part of the fair share
-    churn: Annotated[float, Meta(ge=0, le=1)] = 1.0  # (start) preemptions, as part of the starts
-    gather_s: Positive = 20.0  # (start) how long a machine accumulates capacity for a large task
-    gathers: Amount = 8  # (start) such tasks at once, at each controller
+    # A job that waits longer than this for a machine signals an overload.
+    patience_s: PositiveFloat = 10.0
+    # Each minimum share, as a part of the fair share.
+    floor: Annotated[float, Meta(ge=0, le=1)] = 0.35
+    # When more than this part of the recently started tasks were preempted, arrays have to wait
+    # before they preempt; 1: never.
+    churn: Annotated[float, Meta(ge=0, le=1)] = 1.0
+    # How long a machine accumulates released capacity for a large task.
+    gather_s: PositiveFloat = 20.0
+    # At most so many machines accumulate capacity at the same time for the jobs of a controller.
+    gathers: Amount = 8
 
 
 class GroupCommitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Section `group_commit`: starts and ends are written together (docs/group-commit.md)."""
 
-    interval_s: Positive = 0.5  # (start) how long a start or an end waits for others
-    urgent_s: Positive = 0.1  # (start) the same for a start of the two upper ranks
+    # How long a job's change may wait for others to be committed with it.
+    interval_s: PositiveFloat = 0.5
+    # The same for changes of a job of the two highest ranks that has a start to be written.
+    urgent_s: PositiveFloat = 0.1
 
 
 class Tuning(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Operators' own settings. Values marked (start) are starting values."""
-
-    state_lease_s: Positive = 2.5  # (start)
-    reply_wait_s: Positive = 2.0  # DESIGN, timers
-    expiry_s: Positive = 20.0  # DESIGN, timers
-    offline_drop_s: Positive = 30.0  # DESIGN, timers
-    moves_per_s: Amount = 2.0  # DESIGN 5
-    score_machines: Count = 200  # DESIGN 2
-    refit_machines: Count = 2000  # DESIGN 4
-    refit_candidates: Count = 15  # DESIGN 4
-    tabu_restarts: Count = 25  # DESIGN 3
-    tabu_steps: Count = 5  # DESIGN 3
-    tabu_patience: Count = 6  # DESIGN 3
-    reserve_s: Positive = 6.0  # (start) how long a reservation waits for its record
-    spare_share: Amount = 0.3  # (start) headroom left for failures
-    idle_s: Positive = 300.0  # (start) an unused machine is returned after this
-    sick_errors: Count = 3  # (start) errors without a success that mark a machine as faulty
-    suspect_machines: Count = 3  # (start) machines that a job fails on before it is suspect
-    stall_s: Positive = 10.0  # (start) a half-sent request is given up after this
+    """The operators' tuning file; a setting that is missing there has the default given here."""
+
+    # The time to live of a controller's lease at the state service.
+    state_lease_s: PositiveFloat = 2.5
+    # Time-out of messages to peers and workers. A peer that has not replied for this long counts
+    # as unreachable (DESIGN, timers).
+    reply_wait_s: PositiveFloat = 2.0
+    # A shard's snapshot or demand is ignored when it was received longer ago (DESIGN, timers).
+    expiry_s: PositiveFloat = 20.0
+    # A shard's snapshot is deleted when it was received longer ago (DESIGN, timers).
+    offline_drop_s: PositiveFloat = 30.0
+    # The cluster's limit on moves of running tasks (DESIGN 5).
+    moves_per_s: Amount = 2.0
+    # At most so many machines are scored for a task (DESIGN 2).
+    score_machines: PositiveInt = 200
+    # Machines that are scored, and best ones that are considered, for a task that moves (DESIGN 4).
+    refit_machines: PositiveInt = 2000
+    refit_candidates: PositiveInt = 15
+    # Tabu search for the tasks to deschedule: restarts, steps of each, and steps without an
+    # improvement that end one (DESIGN 3).
+    tabu_restarts: PositiveInt = 25
+    tabu_steps: PositiveInt = 5
+    tabu_patience: PositiveInt = 6
+    # How long capacity is reserved for a task whose placement is being written.
+    reserve_s: PositiveFloat = 6.0
+    # The share of the machines' processors to keep free for failures and for the next jobs.
+    spare_share: Amount = 0.3
+    # A machine that has been idle for longer may be returned to the cloud.
+    idle_s: PositiveFloat = 300.0
+    # Failed tasks without a success after which a machine is marked faulty.
+    sick_errors: PositiveInt = 3
+    # Machines that a job's tasks fail on, without a success, before the job itself is suspected.
+    suspect_machines: PositiveInt = 3
+    # Time-out for more data of a request that has begun, and for sending a response.
+    stall_s: PositiveFloat = 10.0
     counts: CountSettings | None = None
     overload: OverloadSettings | None = None
     group_commit: GroupCommitSettings | None = None
@@ -247,6 +276,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of a valid ADDRESS:PORT."""
+    """Return the host and the port of a valid ADDRESS:PORT."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/starlingdeck/protocol/state_service.py
+++ b/starlingdeck/protocol/state_service.py
@@ -13,7 +13,7 @@
 
 
 class Entry(msgspec.Struct):
-    """A key with its value and version, and the lease that it ends with."""
+    """A key with its value and version, and the lease whose end deletes it, if any."""
 
     key: str = field(name="k")
     value: msgspec.Raw
@@ -22,7 +22,7 @@
 
 
 class Entries(msgspec.Struct):
-    """Keys of a prefix at one revision; `more` if there are others after these."""
+    """A page of a prefix's keys at one revision; `more` tells whether another page follows."""
 
     items: list[Entry] = field(name="entries")
     revision: int = field(name="epoch")
@@ -46,14 +46,14 @@
 
 
 class Transaction(msgspec.Struct):
-    """Changes that are made together if all conditions hold."""
+    """Changes that are applied atomically if all conditions hold."""
 
     conditions: list[Condition] = field(name="when")
     changes: list[Change] = field(name="apply")
 
 
 class TransactionResult(msgspec.Struct):
-    """The revision that a transaction's changes were made at."""
+    """The revision at which a transaction's changes were applied."""
 
     revision: int = field(name="epoch")
 
@@ -86,18 +86,18 @@
 
 
 class Events(msgspec.Struct):
-    """The events up to a revision, which is where the next watch goes on."""
+    """The events up to a revision, after which the next watch continues."""
 
     events: list[Event]
     revision: int = field(name="epoch")
 
 
 def list_query(prefix: str, after: str | None, limit: int) -> str:
-    """The path that lists the keys of a prefix, from after a key on."""
-    tail = f"&after={after}" if after else ""
-    return f"{KV}?prefix={prefix}&limit={limit}{tail}"
+    """Return the path that lists a prefix's keys, those after the key `after` if it is given."""
+    start_after = f"&after={after}" if after else ""
+    return f"{KV}?prefix={prefix}&limit={limit}{start_after}"
 
 
 def watch_query(prefix: str, after: int, wait_ms: int) -> str:
-    """The path that waits for events of a prefix after a revision."""
+    """Return the path that waits for a prefix's events after the revision `after`."""
     return f"{WATCH}?prefix={prefix}&after={after}&block_ms={wait_ms}"
--- a/starlingdeck/protocol/struct_validation.py
+++ b/starlingdeck/protocol/struct_validation.py
@@ -1,4 +1,4 @@
-"""Validation of decoded settings against their structs, with every error at once."""
+"""Validation of decoded settings against their structs, reporting all errors at once."""
 
 import types
 from typing import Any, get_args, get_origin
@@ -7,9 +7,9 @@
 
 
 def validation_errors(raw: object, kind: type[msgspec.Struct], path: str) -> list[str]:
-    """Every error of a table, a line each; decoding alone would stop at the first.
+    """Return all errors of a table, one line each; decoding alone would stop at the first.
 
-    `path` is where the table stands in its file; empty for the file itself.
+    `path` is the table's path within its file; empty for the file itself.
     """
     if not isinstance(raw, dict):
         return [f"{path or 'file'}: expected a table"]
@@ -27,7 +27,7 @@
 
 
 def _value_errors(value: object, kind: Any, path: str) -> list[str]:
-    """The errors of one field's value."""
+    """Return the errors of one field's value, one line each."""
     if (struct := _struct_of(kind)) is not None:
         return validation_errors(value, struct, path)
     if (struct := _struct_of_values(kind)) is not None and isinstance(value, dict):
@@ -49,12 +49,12 @@
 
 
 def _struct_of(kind: Any) -> type[msgspec.Struct] | None:
-    """The struct of a field's type, if the type is one or an optional one."""
+    """Return the struct if a field's type is a struct or an optional struct, else None."""
     kinds = get_args(kind) if isinstance(kind, types.UnionType) else (kind,)
     found = [k for k in kinds if isinstance(k, type) and issubclass(k, msgspec.Struct)]
     return found[0] if found else None
 
 
 def _struct_of_values(kind: Any) -> type[msgspec.Struct] | None:
-    """The struct of a dictionary's values, if the type is such a dictionary."""
+    """Return the struct if a field's type is a dictionary with structs as values, else None."""
     return _struct_of(get_args(kind)[1]) if get_origin(kind) is dict else None
--- a/starlingdeck/protocol/users.py
+++ b/starlingdeck/protocol/users.py
@@ -1,4 +1,4 @@
-"""The users' JSON messages: jobs, their status, and the paths that they are served under."""
+"""The users' JSON messages: jobs and their status, and the paths of the users' HTTP API."""
 
 from typing import Annotated, Literal
 
@@ -20,8 +20,8 @@
 class JobSpec(msgspec.Struct, frozen=True):
     """A job as its user submitted it.
 
-    Records are read with it too: what an earlier version accepted must still be read, so
-    bounds that came later are checked by `validation.validate_job`, not here.
+    Stored records are decoded with it too, and those that an earlier version accepted must stay
+    readable. Bounds added since then are therefore checked by `validation.validate_job`, not here.
     """
 
     id: JobId = field(name="uid")
@@ -44,8 +44,8 @@
     types: list[str] | None = field(name="builds", default=None)
     zone: str | None = field(name="roost", default=None)
     deadline_s: Amount | None = field(name="due_s", default=None)
-    # Units of counted resources that each task uses while it is on its machine: an addition to
-    # the protocol's fields.
+    # Units of counted resources that each task uses while it is on its machine. An extension of
+    # the platform's protocol.
     counts: dict[str, int] | msgspec.UnsetType | None = msgspec.UNSET
 
     @property
@@ -55,22 +55,24 @@
 
     @property
     def rank(self) -> int:
-        """The job's priority as a number; a higher rank goes first."""
+        """The job's priority as a number; jobs of a higher rank go first."""
         return RANKS[self.priority]
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True):
-    """What a user is told of a job."""
+    """The status of a job, as reported to its user."""
 
     id: str = field(name="uid")
     state: str = field(name="status")
     done: int | None = None
     running: int | None = None
-    fault: str | None = None  # why the job is quarantined: an addition to the protocol's fields
-    waits: list[str] | None = None  # for which units of counted resources: an addition too
+    fault: str | None = None  # why the job is quarantined; an extension of the protocol
+    waits: list[str] | None = (
+        None  # reasons why units of counted resources are missing; an extension
+    )
 
 
 class ErrorBody(msgspec.Struct):
-    """The body of a refusal."""
+    """The body of an error response."""
 
     error: str
--- a/starlingdeck/protocol/validation.py
+++ b/starlingdeck/protocol/validation.py
@@ -1,4 +1,4 @@
-"""Decoding and validation of messages from outside; errors name the field by its wire name."""
+"""Decoding and validation of external input; errors name the field by its wire name."""
 
 from collections.abc import Mapping
 
@@ -22,7 +22,7 @@
 
 
 class ValidationError(ValueError):
-    """A body is not what it should be; the text names the field and what was expected."""
+    """A request body is invalid; the text names the field and what was expected."""
 
 
 def decode_job(body: bytes) -> JobSpec:
@@ -37,7 +37,7 @@
 
 
 def validate_job(spec: JobSpec) -> str:
-    """The first field that is out of its bounds, and which they are; empty if none is."""
+    """Return an error for the first field that is out of its bounds; empty if there is none."""
     if not JOB_ID_PATTERN.fullmatch(spec.id):
         return f"uid: must match {JOB_ID_PATTERN.pattern}"
     return (
@@ -95,7 +95,7 @@
 
 
 def decode_report(body: bytes) -> Report:
-    """Decode a worker's report, a heartbeat or the answer to commands; raises ValidationError."""
+    """Decode a report, a worker's heartbeat or answer to commands; raises ValidationError."""
     try:
         report = msgspec.json.decode(body, type=Report)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -106,7 +106,11 @@
 
 
 def is_valid_machine_type(machine_type: MachineType) -> bool:
-    """Whether a machine type can be computed with: sizes within bounds, no negative amounts."""
+    """Whether a machine type can be used in calculations.
+
+    Its sizes must be within their bounds and one of them over 0, the other amounts neither
+    negative nor over MAX_AMOUNT.
+    """
     sizes = (machine_type.cpus, machine_type.memory_gb, machine_type.gpus)
     amounts = (
         machine_type.fetch_gb_per_s,
@@ -118,14 +122,14 @@
     return sizes_valid and any(sizes) and all(0 <= amount <= MAX_AMOUNT for amount in amounts)
 
 
-class _JobName(msgspec.Struct):
+class _JobIdField(msgspec.Struct):
     id: str = field(name="uid")
 
 
 def job_id_of(body: bytes) -> str:
-    """The job that a refused body names; empty if none."""
+    """Return the job id in a body that failed validation; empty if it has no valid one."""
     try:
-        name = msgspec.json.decode(body, type=_JobName).id
+        job_id = msgspec.json.decode(body, type=_JobIdField).id
     except (msgspec.DecodeError, UnicodeDecodeError):
         return ""
-    return name if JOB_ID_PATTERN.fullmatch(name) else ""
+    return job_id if JOB_ID_PATTERN.fullmatch(job_id) else ""
--- a/starlingdeck/protocol/workers.py
+++ b/starlingdeck/protocol/workers.py
@@ -1,4 +1,4 @@
-"""The workers' JSON messages: heartbeats (reports), commands, task states and causes of ends."""
+"""The workers' JSON messages: heartbeats (reports), commands, task states, causes of exits."""
 
 import msgspec
 from msgspec import field
@@ -19,7 +19,7 @@
 
 START, STOP, REAP = "launch", "stop", "reap"  # operations of commands
 
-# Numbers that stand for a task's state on a machine, in memory and between controllers.
+# Codes of a task's state on a machine, used in memory and between controllers.
 TASK_PENDING, TASK_FETCHING, TASK_RUNNING, TASK_SAVING, TASK_EXITED = range(5)
 TASK_STATE_CODES = {
     "fetching": TASK_FETCHING,
@@ -28,7 +28,7 @@
     "exited": TASK_EXITED,
 }
 
-# Numbers that stand for the cause of an attempt's end, in memory, records and between controllers.
+# Codes of the cause of an attempt's end, used in memory, in records and between controllers.
 (
     CAUSE_NONE,
     CAUSE_DONE,
@@ -50,7 +50,7 @@
 
 
 class ReportTask(msgspec.Struct):
-    """A task's attempt as its worker sees it."""
+    """The state of a task's attempt, as its worker reports it."""
 
     task: str = field(name="chore")
     attempt: Attempt = field(name="try")
@@ -60,7 +60,7 @@
 
 
 class Report(msgspec.Struct):
-    """A heartbeat: all that a worker runs, numbered by its session and a sequence number."""
+    """A heartbeat: all tasks of a worker, numbered by its session and a sequence number."""
 
     machine: HostName = field(name="host")
     addr: PrintableName = field(name="endpoint")
@@ -70,12 +70,14 @@
     seq: Counter = field(name="tally")
     token: Counter = field(name="baton")
     spot: bool = field(name="loaners", default=False)
-    notice_s: float | None = field(name="warning_s", default=None)  # until it is terminated
+    notice_s: float | None = field(
+        name="warning_s", default=None
+    )  # until the machine is terminated
     tasks: list[ReportTask] = field(name="chores", default_factory=list)
 
 
 class Command(msgspec.Struct, omit_defaults=True):
-    """What a worker is to do with one attempt of a task."""
+    """An operation for a worker to perform on one attempt of a task."""
 
     op: str = field(name="verb")
     task: str = field(name="chore")
@@ -84,20 +86,20 @@
 
 
 class ReportReply(msgspec.Struct):
-    """The answer to a heartbeat: it renews the worker's lease."""
+    """The answer to a heartbeat, which renews the worker's lease."""
 
     token: int = field(name="baton")
     commands: list[Command] = field(name="orders")
 
 
 class Redirect(msgspec.Struct, omit_defaults=True):
-    """The answer to a heartbeat at the wrong controller: the name of the right one, if known."""
+    """The answer to a heartbeat at the wrong controller: names the right one, if it is known."""
 
     report_to: str | None = field(name="answer_to", default=None)
 
 
 class Commands(msgspec.Struct):
-    """Commands that a controller sends of itself; refused if the token is an old one."""
+    """Commands that a controller sends between heartbeats; refused if the token is outdated."""
 
     token: int = field(name="baton")
     session: int = field(name="tenure")
@@ -105,15 +107,15 @@
 
 
 def task_name(job: str, number: int) -> str:
-    """The name of a job's task, as workers know it."""
+    """Return the name by which workers know a job's task."""
     return f"{job}/{number}"
 
 
 def parse_task(name: str) -> tuple[str, int]:
-    """A task's job and number.
+    """Return the job and the number of a task.
 
-    The number is -1 for a name that no task can have: one over the limit would be taken for a
-    task of another job.
+    The number is -1 for a name that no task can have: a number over the limit would be mistaken
+    for a task of another job.
     """
     job, _, number = name.rpartition("/")
     is_number = number.isascii() and number.isdigit() and len(number) <= MAX_TASK_DIGITS
