--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,16 +1,17 @@
-"""What is stored and sent, against bytes that were written before the code was renamed.
+"""Tests that stored and sent data keep their format, against recorded bytes.
 
-The files in `tests/golden` stay as they are; they know nothing of the names in our code. Only the
-tables below do: they map a fixture to the type, function or constant that has to match it.
+The files in `tests/golden` were recorded before identifiers were renamed. They must not be changed
+and don't depend on names in the code. Only the tables below do: they map each fixture to the type,
+function or constant that has to match it.
 
-messages/NAME.jsonl    values as they are written, one a line; the first has every field
-older/NAME.jsonl       [a value that is read as well, the same as it is written now]
-tuning/NAME.toml       tuning files, and NAME.json: all settings once such a file is loaded
+messages/NAME.jsonl    encoded values, one per line; the first has every field
+older/NAME.jsonl       [value in an older format that must be readable, its present encoding]
+tuning/NAME.toml       tuning files, and NAME.json: all settings after the file is loaded
 keys.jsonl             [function, its arguments, its result]
 constants.json         paths, codes, words and prefixes of keys
-log_written.jsonl      [token, changes of a commit, its key, the segment that is written there]
-log_read.json          a commit log with segments that can't be read, and jobs replayed over it
-peer_messages.jsonl    of each protobuf message its fields by number, and serialized samples
+log_written.jsonl      [token, changes of a commit, its key, the segment written under the key]
+log_read.json          a commit log with unreadable segments, and jobs with the log replayed
+peer_messages.jsonl    for each protobuf message its fields by number, and serialized samples
 """
 
 from collections.abc import Callable, Iterator
@@ -192,7 +193,8 @@
 DEPLOY = GOLDEN.parent.parent / "deploy"
 SHARD = 3  # of the commit log in the fixtures
 VALUE_BYTES = 16 * 1024
-# Version of a job's record, whether it is cancelled, its chunks: for what a bad segment hides.
+# Arguments that decide whether an unreadable segment can hide changes of a job: the version of the
+# job's record, whether the job is cancelled, and its number of chunks.
 HIDING_CASES = [(1, False, 1), (10**6, False, 1), (10**6, True, 1), (10**6, False, 2)]
 
 
@@ -211,14 +213,16 @@
 # --- single values
 
 
-def altered(value: Any) -> Iterator[Any]:
-    """Copies of a JSON value, each with another leaf changed; nulls are left."""
+def with_one_leaf_changed(value: Any) -> Iterator[Any]:
+    """Yield copies of a JSON value, each with a different leaf changed; nulls are not changed."""
     if isinstance(value, dict):
         for key, inner in value.items():
-            yield from ({**value, key: other} for other in altered(inner))
+            yield from ({**value, key: other} for other in with_one_leaf_changed(inner))
     elif isinstance(value, list):
         for i, inner in enumerate(value):
-            yield from ([*value[:i], other, *value[i + 1 :]] for other in altered(inner))
+            yield from (
+                [*value[:i], other, *value[i + 1 :]] for other in with_one_leaf_changed(inner)
+            )
     elif isinstance(value, bool):
         yield not value
     elif isinstance(value, int | float):
@@ -227,23 +231,23 @@
         yield value + "x"
 
 
-def rewritten(value: bytes, kind: Any) -> bytes:
+def reencoded(value: bytes, kind: Any) -> bytes:
     return msgspec.json.encode(msgspec.json.decode(value, type=kind))
 
 
-def rewritten_or_refused(value: bytes, kind: Any) -> bytes:
+def reencoded_or_refused(value: bytes, kind: Any) -> bytes:
     try:
-        return rewritten(value, kind)
+        return reencoded(value, kind)
     except msgspec.ValidationError:
         return b"refused"
 
 
-def has_named_fields(kind: Any) -> bool:
+def is_encoded_as_object(kind: Any) -> bool:
     is_struct = isinstance(kind, type) and issubclass(kind, msgspec.Struct)
     return is_struct and not kind.__struct_config__.array_like
 
 
-def test_fixtures_all_files_have_a_type() -> None:
+def test_fixture_files_all_have_a_type() -> None:
     assert names_in("messages", ".jsonl") == MESSAGES.keys()
     assert names_in("older", ".jsonl") == OLDER.keys()
 
@@ -253,42 +257,42 @@
     lines = lines_of(GOLDEN / "messages" / f"{name}.jsonl")
     assert lines
     for line in lines:
-        assert rewritten(line, MESSAGES[name]) == line
+        assert reencoded(line, MESSAGES[name]) == line
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_message_with_any_value_changed_is_not_read_as_before(name: str) -> None:
-    """Nothing of a value is passed over, as a field would be whose wire name has changed."""
+def test_message_with_any_value_changed_is_not_encoded_as_before(name: str) -> None:
+    """No part of a value is ignored on decoding, as a field would be if its wire name changed."""
     for line in lines_of(GOLDEN / "messages" / f"{name}.jsonl"):
-        for other in altered(msgspec.json.decode(line)):
+        for other in with_one_leaf_changed(msgspec.json.decode(line)):
             text = msgspec.json.encode(other)
-            assert rewritten_or_refused(text, MESSAGES[name]) != line, text
+            assert reencoded_or_refused(text, MESSAGES[name]) != line, text
 
 
-@pytest.mark.parametrize("name", [n for n, kind in MESSAGES.items() if has_named_fields(kind)])
+@pytest.mark.parametrize("name", [n for n, kind in MESSAGES.items() if is_encoded_as_object(kind)])
 def test_message_first_sample_has_every_field(name: str) -> None:
     first = msgspec.json.decode(lines_of(GOLDEN / "messages" / f"{name}.jsonl")[0])
     assert first.keys() == {f.encode_name for f in msgspec.structs.fields(MESSAGES[name])}
 
 
 @pytest.mark.parametrize("name", OLDER)
-def test_older_form_decoded_and_encoded_is_the_present_form(name: str) -> None:
+def test_older_format_decoded_and_encoded_is_the_present_format(name: str) -> None:
     for line in lines_of(GOLDEN / "older" / f"{name}.jsonl"):
         older, present = msgspec.json.decode(line, type=tuple[msgspec.Raw, msgspec.Raw])
-        assert rewritten(bytes(older), OLDER[name]) == bytes(present)
+        assert reencoded(bytes(older), OLDER[name]) == bytes(present)
 
 
 @pytest.mark.parametrize(
     "line", lines_of(GOLDEN / "messages" / "user_job.jsonl"), ids=("all", "least")
 )
-def test_submission_read_by_the_door_is_the_same_bytes(line: bytes) -> None:
+def test_submission_decoded_and_encoded_is_the_same_bytes(line: bytes) -> None:
     assert msgspec.json.encode(api.decode_job(line)) == line
 
 
 @pytest.mark.parametrize(
     "line", lines_of(GOLDEN / "messages" / "worker_report.jsonl"), ids=("all", "tasks")
 )
-def test_report_read_by_the_door_is_the_same_bytes(line: bytes) -> None:
+def test_report_decoded_and_encoded_is_the_same_bytes(line: bytes) -> None:
     assert msgspec.json.encode(api.decode_report(line)) == line
 
 
@@ -322,7 +326,7 @@
 
 
 @pytest.mark.parametrize("name", ["counts.toml", "group-commit.toml", "overload.toml"])
-def test_deployed_tuning_file_loads_without_fault(name: str) -> None:
+def test_deployed_tuning_file_loads_without_error(name: str) -> None:
     assert config.load_tuning(DEPLOY / name) != config.Tuning()
 
 
@@ -335,7 +339,7 @@
 
 
 class LoggedJob(msgspec.Struct):
-    """A job in `log_read.json`: its record, and what it is once the log is replayed over it."""
+    """A job in `log_read.json`: its stored record, and its state with the log replayed over it."""
 
     record: records.JobRecord
     chunks: dict[int, records.Chunk]
@@ -349,7 +353,7 @@
 
 
 class LogFixture(msgspec.Struct):
-    """`log_read.json`."""
+    """The contents of `log_read.json`."""
 
     entries: list[api.Entry]
     view: Any
@@ -359,74 +363,74 @@
 LOG = msgspec.json.decode((GOLDEN / "log_read.json").read_bytes(), type=LogFixture)
 
 
-def rewritten_segment(value: bytes) -> bytes:
-    """A segment, decoded down to the single changes and encoded again."""
+def reencoded_segment(value: bytes) -> bytes:
+    """Decode a segment down to the single changes and encode it again."""
     segment = msgspec.json.decode(value, type=commit_log.Segment)
     commits = []
     for raw in segment.commits:
         commit = msgspec.json.decode(raw, type=commit_log.Commit)
-        changes = [rewritten(bytes(change), commit_log.JobChange) for change in commit.changes]
+        changes = [reencoded(bytes(change), commit_log.JobChange) for change in commit.changes]
         commits.append(commit_log.encode_commit(commit.position, changes))
     return bytes(commit_log.encode_segment(commits))
 
 
-def plain_view(view: commit_log.LogContents) -> Any:
-    """What was read of a log, without our names."""
+def log_contents_as_json(log_contents: commit_log.LogContents) -> Any:
+    """Return what was read of a log as JSON, under the names of the fixture."""
     found = {
-        "versions": view.versions,
-        "last": view.newest_positions,
+        "versions": log_contents.versions,
+        "last": log_contents.newest_positions,
         "slots_of_changes": {
             job: [(logged.position, logged.slot) for logged in changes]
-            for job, changes in view.changes.items()
+            for job, changes in log_contents.changes.items()
         },
-        "broken_jobs": sorted(view.unreadable_jobs),
-        "broken_slots": sorted(view.unreadable_job_slots),
-        "unreadable": [(segment.slot, segment.version) for segment in view.unreadable],
+        "broken_jobs": sorted(log_contents.unreadable_jobs),
+        "broken_slots": sorted(log_contents.unreadable_job_slots),
+        "unreadable": [(segment.slot, segment.version) for segment in log_contents.unreadable],
     }
     return as_json(found)
 
 
-def test_log_read_with_damaged_segments_gives_the_same_view() -> None:
-    view = commit_log.read_segments(LOG.entries)
-    assert plain_view(view) == LOG.view
-    assert view.unreadable_jobs
-    assert len(view.unreadable) == 2
+def test_log_read_with_damaged_segments_gives_the_same_contents() -> None:
+    log_contents = commit_log.read_segments(LOG.entries)
+    assert log_contents_as_json(log_contents) == LOG.view
+    assert log_contents.unreadable_jobs
+    assert len(log_contents.unreadable) == 2
 
 
 def test_log_segments_that_can_be_read_are_written_back_as_the_same_bytes() -> None:
-    view = commit_log.read_segments(LOG.entries)
-    bad = view.unreadable_job_slots | {segment.slot for segment in view.unreadable}
+    log_contents = commit_log.read_segments(LOG.entries)
+    bad = log_contents.unreadable_job_slots | {segment.slot for segment in log_contents.unreadable}
     good = [entry for entry in LOG.entries if int(entry.key.rsplit("/", 1)[1]) not in bad]
     assert len(good) == 3
     for entry in good:
-        assert rewritten_segment(bytes(entry.value)) == bytes(entry.value)
+        assert reencoded_segment(bytes(entry.value)) == bytes(entry.value)
 
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_replayed_over_a_record_gives_the_same_chunks(name: str) -> None:
-    job, view = LOG.jobs[name], commit_log.read_segments(LOG.entries)
-    replayed = commit_log.replay(job.all_chunks, view.changes_of(name))
+    job, log_contents = LOG.jobs[name], commit_log.read_segments(LOG.entries)
+    replayed = commit_log.replay(job.all_chunks, log_contents.changes_of(name))
     assert msgspec.json.encode(replayed) == bytes(job.replayed)
 
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_done_bits_of_a_job_are_the_same(name: str) -> None:
-    job, view = LOG.jobs[name], commit_log.read_segments(LOG.entries)
+    job, log_contents = LOG.jobs[name], commit_log.read_segments(LOG.entries)
     stored = {number: chunk.completed_bits for number, chunk in job.all_chunks.items()}
-    bits = commit_log.completed_by_chunk(stored, view.changes_of(name))
+    bits = commit_log.completed_by_chunk(stored, log_contents.changes_of(name))
     assert {number: f"{one:x}" for number, one in bits.items()} == job.done_bits
 
 
 @pytest.mark.parametrize("name", LOG.jobs)
 def test_log_damaged_segments_hide_the_same_jobs(name: str) -> None:
-    view = commit_log.read_segments(LOG.entries)
-    assert [bool(view.incomplete_reason(name, *case)) for case in HIDING_CASES] == LOG.jobs[
+    log_contents = commit_log.read_segments(LOG.entries)
+    assert [bool(log_contents.incomplete_reason(name, *case)) for case in HIDING_CASES] == LOG.jobs[
         name
     ].hidden
 
 
 def test_log_written_with_the_same_changes_has_the_same_keys_and_bytes() -> None:
-    """By two owners one after the other: the second takes the next slot of the ring."""
+    """The log is written by two owners in turn: the second starts at the next slot of the ring."""
     stored: dict[str, api.Entry] = {}
     names = list(LOG.jobs)
     log: CommitLog | None = None
@@ -435,7 +439,7 @@
             line, type=tuple[int, list[msgspec.Raw], str, msgspec.Raw]
         )
         if log is None or log.token != token:
-            log = taken_over_log(token, stored, names)
+            log = adopted_log(token, stored, names)
         encoded = [bytes(raw) for raw in raw_changes]
         changes = [msgspec.json.decode(raw, type=commit_log.JobChange) for raw in encoded]
         commit = log.prepare(changes, encoded, [names.index(change.job) for change in changes])
@@ -445,13 +449,13 @@
     assert len(stored) == 3
 
 
-def taken_over_log(token: int, stored: dict[str, api.Entry], names: list[str]) -> CommitLog:
-    """A new owner's log, of which no job's record has anything yet."""
+def adopted_log(token: int, stored: dict[str, api.Entry], names: list[str]) -> CommitLog:
+    """Return a new owner's log, none of whose changes are in the jobs' records yet."""
     log = CommitLog(SHARD, token, VALUE_BYTES)
-    view = commit_log.read_segments(stored.values())
-    log.adopt(view)
+    log_contents = commit_log.read_segments(stored.values())
+    log.adopt(log_contents)
     for index, name in enumerate(names):
-        log.adopt_job(index, name, {}, view.changes_of(name))
+        log.adopt_job(index, name, {}, log_contents.changes_of(name))
     return log
 
 
@@ -467,7 +471,7 @@
 
 
 class PeerSample(msgspec.Struct):
-    """A serialized message in hex, and the values in it by field number."""
+    """A serialized message in hex, and its values by field number."""
 
     serialized: str
     holds: Any
@@ -489,7 +493,7 @@
 
 
 def field_row(field: Any) -> list[Any]:
-    """Number, type, whether it is repeated, the message it holds, the oneof that it is in."""
+    """Return a field's number, type, whether it is repeated, its message type and its oneof."""
     inner, oneof = field.message_type, field.containing_oneof
     return [
         field.number,
@@ -500,19 +504,19 @@
     ]
 
 
-def plain_value(value: Any) -> Any:
+def value_by_number(value: Any) -> Any:
     if isinstance(value, Message):
-        return plain_message(value)
+        return message_by_number(value)
     return value.hex() if isinstance(value, bytes) else value
 
 
-def plain_message(message: Message) -> dict[str, Any]:
-    """Values by field number. Fails where there is a field that the message doesn't know."""
+def message_by_number(message: Message) -> dict[str, Any]:
+    """Return a message's values by field number. Fails if the message has unknown fields."""
     assert not len(UnknownFieldSet(message))
     return {
-        str(field.number): [plain_value(one) for one in value]
+        str(field.number): [value_by_number(one) for one in value]
         if field.is_repeated
-        else plain_value(value)
+        else value_by_number(value)
         for field, value in message.ListFields()
     }
 
@@ -533,7 +537,7 @@
     for sample in fixture.samples:
         data = bytes.fromhex(sample.serialized)
         message = PEER_MESSAGES[fixture.message].FromString(data)
-        assert plain_message(message) == sample.holds
+        assert message_by_number(message) == sample.holds
         assert message.SerializeToString(deterministic=True) == data
 
 
--- a/tests/test_input_validation.py
+++ b/tests/test_input_validation.py
@@ -1,4 +1,7 @@
-"""Validation of input from outside: request bodies, settings, records, frames."""
+"""Tests of the validation of external input: request bodies, settings, records, batches.
+
+Also of the rate limiter and the latency histograms.
+"""
 
 from typing import Any
 
@@ -36,18 +39,20 @@
         ({"due_s": -1.0}, "due_s"),
     ],
 )
-def test_an_invalid_field_is_named(change: dict[str, Any], field: str) -> None:
+def test_job_with_an_invalid_field_is_refused_naming_the_field(
+    change: dict[str, Any], field: str
+) -> None:
     with pytest.raises(api.ValidationError, match=field):
         api.decode_job(msgspec.json.encode(job_body(**change)))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b'{"cores":NaN}', b"\xff\xfe"])
-def test_a_body_that_is_no_object_is_refused(body: bytes) -> None:
+def test_job_body_that_is_no_valid_object_is_refused(body: bytes) -> None:
     with pytest.raises(api.ValidationError):
         api.decode_job(body)
 
 
-def test_optional_fields_may_be_omitted_and_unknown_ones_are_ignored() -> None:
+def test_job_without_optional_fields_or_with_unknown_ones_is_accepted() -> None:
     body = job_body(novelty=7)
     for name in ("builds", "roost", "due_s"):
         del body[name]
@@ -70,13 +75,15 @@
         ({}, ""),
     ],
 )
-def test_a_job_that_can_never_run_is_infeasible(change: dict[str, Any], expected: str) -> None:
+def test_job_that_can_never_run_has_an_infeasibility_reason(
+    change: dict[str, Any], expected: str
+) -> None:
     reason = submission.infeasibility_reason(make_context(Clock()), spec(**change))
     assert expected in reason
     assert bool(expected) == bool(reason)
 
 
-def test_settings_errors_are_one_line_each(tmp_path) -> None:  # type: ignore[no-untyped-def]
+def test_settings_with_several_errors_report_one_line_each(tmp_path) -> None:  # type: ignore[no-untyped-def]
     path = tmp_path / "s.json"
     raw = settings_dict()
     raw["unknown"] = 1
@@ -99,12 +106,12 @@
     path.write_bytes(msgspec.json.encode(raw))
     with pytest.raises(ConfigError) as caught:
         load_settings(path)
-    named = ("zone: missing", "external.state: missing", "settings.state.rps: Expected")
-    assert all(any(n in line for line in caught.value.lines) for n in named)
+    expected = ("zone: missing", "external.state: missing", "settings.state.rps: Expected")
+    assert all(any(error in line for line in caught.value.lines) for error in expected)
     assert len(caught.value.lines) == 3
 
 
-def test_a_record_is_read_as_it_was_written() -> None:
+def test_job_record_read_back_has_the_written_state() -> None:
     context = make_context(Clock())
     job = new_job(context, spec(chores=TASKS_PER_CHUNK + 10), 1, 5)
     placements = {
@@ -113,13 +120,15 @@
         )
         for t in (0, 7, TASKS_PER_CHUNK + 3)
     }
-    ends = {0: api.CAUSE_DONE, 7: api.CAUSE_ERROR}
+    end_causes = {0: api.CAUSE_DONE, 7: api.CAUSE_ERROR}
     for t in (0, 7):
         job.placements[t], job.task_states[t], job.attempts[t] = placements[t], PLACED, 1
-    late = {TASKS_PER_CHUNK + 3: placements[TASKS_PER_CHUNK + 3]}
-    chunks = [encode_chunk(context, job, n, ends, late) for n in (0, 1)]
-    copies = [msgspec.json.decode(msgspec.json.encode(c), type=type(c)) for c in chunks]
-    loaded = load_job(context, 1, JobRecord(job.spec, 5, False, copies[0]), {1: copies[1]})
+    pending_starts = {TASKS_PER_CHUNK + 3: placements[TASKS_PER_CHUNK + 3]}
+    chunks = [encode_chunk(context, job, n, end_causes, pending_starts) for n in (0, 1)]
+    decoded_chunks = [msgspec.json.decode(msgspec.json.encode(c), type=type(c)) for c in chunks]
+    loaded = load_job(
+        context, 1, JobRecord(job.spec, 5, False, decoded_chunks[0]), {1: decoded_chunks[1]}
+    )
     assert loaded.completed == 1
     assert loaded.task_states[0] == 2
     assert loaded.task_states[7] == 0
@@ -134,7 +143,7 @@
     assert loaded.attempts[TASKS_PER_CHUNK + 3] == 2
 
 
-def test_a_full_chunk_fits_a_value() -> None:
+def test_full_chunk_fits_a_value_of_the_state_service() -> None:
     context = make_context(Clock())
     job = new_job(context, spec(chores=TASKS_PER_CHUNK), 0, 0)
     for t in range(TASKS_PER_CHUNK):
@@ -146,8 +155,9 @@
     assert len(msgspec.json.encode(record)) < 16_000
 
 
-def test_a_large_job_is_written_in_transactions_that_fit() -> None:
-    """Eight full chunks at once were over the state service's 64 KiB and refused for ever."""
+def test_large_job_is_written_in_transactions_within_the_limits() -> None:
+    """Eight full chunks in one transaction exceeded the state service's 64 KiB and were always
+    refused."""
     context = make_context(Clock())
     shard = JobShard(context, 0, 3, 9)
     job = new_job(context, spec(chores=TASKS_PER_CHUNK * 10), 0, 0)
@@ -156,18 +166,18 @@
     for t in range(job.spec.tasks):
         index = context.machine_names.intern(f"vm-{t:06d}")
         job.pending_starts[t] = TaskPlacement(index, 1000, 20, 0, zone)
-    written = 0
+    transactions = 0
     while (update := shard.draft_update(job)) is not None:
         assert len(msgspec.json.encode(update.changes)) < 60_000
         assert len(update.changes) <= context.settings.settings.state.txn_ops
-        written += 1
-        shard.apply_update(update, written + 1)
-    assert written == 4
+        transactions += 1
+        shard.apply_update(update, transactions + 1)
+    assert transactions == 4
     assert not job.pending_starts
     assert len(job.placements) == job.spec.tasks
 
 
-def test_a_relayed_batch_carries_messages_and_refuses_garbage() -> None:
+def test_message_batch_is_decoded_as_encoded_and_refused_if_malformed() -> None:
     sent = [
         pb.Envelope(sender=1, snapshot=pb.Snapshot(shard=2, epoch=9)),
         pb.Envelope(empty=pb.Empty()),
@@ -180,7 +190,7 @@
             message_batch.decode_batch(text)
 
 
-def test_the_limiter_keeps_its_rate_and_reserves_some_for_urgent_requests() -> None:
+def test_token_bucket_keeps_its_rate_and_a_reserve_for_urgent_requests() -> None:
     clock = Clock()
     limiter = TokenBucket(10.0, 1.0, clock.now)
     ordinary = urgent = 0
