--- a/starlingdeck/protocol/config.py
+++ b/starlingdeck/protocol/config.py
@@ -154,7 +154,7 @@
     # Each minimum share, as a part of the fair share.
     floor: Annotated[float, Meta(ge=0, le=1)] = 0.35
     # When more than this part of the recently started tasks were preempted, arrays have to wait
-    # before they preempt; 1: never.
+    # before they preempt.
     churn: Annotated[float, Meta(ge=0, le=1)] = 1.0
     # How long a machine accumulates released capacity for a large task.
     gather_s: PositiveFloat = 20.0
