--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -88,7 +88,7 @@
         Status 503 means that no change is known to have been made, 504 that one may have been.
         """
         name, _, subpath = request.path[len(api.COUNTS) + 1 :].partition("/")
-        if name and not api.COUNT.fullmatch(name):
+        if name and not api.RESOURCE_NAME_PATTERN.fullmatch(name):
             return error_response(404, "no such count")
         if subpath not in ("", HISTORY):
             return error_response(404, "no such path")
