--- a/starlingdeck/admission/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -157,7 +157,7 @@
     def on_key_changed(self, key: str, value: msgspec.Raw, version: int) -> None:
         """Take over a team's shares from the value of its key; msgspec.DecodeError if invalid."""
         shares = msgspec.json.decode(value, type=list[ResourceAmount])
-        self.quota.learn(int(key[len(records.QUOTA) :]), shares, version)
+        self.quota.learn(int(key[len(records.QUOTA_PREFIX) :]), shares, version)
 
     async def _reread_quota(self, key: str) -> None:
         """Read a team's shares, however long that takes."""
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -92,7 +92,7 @@
         try:
             if not self.synced:
                 await self._read_all()
-            events = await self.state.watch(records.CLUSTER, self.revision, WATCH_TIMEOUT_S)
+            events = await self.state.watch(records.CLUSTER_PREFIX, self.revision, WATCH_TIMEOUT_S)
             for event in events.events:
                 await self.handle_event(event)
             self.revision = max(self.revision, events.revision)
@@ -106,7 +106,7 @@
 
     async def _read_all(self) -> None:
         """Read every cluster key; what has none any more is handled as deleted."""
-        entries, revision = await self.state.read(records.CLUSTER)
+        entries, revision = await self.state.read(records.CLUSTER_PREFIX)
         keys = {entry.key for entry in entries}
         for shard in range(self.context.shard_count):
             key = records.shard_key(shard)
@@ -125,13 +125,13 @@
         """Handle a change of one cluster key; a malformed one is logged and skipped."""
         key = event.put or event.delete or ""
         try:
-            if key.startswith(records.NODES):
-                self._on_node_key(int(key.removeprefix(records.NODES)), event)
-            elif key.startswith(records.TAKEOVERS):
-                shard = int(key.removeprefix(records.TAKEOVERS))
+            if key.startswith(records.NODE_PREFIX):
+                self._on_node_key(int(key.removeprefix(records.NODE_PREFIX)), event)
+            elif key.startswith(records.TAKEOVER_PREFIX):
+                shard = int(key.removeprefix(records.TAKEOVER_PREFIX))
                 self.ownership.takeover_versions[shard] = event.version
-            elif key.startswith(records.SHARDS):
-                shard = int(key.removeprefix(records.SHARDS))
+            elif key.startswith(records.SHARD_PREFIX):
+                shard = int(key.removeprefix(records.SHARD_PREFIX))
                 await self.ownership.on_shard_key(shard, event)
             else:
                 await self.hooks.on_cluster_key(event)
--- a/starlingdeck/controller/cluster_keys.py
+++ b/starlingdeck/controller/cluster_keys.py
@@ -33,9 +33,9 @@
         """Handle one event; a deletion names no key of interest here and is ignored."""
         key = event.put or ""
         durable = self.admission.durable
-        if key.startswith(records.MAILBOX):
+        if key.startswith(records.MAILBOX_PREFIX):
             await self._handle_mailbox_entry(key, event.version)
-        elif key.startswith(records.QUOTA):
+        elif key.startswith(records.QUOTA_PREFIX):
             self.quota_transfer.on_key_changed(key, event.value, event.version)
         elif durable is not None and key.startswith(durable.prefix):
             durable.on_key_changed(key, bytes(event.value), event.version)
@@ -43,14 +43,14 @@
             await self.wake.set()
             await self.flush.set()
         elif (
-            key.startswith(records.RELAY)
+            key.startswith(records.RELAY_PREFIX)
             and event.put
             and await self.state_sync.receive_relay(key, event.value, self.on_message)
         ):
             await self.wake.set()
 
     async def _handle_mailbox_entry(self, key: str, version: int) -> None:
-        shard, _, name = key[len(records.MAILBOX) :].partition("/")
+        shard, _, name = key[len(records.MAILBOX_PREFIX) :].partition("/")
         writer = self.writers.get(int(shard))
         if writer is not None and writer.shard.loaded:
             await curio.spawn(self.mailbox.handle_entry, writer, name, key, version, daemon=True)
--- a/starlingdeck/controller/machine_type_store.py
+++ b/starlingdeck/controller/machine_type_store.py
@@ -34,7 +34,7 @@
     async def load(self) -> list[api.MachineType]:
         """The machine types that a controller last read from the cloud; none if unreadable."""
         try:
-            entry = await self.state.get(records.TYPES, True)
+            entry = await self.state.get(records.MACHINE_TYPES_KEY, True)
             if entry is not None:
                 return msgspec.json.decode(entry.value, type=list[api.MachineType])
         except (StateError, msgspec.DecodeError) as error:
@@ -52,7 +52,7 @@
             log.error("machine types not stored, too large: bytes=%d limit=%.0f", size, limit)
             return
         try:
-            await self.state.transact({}, [put_change(records.TYPES, types)])
+            await self.state.transact({}, [put_change(records.MACHINE_TYPES_KEY, types)])
             self.stored = unpriced
         except (StateError, TransactionConflictError) as error:
             log.info("machine types not stored: error=%s", error)
--- a/starlingdeck/controller/shard_loader.py
+++ b/starlingdeck/controller/shard_loader.py
@@ -41,7 +41,7 @@
 
     async def _load_once(self, writer: RecordWriter) -> None:
         # The former owner may have transferred quota that our watch has not delivered yet.
-        for entry in (await writer.state.read(records.QUOTA))[0]:
+        for entry in (await writer.state.read(records.QUOTA_PREFIX))[0]:
             self.quota_transfer.on_key_changed(entry.key, entry.value, entry.version)
         prefix = records.mailbox_key(writer.shard.shard, "")
         entries = (await writer.state.read(prefix))[0]
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -110,11 +110,11 @@
 
     async def show_all(self) -> Response:
         """All resources, without their tasks."""
-        entries, _ = await self.store.state.read(records.COUNTS)
+        entries, _ = await self.store.state.read(records.COUNT_PREFIX)
         counts = []
         for entry in entries:
             ledger = msgspec.json.decode(entry.value, type=Ledger)
-            counts.append(count_info(entry.key[len(records.COUNTS) :], ledger, entry.version))
+            counts.append(count_info(entry.key[len(records.COUNT_PREFIX) :], ledger, entry.version))
         return json_response(200, {"counts": counts})
 
     async def show(self, name: str) -> Response:
--- a/starlingdeck/counts/ledger_store.py
+++ b/starlingdeck/counts/ledger_store.py
@@ -61,7 +61,7 @@
 
     def on_key_changed(self, key: str, value: bytes, version: int) -> None:
         """Take over a ledger from the value of its key; ValueError if it is not valid."""
-        name = key[len(records.COUNTS) :]
+        name = key[len(records.COUNT_PREFIX) :]
         if not api.COUNT.fullmatch(name):
             raise ValueError(f"key {key!r}: expected the name of a counted resource")
         new = msgspec.json.decode(value, type=Ledger)
@@ -103,11 +103,11 @@
 
     async def reread_failed(self, failed: Sequence[str]) -> bool:
         """Read the ledgers among the failed conditions again; True if there were any."""
-        keys = [key for key in failed if key.startswith(records.COUNTS)]
+        keys = [key for key in failed if key.startswith(records.COUNT_PREFIX)]
         if keys:
             await curio.sleep(self.context.rng.uniform(*CONFLICT_WAIT_S))
         for key in keys:
-            await self.reread(key[len(records.COUNTS) :])
+            await self.reread(key[len(records.COUNT_PREFIX) :])
         return bool(keys)
 
     # --- writes whose outcome is unknown
--- a/starlingdeck/counts/plugin.py
+++ b/starlingdeck/counts/plugin.py
@@ -40,7 +40,7 @@
 class CountedResourcePlugin:
     """This controller's part in all counted resources: a `DurablePlugin` of admission."""
 
-    prefix = records.COUNTS
+    prefix = records.COUNT_PREFIX
     path = api.COUNTS
 
     def __init__(
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -103,7 +103,7 @@
         """Take up a job at a takeover, with what the log has of it."""
         main = msgspec.json.decode(entry.value, type=JobRecord)
         name = main.spec.id
-        chunk_count = records.chunks_of(main.spec.tasks)
+        chunk_count = records.max_chunk_count(main.spec.tasks)
         if reason := view.incomplete_reason(name, entry.version, main.cancelled, chunk_count):
             self.unreadable[name] = reason
             raise ValueError(reason)
@@ -161,7 +161,7 @@
         # Unless it was created anew while we were reading.
         if before is not None and self.shard.jobs.get(before.index) is before:
             self.shard.remove(before.index)
-            chunk_count = records.chunks_of(before.spec.tasks)
+            chunk_count = records.max_chunk_count(before.spec.tasks)
             self.shard.commit_log.remove_job(before.index, name, chunk_count)
         if final is not None:
             value = msgspec.json.decode(final.value, type=FinalRecord)
--- a/starlingdeck/jobs/record_writer.py
+++ b/starlingdeck/jobs/record_writer.py
@@ -79,7 +79,7 @@
                 return True
             await self._settle_plugin()
             due_s = self.group_commit.due_s()
-            if due_s == 0.0 and self.state.writable(True)[0]:
+            if due_s == 0.0 and self.state.available_writes(True)[0]:
                 return await self._commit_group()
             reservation = (
                 self.durable_plugin.begin_transaction(self.shard)
@@ -136,7 +136,9 @@
 
         Records are rewritten so that segments of the log come free, and obsolete keys deleted.
         """
-        limit = min(self.state.writable(False)[0], self.context.settings.settings.state.txn_ops)
+        limit = min(
+            self.state.available_writes(False)[0], self.context.settings.settings.state.txn_ops
+        )
         if limit < 1:
             return False
         if self.group_commit.checkpoint_due():
--- a/starlingdeck/jobs/update_applier.py
+++ b/starlingdeck/jobs/update_applier.py
@@ -43,7 +43,7 @@
         job.completed += sum(1 for cause in update.pending_ends.values() if cause == api.CAUSE_DONE)
         shard.record_terminal_state(job.id, update.terminal_state, job.completed)
         shard.dirty_jobs.discard(job.index)
-        shard.commit_log.remove_job(job.index, job.id, records.chunks_of(job.spec.tasks))
+        shard.commit_log.remove_job(job.index, job.id, records.max_chunk_count(job.spec.tasks))
         shard.schedule_key_deletion(
             records.chunk_key(shard.shard, job.id, number) for number in job.key_versions if number
         )
--- a/starlingdeck/jobs/write_batch.py
+++ b/starlingdeck/jobs/write_batch.py
@@ -119,7 +119,7 @@
                 continue
             urgent = has_urgent_change(drafted.update) or job.index in overdue
             if not batch.updates:
-                free, wait_s = self.state.writable(urgent)
+                free, wait_s = self.state.available_writes(urgent)
                 if not free:
                     return WriteBatch([], wait_s, False)
                 batch.begin(free, urgent)
--- a/starlingdeck/storage/records.py
+++ b/starlingdeck/storage/records.py
@@ -25,15 +25,15 @@
 from starlingdeck.protocol.api import DONE, JobSpec
 
 TASKS_PER_CHUNK = 256
-CLUSTER = "c/"
-NODES = "c/n/"
-SHARDS = "c/s/"
-TAKEOVERS = "c/h/"
-MAILBOX = "c/i/"
-RELAY = "c/r/"
-QUOTA = "c/q/"
-COUNTS = "c/u/"
-TYPES = "m/types"
+CLUSTER_PREFIX = "c/"
+NODE_PREFIX = "c/n/"
+SHARD_PREFIX = "c/s/"
+TAKEOVER_PREFIX = "c/h/"
+MAILBOX_PREFIX = "c/i/"
+RELAY_PREFIX = "c/r/"
+QUOTA_PREFIX = "c/q/"
+COUNT_PREFIX = "c/u/"
+MACHINE_TYPES_KEY = "m/types"
 
 
 class Position(
@@ -133,17 +133,17 @@
 
 def node_key(node: int) -> str:
     """The key of a controller."""
-    return f"{NODES}{node}"
+    return f"{NODE_PREFIX}{node}"
 
 
 def shard_key(shard: int) -> str:
     """The key of a shard's owner."""
-    return f"{SHARDS}{shard}"
+    return f"{SHARD_PREFIX}{shard}"
 
 
 def takeover_key(shard: int) -> str:
     """The key of a shard's last takeover."""
-    return f"{TAKEOVERS}{shard}"
+    return f"{TAKEOVER_PREFIX}{shard}"
 
 
 def job_key(shard: int, job: str) -> str:
@@ -161,7 +161,7 @@
     return f"t/{shard}/"
 
 
-def chunks_of(tasks: int) -> int:
+def max_chunk_count(tasks: int) -> int:
     """The maximum number of chunks of a job with so many tasks."""
     return -(-tasks // TASKS_PER_CHUNK)
 
@@ -178,28 +178,28 @@
 
 def mailbox_key(shard: int, job: str) -> str:
     """The key of a notice that a job was changed; without a job the prefix of a shard's."""
-    return f"{MAILBOX}{shard}/{job}"
+    return f"{MAILBOX_PREFIX}{shard}/{job}"
 
 
 def relay_key(sender: int, to: int, part: int) -> str:
     """The key of a part of a relayed message."""
-    return f"{RELAY}{sender}-{to}-{part}"
+    return f"{RELAY_PREFIX}{sender}-{to}-{part}"
 
 
 def parse_relay_key(key: str) -> tuple[int, int, int]:
     """Sender, receiver and number of a part. Raises ValueError for any other key."""
-    sender, to, part = key[len(RELAY) :].split("-")
+    sender, to, part = key[len(RELAY_PREFIX) :].split("-")
     return int(sender), int(to), int(part)
 
 
 def quota_key(team: int) -> str:
     """The key of a team's split quota."""
-    return f"{QUOTA}{team}"
+    return f"{QUOTA_PREFIX}{team}"
 
 
 def count_key(count: str) -> str:
     """The key of a counted resource."""
-    return f"{COUNTS}{count}"
+    return f"{COUNT_PREFIX}{count}"
 
 
 def count_change_key(count: str, number: int) -> str:
--- a/starlingdeck/storage/state.py
+++ b/starlingdeck/storage/state.py
@@ -110,7 +110,7 @@
                 return entries, revision
             after = page.items[-1].key
 
-    def writable(self, urgent: bool) -> tuple[int, float]:
+    def available_writes(self, urgent: bool) -> tuple[int, float]:
         """How many changes the budget allows now, and in how many seconds it allows one."""
         return self.budget.writes.available(urgent)
 
--- a/tests/support/counted_resources.py
+++ b/tests/support/counted_resources.py
@@ -102,5 +102,5 @@
 ) -> None:
     """Deliver the ledgers' changes to a plugin, as its controller's watch would."""
     for key, (value, version) in state.keys.items():
-        if key.startswith(records.COUNTS) and is_delivered():
+        if key.startswith(records.COUNT_PREFIX) and is_delivered():
             plugin.on_key_changed(key, value, version)
--- a/tests/support/reference_model.py
+++ b/tests/support/reference_model.py
@@ -89,7 +89,7 @@
         self.failure_rate = failure_rate
         self.cut = False
 
-    def writable(self, urgent: bool) -> tuple[int, float]:
+    def available_writes(self, urgent: bool) -> tuple[int, float]:
         """Return how many changes may be written now, and the wait for more."""
         return 1000, 0.0
 
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -66,7 +66,7 @@
         if self.max_latency_s:
             await curio.sleep(self.cluster.rng.uniform(0.0, self.max_latency_s))
 
-    def writable(self, urgent: bool) -> tuple[int, float]:
+    def available_writes(self, urgent: bool) -> tuple[int, float]:
         """Return how many changes may be written now, and the wait for more."""
         return self.budget.available(urgent) if self.budget else (1000, 0.0)
 
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -66,7 +66,7 @@
     changes: int = 0
     largest_value: int = 0  # in bytes
 
-    def writable(self, urgent: bool) -> tuple[int, float]:
+    def available_writes(self, urgent: bool) -> tuple[int, float]:
         return 1000, 0.0
 
     async def transact(
--- a/tests/test_job_priority.py
+++ b/tests/test_job_priority.py
@@ -141,7 +141,7 @@
     limiter = TokenBucket(10.0, 1.0, clock.now)
     limiter.tokens = 0.5
     client = FakeStateClient(FakeStateService(random.Random(1)), 0.0)
-    client.writable = limiter.available  # type: ignore[method-assign]
+    client.available_writes = limiter.available  # type: ignore[method-assign]
     client.state.apply({}, [put_change(records.shard_key(0), 1)])
     shard = JobShard(context, 0, client.state.revision, 9)
     shard.loaded = True
--- a/tests/test_state_sync.py
+++ b/tests/test_state_sync.py
@@ -155,7 +155,7 @@
     )
     ours.state_sync.relay.state = FakeStateClient(state, 0.0)  # type: ignore[assignment]
     curio.run(ours.state_sync.write_relay, 1, text)
-    parts = {k: v for k, (v, _) in state.keys.items() if k.startswith(records.RELAY)}
+    parts = {k: v for k, (v, _) in state.keys.items() if k.startswith(records.RELAY_PREFIX)}
     limit = ours.context.settings.settings.state.value_kb * 1000
     assert len(parts) > 1
     assert all(len(value) <= limit for value in parts.values())
