--- a/starlingdeck/storage/state.py
+++ b/starlingdeck/storage/state.py
@@ -90,7 +90,7 @@
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
         """The entry of a key, or None."""
-        await self.budget.reads.take(1, urgent)
+        await self.budget.requests.take(1, urgent)
         reply = await self._call("GET", f"{api.KV}/{key}", None)
         if reply.status == 404:
             return None
@@ -101,7 +101,7 @@
         entries: list[api.Entry] = []
         revision, after = -1, None
         while True:
-            await self.budget.reads.take(1, True)
+            await self.budget.requests.take(1, True)
             path = api.list_query(prefix, after, PAGE_ENTRIES)
             page = _decode(await self._call("GET", path, None, LIST_TIMEOUT_S), api.Entries)
             entries += page.items
@@ -122,7 +122,7 @@
         Returns the revision of the changes. Raises TransactionConflictError when a condition
         fails, and LeaseLostError when a lease named in a change has ended.
         """
-        await self.budget.reads.take(1, urgent)
+        await self.budget.requests.take(1, urgent)
         await self.budget.writes.take(len(changes), urgent)
         required = [api.Condition(key, version) for key, version in conditions.items()]
         body = api.Transaction(required, changes)
@@ -135,13 +135,13 @@
 
     async def lease(self, ttl_s: float) -> int:
         """Grant a lease and return its id."""
-        await self.budget.reads.take(1, True)
+        await self.budget.requests.take(1, True)
         reply = await self._call("POST", api.LEASES, api.LeaseRequest(int(ttl_s * 1000)))
         return _decode(reply, api.LeaseGrant).lease
 
     async def renew(self, lease: int) -> None:
         """Renew a lease. Raises LeaseLostError when it has ended."""
-        await self.budget.reads.take(1, True)
+        await self.budget.requests.take(1, True)
         reply = await self._call("POST", f"{api.LEASES}/{lease}/{api.RENEW}", None, RENEW_TIMEOUT_S)
         if reply.status == 404:
             raise LeaseLostError
@@ -153,7 +153,7 @@
 
         Raises RevisionTooOldError when the service no longer has all of them.
         """
-        await self.budget.reads.take(1, True)
+        await self.budget.requests.take(1, True)
         path = api.watch_query(prefix, after, int(wait_s * 1000))
         # A watch opened before a network partition hangs after it: that must be noticed soon.
         reply = await self._call("GET", path, None, wait_s + WATCH_MARGIN_S)
@@ -169,14 +169,14 @@
         self.total_rps = rps * BUDGET_SHARE
         self.total_write_rps = write_rps * BUDGET_SHARE
         self.nodes = nodes
-        self.reads = TokenBucket(self.total_rps / nodes, BURST_S, now)
+        self.requests = TokenBucket(self.total_rps / nodes, BURST_S, now)
         self.writes = TokenBucket(self.total_write_rps / nodes, BURST_S, now)
 
     def share_among(self, nodes: int) -> None:
         """Share the rates among the live controllers: they do the work of failed ones too."""
         if nodes != self.nodes and nodes > 0:
             self.nodes = nodes
-            self.reads.set_rate(self.total_rps / nodes)
+            self.requests.set_rate(self.total_rps / nodes)
             self.writes.set_rate(self.total_write_rps / nodes)
 
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -220,7 +220,7 @@
     """One controller alone had the work of three, and a third of the requests."""
     limit = RequestBudget(200.0, 60.0, 3, Clock().now)
     limit.share_among(1)
-    assert limit.reads.rate == 180.0
+    assert limit.requests.rate == 180.0
     assert limit.writes.rate == 54.0
     limit.share_among(3)
     assert limit.writes.rate == 18.0
