--- a/starlingdeck/storage/__init__.py
+++ b/starlingdeck/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The state service's client, and the stored form of records and commit logs."""
+"""Client of the state service, and the stored formats of records and commit logs."""
--- a/starlingdeck/storage/commit_log.py
+++ b/starlingdeck/storage/commit_log.py
@@ -1,10 +1,10 @@
-"""The stored form of a job shard's write-ahead log, and how records are brought up to it.
+"""The stored format of a job shard's write-ahead log, and its replay over job records.
 
-The log is a ring of keys, `w/SHARD/SLOT`, each with a segment: some commits, each with the
-transitions of many jobs. A commit's position says when it was made: the fencing token under which
-its writer owned the shard, then a number. Each chunk of a job's record says up to which position
-it already has everything (`Chunk.applied_position`); later transitions are replayed over it, in
-the order of their positions.
+The log is a ring of keys, `w/SHARD/SLOT`. Each key holds a segment: a list of commits, each with
+the transitions of many jobs. Commits are ordered by position: the fencing token under which the
+writer owned the shard, then the commit's number under that token. Each chunk of a job's record
+stores the position up to which all commits are applied to it (`Chunk.applied_position`). Later
+transitions are replayed over the chunk in the order of their positions.
 """
 
 from collections import defaultdict
@@ -24,39 +24,39 @@
 )
 
 LOG_PREFIX = "w/"
-SEGMENT_FORMAT = 1  # the only one that can be read
+SEGMENT_FORMAT = 1  # the only supported version
 
 
 class JobChange(Struct, array_like=True):
-    """The transitions of one job's tasks in a commit: ends are applied first, then starts."""
+    """The transitions of one job's tasks in a commit. Ends are applied before starts."""
 
     job: str
     starts: list[PlacementRecord] = []
     completed: list[int] = []
-    freed: list[int] = []  # their attempt has ended, and they are to be tried again
+    freed: list[int] = []  # tasks whose attempt has ended and that are to be retried
 
     def chunks(self) -> set[int]:
-        """The numbers of the chunks of the job's record that it changes."""
+        """Return the numbers of the chunks of the job's record that this changes."""
         tasks = (*self.completed, *self.freed, *(start.task for start in self.starts))
         return {task // TASKS_PER_CHUNK for task in tasks}
 
 
 class Commit(Struct, array_like=True):
-    """All transitions that became durable at once. `changes` are encoded JobChanges."""
+    """Transitions that become durable in one write. `changes` are encoded JobChanges."""
 
     position: Position
     changes: list[msgspec.Raw]
 
 
 class Segment(Struct):
-    """The value of one key of the ring. `commits` are encoded Commits."""
+    """The value of one key of the log's ring. `commits` are encoded Commits."""
 
     format_version: int = field(name="form")
     commits: list[msgspec.Raw]
 
 
 class LoggedChange(Struct, frozen=True):
-    """A job's change, with the commit and the slot of the log that it stands in."""
+    """A job's change, with the position of its commit and the log slot that holds it."""
 
     position: Position
     slot: int
@@ -64,9 +64,9 @@
 
 
 class UnreadableSegment(Struct, frozen=True):
-    """A segment that is damaged or of an unknown format.
+    """A segment that is damaged or has an unknown format version.
 
-    It may concern any job whose record was not written after it.
+    It may hold changes of any job whose record was not written after it.
     """
 
     slot: int
@@ -75,25 +75,25 @@
 
 
 class LogContents(Struct):
-    """A shard's log as it was read."""
+    """The decoded content of a shard's log."""
 
     versions: dict[int, int] = field(default_factory=dict)  # slot -> version of its key
     newest_positions: dict[int, Position] = field(default_factory=dict)  # slot -> newest commit
     changes: dict[str, list[LoggedChange]] = field(default_factory=lambda: defaultdict(list))
     unreadable_jobs: dict[str, str] = field(default_factory=dict)  # job -> the error
-    unreadable_job_slots: set[int] = field(default_factory=set)  # with those jobs' changes
+    unreadable_job_slots: set[int] = field(default_factory=set)  # slots with those jobs' changes
     unreadable: list[UnreadableSegment] = field(default_factory=list)
 
     def changes_of(self, job: str) -> list[LoggedChange]:
-        """A job's changes, oldest first."""
+        """Return a job's changes, oldest first."""
         return self.changes.get(job, [])
 
     def incomplete_reason(self, job: str, version: int, cancelled: bool, chunks: int) -> str:
-        """Why a job's transitions may not all be known; empty when they are.
+        """Return why some of a job's transitions may be unknown; empty when all are known.
 
-        `version` is that of the job's record. A record of one chunk that was written after an
-        unreadable segment has all that the segment could say of it, unless the last to write it
-        was another controller that cancelled the job.
+        `version` is the version of the job's record. A record of one chunk that was written after
+        an unreadable segment already includes whatever the segment says about the job. This does
+        not hold when the last writer was another controller that cancelled the job.
         """
         if job in self.unreadable_jobs:
             return self.unreadable_jobs[job]
@@ -104,28 +104,28 @@
 
 
 def log_prefix(shard: int) -> str:
-    """The prefix of the keys of a shard's log."""
+    """Return the prefix of the keys of a shard's log."""
     return f"{LOG_PREFIX}{shard}/"
 
 
 def segment_key(shard: int, slot: int) -> str:
-    """The key of one slot of a shard's log."""
+    """Return the key of one slot of a shard's log."""
     return f"{LOG_PREFIX}{shard}/{slot:04d}"
 
 
 def encode_commit(position: Position, changes: Sequence[bytes]) -> bytes:
-    """A commit of encoded changes."""
+    """Encode a commit of encoded JobChanges."""
     return msgspec.json.encode(Commit(position, [msgspec.Raw(change) for change in changes]))
 
 
 def encode_segment(commits: Sequence[bytes]) -> msgspec.Raw:
-    """The value of a key with these encoded commits."""
+    """Encode the value of a log key that holds these encoded commits."""
     segment = Segment(SEGMENT_FORMAT, [msgspec.Raw(commit) for commit in commits])
     return msgspec.Raw(msgspec.json.encode(segment))
 
 
 def read_segments(entries: Iterable[Entry]) -> LogContents:
-    """Decode a shard's segments. What can't be decoded is recorded in the result."""
+    """Decode a shard's log. Segments and changes that can't be decoded are listed in the result."""
     contents = LogContents()
     for entry in entries:
         slot = int(entry.key.rsplit("/", 1)[1])
@@ -155,7 +155,7 @@
     try:
         change = msgspec.json.decode(raw, type=JobChange)
     except msgspec.DecodeError as error:
-        # Only its job is affected, if at least its name can be decoded.
+        # If at least the job's name can be decoded, only that job is affected.
         parts: Any = msgspec.json.decode(raw)
         if not isinstance(parts, list) or not parts or not isinstance(parts[0], str):
             raise
@@ -166,10 +166,10 @@
 
 
 def replay(chunks: Mapping[int, Chunk], changes: Iterable[LoggedChange]) -> dict[int, Chunk]:
-    """The chunks of a job's record once its later changes are applied.
+    """Return the chunks of a job's record with its logged changes applied.
 
-    `changes` come in the order of their positions. Those that a chunk already has are skipped, so
-    that it may be rewritten before or after the segments that it makes superfluous.
+    `changes` must be in the order of their positions. Changes that a chunk already includes are
+    skipped, so that it may be rewritten before or after the segments that it makes obsolete.
     """
     replayed = dict(chunks)
     for logged in changes:
@@ -208,9 +208,9 @@
 def completed_by_chunk(
     bitmaps: Mapping[int, str], changes: Iterable[LoggedChange]
 ) -> dict[int, int]:
-    """The completed tasks of each chunk as bits, from the records' bitmaps and the log.
+    """Return the completed tasks of each chunk as bits, from the records' bitmaps and the log.
 
-    A task that has completed stays so: positions don't matter here.
+    Changes are applied whatever their position, because a completed task stays completed.
     """
     completed = {number: int(bitmap or "0", 16) for number, bitmap in bitmaps.items()}
     for logged in changes:
--- a/starlingdeck/storage/limiter.py
+++ b/starlingdeck/storage/limiter.py
@@ -1,18 +1,18 @@
-"""A token bucket that keeps a reserve for urgent callers."""
+"""Rate limiting by a token bucket that reserves part of its burst for urgent callers."""
 
 from collections.abc import Callable
 
 import curio
 
-RESERVED_PART = 3  # one of so many parts of the burst is for urgent callers only
-ROUNDING = 1e-6  # tokens that are added up in floats may miss a whole one by this
+RESERVE_DIVISOR = 3  # a third of the burst is reserved for urgent callers
+ROUNDING_TOLERANCE = 1e-6  # tokens; a sum of floats may fall this much short of a whole token
 MIN_SLEEP_S = 0.002
 
 
 class TokenBucket:
-    """Grants `rate` tokens a second with a burst of `burst_s` seconds' worth.
+    """Grants `rate` tokens per second, with a burst of `burst_s` seconds' worth of tokens.
 
-    Ordinary callers leave a third of the burst to urgent ones.
+    The burst is at least one token. A third of it is reserved for urgent callers.
     """
 
     def __init__(self, rate: float, burst_s: float, now: Callable[[], float]) -> None:
@@ -23,7 +23,7 @@
         self.refilled_at = now()
 
     def set_rate(self, rate: float, burst_s: float = 1.0) -> None:
-        """Change rate and burst; tokens that are there stay."""
+        """Change the rate and the burst. Tokens are kept, up to the new burst."""
         self.rate = rate
         self.burst = max(1.0, rate * burst_s)
 
@@ -33,21 +33,24 @@
         self.refilled_at = now
 
     def _reserved(self, amount: float, urgent: bool) -> float:
-        """How many tokens have to be left after this amount is taken."""
-        return 0.0 if urgent else min(self.burst / RESERVED_PART, self.burst - amount)
+        """Return how many tokens must be left after this amount is taken."""
+        return 0.0 if urgent else min(self.burst / RESERVE_DIVISOR, self.burst - amount)
 
     def available(self, urgent: bool) -> tuple[int, float]:
-        """How many tokens may be taken now, and in how many seconds one may; takes none."""
+        """Return how many tokens may be taken now, and the seconds until one may. Take none."""
         self._refill()
-        left = self.tokens - self._reserved(1.0, urgent) + ROUNDING
+        left = self.tokens - self._reserved(1.0, urgent) + ROUNDING_TOLERANCE
         return max(0, int(left)), max(0.0, (1.0 - left) / self.rate)
 
     def take_or_delay(self, amount: float, urgent: bool) -> float:
-        """Take the tokens and return 0, or take none and return the seconds to wait for them."""
+        """Take the tokens and return 0, or take none and return the seconds to wait for them.
+
+        An amount above the burst is reduced to the burst.
+        """
         self._refill()
         amount = min(amount, self.burst)
         reserved = self._reserved(amount, urgent)
-        if self.tokens - amount >= reserved - ROUNDING:
+        if self.tokens - amount >= reserved - ROUNDING_TOLERANCE:
             self.tokens -= amount
             return 0.0
         return (reserved + amount - self.tokens) / self.rate
--- a/starlingdeck/storage/state.py
+++ b/starlingdeck/storage/state.py
@@ -1,4 +1,4 @@
-"""The state service's client: transactions, leases and watches, within a request budget."""
+"""Client of the state service: transactions, leases and watches, within a request budget."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -14,18 +14,18 @@
 REQUEST_TIMEOUT_S = 2.0
 LIST_TIMEOUT_S = 5.0
 RENEW_TIMEOUT_S = 1.0
-WATCH_MARGIN_S = 1.5  # beyond the wait that the service was asked for
+WATCH_MARGIN_S = 1.5  # added to the requested wait to get the timeout of a watch
 PAGE_ENTRIES = 500
-BUDGET_SHARE = 0.9  # of the service's rates, shared by all controllers
+BUDGET_SHARE = 0.9  # the part of the service's rate limits that all controllers share
 BURST_S = 1.0
 
 
 class StateError(Exception):
-    """The request was not executed: it was refused, rejected for its rate, or no connection."""
+    """The request was not executed: it was refused, rate-limited, or could not be sent."""
 
 
 class OutcomeUnknownError(StateError):
-    """No usable response: the request may have been executed, or may be executed later."""
+    """There was no usable response: the request may have been executed, or may be later."""
 
 
 class TransactionConflictError(Exception):
@@ -41,35 +41,36 @@
 
 
 class RevisionTooOldError(Exception):
-    """The service no longer has the events after a watch's revision; read the keys again."""
+    """The service no longer has all events after a watch's revision: keys must be read again."""
 
 
 def put_change(key: str, value: Any, lease: int | None = None) -> api.Change:
-    """A change that writes a key, attached to a lease if one is given."""
+    """Return a change that writes a key, attached to a lease if one is given."""
     return api.Change(put=key, value=value, lease=lease)
 
 
 def delete_change(key: str) -> api.Change:
-    """A change that deletes a key."""
+    """Return a change that deletes a key."""
     return api.Change(delete=key)
 
 
 class StateClient:
-    """Requests to the state service, each within the budget.
+    """Sends requests to the state service, within the request budget.
 
-    All methods raise StateError when the request was not executed, and OutcomeUnknownError when
-    it may have been. `urgent` requests may use the reserved part of the budget.
+    All requests raise StateError when they were not executed, and OutcomeUnknownError when they
+    may have been. `urgent` requests may use the reserved part of the budget; lists, leases and
+    watches always may.
     """
 
     def __init__(
-        self, http: HttpClient, address: str, limit: "RequestBudget", now: Callable[[], float]
+        self, http: HttpClient, address: str, budget: "RequestBudget", now: Callable[[], float]
     ) -> None:
         self.http = http
         self.address = address
-        self.budget = limit
+        self.budget = budget
         self.now = now
         self.timeout_s = REQUEST_TIMEOUT_S
-        self.calls = 0  # requests since the start
+        self.calls = 0  # requests sent since the start
 
     async def _call(
         self, method: str, path: str, body: Any, timeout_s: float | None = None
@@ -89,7 +90,7 @@
         return reply
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
-        """The entry of a key, or None."""
+        """Return the entry of a key, or None if the key does not exist."""
         await self.budget.requests.take(1, urgent)
         reply = await self._call("GET", f"{api.KV}/{key}", None)
         if reply.status == 404:
@@ -97,7 +98,7 @@
         return _decode(reply, api.Entry)
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
-        """All entries of a prefix, and the revision of the first page, to watch from."""
+        """Return all entries under a prefix, and the first page's revision to watch from."""
         entries: list[api.Entry] = []
         revision, after = -1, None
         while True:
@@ -111,13 +112,13 @@
             after = page.items[-1].key
 
     def available_writes(self, urgent: bool) -> tuple[int, float]:
-        """How many changes the budget allows now, and in how many seconds it allows one."""
+        """Return how many changes the budget allows now, and the seconds until it allows one."""
         return self.budget.writes.available(urgent)
 
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
-        """Apply all changes at once if each key of `conditions` has that version (0: absent).
+        """Apply all changes atomically if each key of `conditions` has that version (0: absent).
 
         Returns the revision of the changes. Raises TransactionConflictError when a condition
         fails, and LeaseLostError when a lease named in a change has ended.
@@ -134,7 +135,7 @@
         return _decode(reply, api.TransactionResult).revision
 
     async def lease(self, ttl_s: float) -> int:
-        """Grant a lease and return its id."""
+        """Request a lease of `ttl_s` seconds and return its id."""
         await self.budget.requests.take(1, True)
         reply = await self._call("POST", api.LEASES, api.LeaseRequest(int(ttl_s * 1000)))
         return _decode(reply, api.LeaseGrant).lease
@@ -149,13 +150,14 @@
             raise OutcomeUnknownError(f"lease renewal: status {reply.status}, expected 200")
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> api.Events:
-        """The events of a prefix after a revision; waits up to `wait_s` for the first.
+        """Return the events under a prefix after a revision; wait up to `wait_s` for the first.
 
         Raises RevisionTooOldError when the service no longer has all of them.
         """
         await self.budget.requests.take(1, True)
         path = api.watch_query(prefix, after, int(wait_s * 1000))
-        # A watch opened before a network partition hangs after it: that must be noticed soon.
+        # A watch opened before a network partition still hangs after it ends: the timeout must
+        # notice that soon.
         reply = await self._call("GET", path, None, wait_s + WATCH_MARGIN_S)
         if reply.status == 410:
             raise RevisionTooOldError
@@ -163,7 +165,7 @@
 
 
 class RequestBudget:
-    """This controller's share of the state service's rates of requests and of changes."""
+    """This controller's share of the state service's limits on requests and changes per second."""
 
     def __init__(self, rps: float, write_rps: float, nodes: int, now: Callable[[], float]) -> None:
         self.total_rps = rps * BUDGET_SHARE
@@ -173,7 +175,7 @@
         self.writes = TokenBucket(self.total_write_rps / nodes, BURST_S, now)
 
     def share_among(self, nodes: int) -> None:
-        """Share the rates among the live controllers: they do the work of failed ones too."""
+        """Share the rates among the live controllers, which also do the work of failed ones."""
         if nodes != self.nodes and nodes > 0:
             self.nodes = nodes
             self.requests.set_rate(self.total_rps / nodes)
@@ -181,7 +183,11 @@
 
 
 def _decode(reply: Reply, expected: type[T], status: int = 200) -> T:
-    """The body of a response. An unexpected one doesn't say whether the request was executed."""
+    """Decode the body of a response.
+
+    Raises OutcomeUnknownError for an unexpected status or body, since neither says whether the
+    request was executed.
+    """
     if reply.status != status:
         raise OutcomeUnknownError(f"status {reply.status}, expected {status}")
     try:
