--- a/starlingdeck/autoscaling/__init__.py
+++ b/starlingdeck/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Scale out and in: the cloud's interface and the policy of renting and returning machines."""
+"""Autoscaling: the client of the cloud, and the policy of renting and releasing machines."""
--- a/starlingdeck/autoscaling/autoscaler.py
+++ b/starlingdeck/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""Brings the rented fleet closer to the one that the demand needs, step by step."""
+"""Adjusts the rented fleet to the demand, in periodic steps."""
 
 import logging
 from collections.abc import Callable
@@ -13,22 +13,22 @@
 log = logging.getLogger(__name__)
 
 MIN_LIST_INTERVAL_S = 2.0
-LIST_RETENTION_MARGIN_S = 5  # a machine missing from the list for two lags and this is gone
-MAX_SETTLING_S = 2.0  # after a takeover, until what was rented before shows
-MAX_RELEASES = 100  # machines in one request
-RELEASE_RETRY_S = 60  # before a machine that is still listed is released again
-RENTAL_BOOT_S = 60.0  # that a machine just rented counts as seen in the list
-INITIAL_BACKOFF_S = 2.0  # for a kind of machine without capacity
+LIST_RETENTION_MARGIN_S = 5  # added to two list lags: a machine unlisted for longer is forgotten
+MAX_SETTLING_S = 2.0  # wait after a takeover for machines rented before it to be listed
+MAX_MACHINES_PER_RELEASE = 100  # in one request
+RELEASE_RETRY_S = 60  # after which a machine that is still listed is released again
+UNLISTED_RENTAL_S = 60.0  # how long a new machine counts as listed, even if the list lacks it
+INITIAL_BACKOFF_S = 2.0  # of a kind of machine without capacity, before the first increase
 BACKOFF_FACTOR = 1.5
 MIN_RETRY_S = 4.0
-RETRY_CALLS = 3.0  # all kinds without capacity together take a third of the requests
+RETRY_SHARE_DIVISOR = 3.0  # at the longest wait, retries take a third of the requests
 
 
 class Autoscaler:
     """Rents and releases machines; runs at the owner of shard 0.
 
-    What it remembers only saves requests: the cloud's list and the machines' reports are
-    authoritative, so a successor starts with nothing.
+    Its state only saves requests. The cloud's list and the machines' reports are authoritative,
+    so a successor starts with an empty state.
     """
 
     def __init__(
@@ -53,7 +53,10 @@
         self.started = context.now()
 
     async def step(self) -> None:
-        """Read the cloud's list when it is due, then release and rent. Raises CloudError."""
+        """Read the cloud's list when it is due, then release and rent machines.
+
+        Raises CloudError when a request fails.
+        """
         now = self.context.now()
         if now >= self.next_list_at:
             list_lag_s = self.context.settings.settings.cloud.list_lag_s
@@ -80,14 +83,14 @@
                     booting=machine.state == api.BOOTING,
                 )
             else:
-                known.state, known.last_seen = machine.state, now
-        # The list lags, and may be older than the one before: a machine has to be missing from
-        # it for a while before it is forgotten.
+                known.state, known.last_seen_at = machine.state, now
+        # The list lags, and may be older than the previous one: a machine is forgotten only after
+        # it has been missing for a while.
         retention_s = 2 * context.settings.settings.cloud.list_lag_s + LIST_RETENTION_MARGIN_S
         self.state.listed = {
             name: machine
             for name, machine in self.state.listed.items()
-            if now - machine.last_seen <= retention_s
+            if now - machine.last_seen_at <= retention_s
         }
 
     # --- releases
@@ -97,7 +100,7 @@
         unreleased = [
             name for name in dict.fromkeys(self._releasable(now)) if name not in self.released
         ]
-        names = unreleased[:MAX_RELEASES]
+        names = unreleased[:MAX_MACHINES_PER_RELEASE]
         if not names:
             return
         await self.cloud.release(names)
@@ -105,14 +108,14 @@
         for name in names:
             self.released[name] = now
             self.state.listed.pop(name, None)
-        # The list lags and may still show them; they are released again only if they stay.
+        # The list lags and may still show them: they are released again only if they stay listed.
         self.released = {
             name: at for name, at in self.released.items() if now - at < RELEASE_RETRY_S
         }
         self.on_released(names)
 
     def _releasable(self, now: float) -> list[str]:
-        """Names of machines of no use any more, maybe more than once."""
+        """Return the names of machines to release, possibly with duplicates."""
         context, candidates = self.context, self.candidates()
         up = {
             context.machine_names[candidate.index] for candidate in candidates if not candidate.lost
@@ -153,25 +156,27 @@
             ],
         )
         for request in rentals.plan_rentals(context, self.state, self.demands(), fleet, now):
-            self.state.counter += 1
-            request.name = f"r-{self.token}-{self.state.counter}"
+            self.state.request_count += 1
+            request.name = f"r-{self.token}-{self.state.request_count}"
             self.state.requests.append(request)
 
     def _max_retry_s(self) -> float:
-        """How long a kind without capacity isn't requested again, at most.
+        """Return the longest wait before a kind of machine without capacity is requested again.
 
-        Spot machines that were reclaimed free their capacity within seconds. With waits of up to
-        a minute, a wave of reclaimed machines was replaced only after half a minute.
+        Reclaimed spot machines free their capacity within seconds. With waits of up to a minute,
+        a wave of reclaimed machines was replaced only after half a minute.
         """
         kinds = sum(
             2 * len(machine_type.zones) for machine_type in self.context.machine_types.values()
         )
-        return max(MIN_RETRY_S, RETRY_CALLS * kinds / self.context.settings.settings.cloud.rps)
+        return max(
+            MIN_RETRY_S, RETRY_SHARE_DIVISOR * kinds / self.context.settings.settings.cloud.rps
+        )
 
     async def _request(self, request: RentalRequest) -> None:
-        """Send a rental request. It is kept for the next step when there is no answer.
+        """Send a rental request. Without an answer it is kept and sent again in the next step.
 
-        The same name is then requested again, since the cloud may have executed it.
+        It is then sent under the same name, since the cloud may have executed it already.
         """
         context, state, now = self.context, self.state, self.context.now()
         type_name, kind = context.type_names[request.type], request.kind
@@ -199,7 +204,7 @@
             state.no_capacity[kind] = now + self._max_retry_s() / 2
         for name in names:
             state.listed[name] = ListedMachine(
-                name, *kind, api.BOOTING, now, now + RENTAL_BOOT_S, booting=True
+                name, *kind, api.BOOTING, now, now + UNLISTED_RENTAL_S, booting=True
             )
         log.info(
             "machines rented: type=%s zone=%s requested=%d machines=%s",
--- a/starlingdeck/autoscaling/cloud_client.py
+++ b/starlingdeck/autoscaling/cloud_client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud's HTTP interface: machine types, machines, rentals and releases."""
+"""Client of the cloud's HTTP API: machine types, machines, rentals and releases."""
 
 from typing import TypeVar
 
@@ -18,7 +18,7 @@
 
 
 class CloudError(Exception):
-    """The cloud refused a request, didn't answer, or answered something malformed.
+    """The cloud refused a request, did not answer, or sent a malformed answer.
 
     The request may be tried again.
     """
@@ -52,12 +52,12 @@
         return reply
 
     async def machine_types(self) -> list[api.MachineType]:
-        """The machine types on offer, with their prices."""
+        """Return the machine types on offer, with their prices."""
         reply = await self._request("GET", api.MACHINE_TYPES, urgent=True)
         return _decode(reply, api.MachineTypes).types
 
     async def machines(self) -> list[api.MachineInfo]:
-        """The rented machines. The list lags behind rentals and releases."""
+        """Return the rented machines. The list lags behind rentals and releases."""
         machines: list[api.MachineInfo] = []
         after = ""
         while True:
@@ -70,7 +70,7 @@
             after = page.machines[-1].id
 
     async def rent(self, request: api.RentRequest) -> list[str]:
-        """Rent machines; the names of those granted, maybe fewer than requested.
+        """Rent machines and return the names of those granted, possibly fewer than requested.
 
         Idempotent by the request's name. Raises NoCapacityError when none are available.
         """
@@ -78,7 +78,7 @@
         return _decode(reply, api.MachineNames).machines
 
     async def release(self, names: list[str]) -> None:
-        """Return rented machines."""
+        """Release rented machines."""
         await self._request("POST", api.MACHINES_DELETE, api.MachineNames(names), urgent=True)
 
 
--- a/starlingdeck/autoscaling/machine_types.py
+++ b/starlingdeck/autoscaling/machine_types.py
@@ -1,4 +1,4 @@
-"""Keeps the machine types and their prices up to date with the cloud."""
+"""Reads the machine types and their prices from the cloud, and stores them."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -21,10 +21,11 @@
     load: Callable[[], Awaitable[list[api.MachineType]]],
     store: Callable[[list[api.MachineType]], Awaitable[None]],
 ) -> None:
-    """Read the machine types from the cloud until they are known, then once a minute.
+    """Read the machine types from the cloud once a minute, and call `store` every 10 s.
 
-    Until then those that a controller last stored are used: controllers that restarted while
-    the cloud was down could accept no job, because they couldn't tell which can ever run.
+    Failed reads are retried after about a second. Until the first success, the types that a
+    controller last stored are used. Without them, controllers that restarted while the cloud was
+    down accepted no jobs, because they could not tell which jobs can ever run.
     """
     while True:
         try:
--- a/starlingdeck/autoscaling/releases.py
+++ b/starlingdeck/autoscaling/releases.py
@@ -1,4 +1,4 @@
-"""Which machines to return to the cloud. Pure."""
+"""Selects the machines to release to the cloud, without side effects."""
 
 from collections.abc import Sequence
 
@@ -6,15 +6,15 @@
 from starlingdeck.machines.reachability import releasable_count
 from starlingdeck.machines.scoring import Candidate
 
-LOST_RELEASE_S = 30  # of silence of a lost machine
-UNREACHABLE_RELEASE_S = 60.0  # (start) a one-way partition may heal within this
-MIN_FREE_SHARE = 0.5  # of all capacity stays free when idle machines are released
+LOST_RELEASE_S = 30  # of silence, after which a lost machine is released
+UNREACHABLE_RELEASE_S = 60.0  # a one-way partition may heal within this time
+MIN_FREE_SHARE = 0.5  # of all CPUs; releases of idle machines leave at least this free
 
 
 def lost_machines(
     context: ControllerContext, candidates: Sequence[Candidate], now: float
 ) -> list[str]:
-    """Names of machines that have been lost for long."""
+    """Return the names of lost machines that have been silent for over LOST_RELEASE_S."""
     return [
         context.machine_names[candidate.index]
         for candidate in candidates
@@ -23,9 +23,9 @@
 
 
 def drained_machines(context: ControllerContext, candidates: Sequence[Candidate]) -> list[str]:
-    """Names of draining machines that have nothing left to run.
+    """Return the names of draining machines that have nothing left to run.
 
-    Machines with a termination notice are taken by the cloud itself.
+    Machines with a termination notice are left out: the cloud itself takes them back.
     """
     return [
         context.machine_names[candidate.index]
@@ -40,9 +40,10 @@
 def unreachable_machines(
     context: ControllerContext, candidates: Sequence[Candidate], now: float
 ) -> list[str]:
-    """Names of machines that report but have long received nothing: a one-way partition.
+    """Return the names of machines that report but have long received nothing.
 
-    All that runs there ends with each lease. None while many machines are in this state at once.
+    Behind such a one-way partition no lease is renewed, so all tasks end with their leases. None
+    are returned while many machines are in this state at once.
     """
     lease_s = context.settings.settings.workers.lease_s
     reporting = [candidate for candidate in candidates if not candidate.lost]
@@ -64,7 +65,10 @@
 def idle_machines(
     context: ControllerContext, candidates: Sequence[Candidate], now: float
 ) -> list[str]:
-    """Names of machines that have long been idle, beyond the headroom; the longest idle first."""
+    """Return the names of machines to release that have been idle for over `idle_s`.
+
+    The longest idle come first. Some stay, so that enough capacity is free.
+    """
     schedulable = [candidate for candidate in candidates if candidate.schedulable]
     free = sum(max(0.0, candidate.available[0]) for candidate in schedulable)
     total = sum(candidate.capacity[0] for candidate in schedulable)
--- a/starlingdeck/autoscaling/rentals.py
+++ b/starlingdeck/autoscaling/rentals.py
@@ -1,4 +1,4 @@
-"""Which machines to rent: for demand without a machine, and for headroom. Pure."""
+"""Plans which machines to rent, for unplaced demand and for headroom, without side effects."""
 
 import math
 from collections.abc import Sequence
@@ -15,14 +15,15 @@
 from starlingdeck.context import ControllerContext, fit_count, fits, machine_capacity
 from starlingdeck.machines.scoring import Candidate
 
-MAX_RENTAL_REQUEST = 50  # machines in one rental request, by the cloud's protocol
-MAX_PENDING_RENTALS = 200  # machines requested by one plan
+MAX_MACHINES_PER_REQUEST = 50  # limit of the cloud's protocol for one rental request
+MAX_MACHINES_PER_PLAN = 200
 
-Bin = tuple[int, str, bool, list[float]]  # type, zone, spot, free capacity; unpacked in hot loops
+# Interned machine type, zone, spot, free capacity. A plain tuple, as it is unpacked in hot loops.
+Bin = tuple[int, str, bool, list[float]]
 
 
 class FleetSnapshot(Struct):
-    """The machines that a rental plan counts on."""
+    """The machines that a rental plan takes into account."""
 
     schedulable: Sequence[Candidate] = ()
     pending: Sequence[ListedMachine] = ()  # rented, and expected to come up
@@ -36,10 +37,10 @@
     fleet: FleetSnapshot,
     now: float,
 ) -> list[RentalRequest]:
-    """Requests for the demand that neither free capacity nor pending machines can take.
+    """Plan rental requests for headroom and for the demand that pending machines can't take.
 
-    All of a wave of demand is requested at once: with eight machines per request, machines came
-    up 10 s later than they could. The requests still need a name.
+    A wave of demand is requested as a whole: with eight machines per request, machines came up
+    10 s later than necessary. The caller has to name the requests.
     """
     bins = _pending_capacity(context, state, fleet.pending)
     needs = merge_demands(demands) + headroom_demand(context, fleet.schedulable, fleet.draining)
@@ -48,16 +49,17 @@
         if not math.isfinite(sum(need.size)) or need.count < 1:
             continue  # malformed, from a peer
         remaining = need.count - _pack(context, need, need.count, bins)
-        while remaining > 0 and sum(rentals.values()) < MAX_PENDING_RENTALS:
+        while remaining > 0 and sum(rentals.values()) < MAX_MACHINES_PER_PLAN:
             kind = cheapest_kind(context, state, structs.replace(need, count=remaining), now)
             if kind is None:
                 break
             bins.append((*kind, list(machine_capacity(context.machine_types[kind[0]]))))
             remaining -= _pack(context, need, remaining, bins[-1:])
             rentals[kind] = rentals.get(kind, 0) + 1
-    # The most urgent demand is requested first, and each kind in one request: requests are few.
+    # The most urgent demand is requested first, and each kind in one request, because the rate of
+    # requests is limited.
     return [
-        RentalRequest("", machine_type, zone, spot, min(count, MAX_RENTAL_REQUEST), now)
+        RentalRequest("", machine_type, zone, spot, min(count, MAX_MACHINES_PER_REQUEST), now)
         for (machine_type, zone, spot), count in rentals.items()
     ]
 
@@ -65,7 +67,7 @@
 def _pending_capacity(
     context: ControllerContext, state: FleetState, pending: Sequence[ListedMachine]
 ) -> list[Bin]:
-    """The capacity of machines that are booting or requested already."""
+    """Return the capacity of machines that are pending or already requested."""
     bins: list[Bin] = []
     for machine in pending:
         machine_type = context.machine_types.get(machine.type)
@@ -81,10 +83,10 @@
 
 
 def merge_demands(demands: Sequence[Demand]) -> list[Demand]:
-    """Demands that differ in nothing but their count as one.
+    """Merge demands that differ only in their count.
 
-    Each is packed into every pending machine, and a class's jobs mostly need the same: fifty of
-    them took up to 70 ms of processor time, twice a second.
+    Each demand is packed into every pending machine, and most jobs of a class have the same
+    requirements. Unmerged, fifty of them took up to 70 ms of processor time, twice a second.
     """
     merged: dict[object, Demand] = {}
     for demand in demands:
@@ -99,11 +101,11 @@
 def headroom_demand(
     context: ControllerContext, schedulable: Sequence[Candidate], draining: Sequence[Candidate]
 ) -> list[Demand]:
-    """Capacity to keep free for failures and for the next jobs.
+    """Return demand for the capacity that is to be kept free for failures and for the next jobs.
 
-    A share of the on-demand machines' capacity on those, and the same share of all machines' on
-    any. By the on-demand machines alone, spot machines reclaimed in a calm minute were replaced
-    only in the next busy one, a boot too late.
+    `spare_share` of the on-demand machines' CPUs is kept free on those machines, and the same
+    share of all machines' CPUs on any. When only on-demand machines were counted, spot machines
+    reclaimed in a calm minute were replaced only in the next busy one, one boot time too late.
     """
     demands = []
     for spot in (False, True):
@@ -133,7 +135,7 @@
 
 
 def _pack(context: ControllerContext, need: Demand, count: int, bins: Sequence[Bin]) -> int:
-    """Pack up to `count` of the need's tasks into the bins; returns how many fit."""
+    """Pack up to `count` of the need's tasks into the bins. Return how many fit."""
     packed = 0
     for machine_type, zone, spot, free in bins:
         if packed == count:
@@ -151,7 +153,10 @@
 def cheapest_kind(
     context: ControllerContext, state: FleetState, need: Demand, now: float
 ) -> MachineKind | None:
-    """The kind of machine with the lowest price per task, of those that may have capacity."""
+    """Return the cheapest kind of machine per task, of those that may have capacity.
+
+    Returns None when no kind is left.
+    """
     best, best_price = None, math.inf
     for index, machine_type in context.machine_types.items():
         capacity = machine_capacity(machine_type)
--- a/starlingdeck/interning.py
+++ b/starlingdeck/interning.py
@@ -1,15 +1,15 @@
-"""Dense integer ids for names, and one integer for a task of a job."""
+"""Dense integer ids for names, and integer keys for the tasks of jobs."""
 
 
 class InternTable:
-    """Gives each name an integer, counting from 0, for as long as the process runs."""
+    """Assigns each name an integer id, counting from 0. Ids are never reused or removed."""
 
     def __init__(self) -> None:
         self.ids: dict[str, int] = {}
         self.names: list[str] = []
 
     def intern(self, name: str) -> int:
-        """The id of a name, a new one if it has none yet."""
+        """Return the id of a name, and assign one if it has none yet."""
         found = self.ids.get(name)
         if found is None:
             found = self.ids[name] = len(self.names)
@@ -17,11 +17,11 @@
         return found
 
     def find(self, name: str) -> int | None:
-        """The id of a name; None if it has none."""
+        """Return the id of a name, or None if it has none."""
         return self.ids.get(name)
 
     def __getitem__(self, index: int) -> str:
-        """The name with an id."""
+        """Return the name with this id."""
         return self.names[index]
 
 
@@ -29,10 +29,10 @@
 
 
 def task_key(job: int, task: int) -> int:
-    """One integer for a job's id in its table and a task's number."""
+    """Return one integer that encodes a job's interned id and a task's number."""
     return job * MAX_TASKS_PER_JOB + task
 
 
 def split_key(key: int) -> tuple[int, int]:
-    """The job's id and the task's number of a task key."""
+    """Return the job's interned id and the task's number that a task key encodes."""
     return divmod(key, MAX_TASKS_PER_JOB)
--- a/starlingdeck/metrics/counters.py
+++ b/starlingdeck/metrics/counters.py
@@ -1,6 +1,7 @@
-"""Counts of job and task events by team and class, for a log line per pair each minute.
+"""Counts job and task events by team and class, for one log line per pair each minute.
 
-Users make up the names of classes: beyond MAX_TEAM_CLASSES pairs they are counted together.
+Class names are chosen by users, so the number of pairs is limited to MAX_TEAM_CLASSES. Further
+pairs are counted together.
 """
 
 from collections.abc import Iterable
@@ -9,7 +10,7 @@
 from msgspec import Struct
 
 MAX_TEAM_CLASSES = 100
-OTHERS = ("others", "")  # the pair under which those beyond the limit are counted
+OTHERS = ("others", "")  # the pair that counts all pairs beyond the limit
 
 OFFERED, ACCEPTED, STARTED, DONE, CANCELLED, PREEMPTED = range(6)
 EVENT_NAMES = (
@@ -23,7 +24,7 @@
 
 
 class WaitingTasks(NamedTuple):
-    """Tasks of a job that wait for a machine; `age_s` is since the job's submission."""
+    """Tasks of a job that wait for a machine. `age_s` is the time since the job's submission."""
 
     team: str
     cls: str
@@ -39,14 +40,14 @@
 
 
 class Counters:
-    """Counts events between two calls of `lines`, and in all."""
+    """Counts events since the last call of `lines`, and since the process started."""
 
     def __init__(self) -> None:
         self.counts: dict[tuple[str, str], list[int]] = {}
         self.totals = [0] * len(EVENT_NAMES)  # since the process started
 
     def increment(self, team: str, cls: str, event: int, count: int = 1) -> None:
-        """Count an event, one of the constants of this module."""
+        """Add to the count of an event, which is one of this module's event constants."""
         row = self.counts.get((team, cls))
         if row is None:
             key = (team, cls) if len(self.counts) < MAX_TEAM_CLASSES else OTHERS
@@ -55,12 +56,15 @@
         self.totals[event] += count
 
     def lines(self, waiting: Iterable[WaitingTasks]) -> list[str]:
-        """Log lines of the counts since the last call and the tasks now waiting; resets counts."""
+        """Return log lines of the tasks now waiting and the counts since the last call.
+
+        Resets the counts.
+        """
         totals = self._waiting_totals(waiting)
         counts, self.counts = self.counts, {}
         no_events = [0] * len(EVENT_NAMES)
         return [
-            _line(pair, counts.get(pair, no_events), totals.get(pair, WaitingTotal()))
+            _format_line(pair, counts.get(pair, no_events), totals.get(pair, WaitingTotal()))
             for pair in sorted(counts.keys() | totals.keys())
         ]
 
@@ -78,7 +82,7 @@
         return totals
 
 
-def _line(pair: tuple[str, str], row: list[int], waiting: WaitingTotal) -> str:
+def _format_line(pair: tuple[str, str], row: list[int], waiting: WaitingTotal) -> str:
     team, cls = pair
     events = " ".join(f"{name}={count}" for name, count in zip(EVENT_NAMES, row, strict=True))
     return (
--- a/starlingdeck/metrics/latency.py
+++ b/starlingdeck/metrics/latency.py
@@ -1,4 +1,4 @@
-"""Latencies of requests and starts, and the run time of the process's tasks, for the log."""
+"""Measures the latency of operations and the run time of the process's tasks, for the log."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,13 +14,13 @@
 
 
 class LatencyHistograms:
-    """A histogram of milliseconds per operation, between two calls of `lines`."""
+    """A latency histogram per operation, in milliseconds, since the last call of `lines`."""
 
     def __init__(self) -> None:
         self.histograms: dict[str, HdrHistogram] = {}
 
     def record(self, operation: str, seconds: float) -> None:
-        """Record how long an operation took, rounded to between MIN_MS and MAX_MS."""
+        """Record how long an operation took, limited to between MIN_MS and MAX_MS."""
         histogram = self.histograms.get(operation)
         if histogram is None:
             histogram = HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
@@ -28,16 +28,16 @@
         histogram.record_value(min(MAX_MS, max(MIN_MS, int(seconds * 1000))))
 
     def lines(self) -> list[str]:
-        """Log lines of the operations recorded since the last call; resets the histograms."""
+        """Return log lines of the operations since the last call, and reset the histograms."""
         lines = []
         for operation, histogram in sorted(self.histograms.items()):
             if histogram.get_total_count():
-                lines.append(_line(operation, histogram))
+                lines.append(_format_line(operation, histogram))
                 histogram.reset()
         return lines
 
 
-def _line(operation: str, histogram: HdrHistogram) -> str:
+def _format_line(operation: str, histogram: HdrHistogram) -> str:
     percentiles = " ".join(
         f"p{percentile}_ms={histogram.get_value_at_percentile(float(percentile))}"
         for percentile in PERCENTILES
@@ -49,7 +49,7 @@
 
 
 class TaskRuntime(Struct):
-    """How often tasks of one name ran from one wait to the next, and for how long."""
+    """The number and duration of the runs of all tasks with one name."""
 
     runs: int = 0
     total_s: float = 0.0
@@ -59,8 +59,8 @@
 class TaskProfiler(Activation):  # type: ignore[misc]  # curio has no type information
     """Measures the run time of the process's tasks by name, at log level `debug` only.
 
-    A run is from one wait of a task to its next. All other tasks wait meanwhile, so the longest
-    run bounds how late a reply or a lease renewal may be.
+    A run lasts from one wait of a task to its next. All other tasks are blocked meanwhile, so the
+    longest run shows by how much a reply or a lease renewal may be delayed.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -69,11 +69,11 @@
         self.runtimes: dict[str, TaskRuntime] = {}
 
     def running(self, task: Any) -> None:  # noqa: ARG002 -- an interface of curio
-        """Note the start of a run; the kernel calls this."""
+        """Record the start of a run. Called by the kernel."""
         self.started_at = self.now()
 
     def suspended(self, task: Any, trap: Any) -> None:  # noqa: ARG002 -- an interface of curio
-        """Add a finished run; the kernel calls this."""
+        """Record the end of a run. Called by the kernel."""
         run_s = self.now() - self.started_at
         runtime = self.runtimes.setdefault(task.name, TaskRuntime())
         runtime.runs += 1
@@ -81,7 +81,7 @@
         runtime.max_s = max(runtime.max_s, run_s)
 
     def lines(self) -> list[str]:
-        """Log lines of the runs since the last call, the largest total first; resets them."""
+        """Return log lines of the runs since the last call, largest total first, and reset them."""
         runtimes = sorted(self.runtimes.items(), key=lambda item: -item[1].total_s)
         self.runtimes = {}
         return [
