--- a/tests/test_autoscaling_policy.py
+++ b/tests/test_autoscaling_policy.py
@@ -1,4 +1,4 @@
-"""Which machines are rented and which are released."""
+"""The autoscaler's choice of machines to rent and to release."""
 
 from starlingdeck.autoscaling import boots, rentals
 from starlingdeck.autoscaling.fleet import Demand, FleetState, ListedMachine
@@ -9,15 +9,18 @@
 from tests.support.builders import Clock, make_context
 
 
-def listed(context: ControllerContext, name: str, state: str, rented: float) -> ListedMachine:
+def listed(context: ControllerContext, name: str, state: str, rented_at: float) -> ListedMachine:
     return ListedMachine(
-        name, context.type_names.intern("small"), "a", False, state, rented, rented
+        name, context.type_names.intern("small"), "a", False, state, rented_at, rented_at
     )
 
 
 def test_new_controller_does_not_release_the_fleet() -> None:
-    """After all controllers crashed, the first list came before the first report: every machine
-    looked like a failed boot, and all of them were released."""
+    """A new controller releases no machine before that machine has had time to report.
+
+    After all controllers had crashed, the first list was read before the first report arrived.
+    Every machine looked like a failed boot, and all were released.
+    """
     clock = Clock()
     context = make_context(clock)
     state = FleetState()
@@ -31,8 +34,11 @@
 
 
 def test_ownership_change_does_not_release_the_shards_machines() -> None:
-    """A restarted peer's first snapshot named no machine yet, so those of its zone seemed never
-    to have come up and were released with their replicas."""
+    """A machine that was up before its shard changed owners is not released at once.
+
+    The first snapshot of a restarted peer named no machines yet. The machines of its zone seemed
+    never to have come up, and were released with the replicas on them.
+    """
     clock = Clock()
     context = make_context(clock)
     state = FleetState()
@@ -44,7 +50,7 @@
     assert boots.stuck_machines(context, state, set(), started, clock.at + 100) == ["vm-1", "vm-2"]
 
 
-def test_boot_that_never_comes_up_is_released() -> None:
+def test_machine_that_never_comes_up_is_released() -> None:
     clock = Clock()
     context = make_context(clock)
     state = FleetState()
@@ -55,7 +61,7 @@
     assert boots.stuck_machines(context, state, set(), started, late) == ["vm-1"]
 
 
-def test_demand_is_rented_for_once() -> None:
+def test_demand_is_rented_for_only_once() -> None:
     clock = Clock()
     context = make_context(clock)
     state = FleetState()
@@ -97,8 +103,11 @@
 
 
 def test_wave_of_demand_is_requested_at_once() -> None:
-    """With eight machines a request and few requests a second, half of a large fleet came up 10 s
-    late."""
+    """One request asks for up to 50 machines.
+
+    With eight machines per request and few requests per second, half of a large fleet came up
+    10 s late.
+    """
     context = make_context(Clock())
     state = FleetState()
     demands = [Demand((4.0, 0.0, 4.0), 60, ("small",), "a", False, 0, False)]
@@ -110,8 +119,11 @@
 
 
 def test_spot_machines_reclaimed_in_a_calm_minute_are_replaced() -> None:
-    """Headroom was counted on on-demand machines alone: reclaimed spot machines were replaced only
-    in the next busy minute, a boot too late."""
+    """Headroom counts spot machines too.
+
+    When it counted on-demand machines only, reclaimed spot machines were replaced only in the next
+    busy minute, one boot time too late.
+    """
     context = make_context(Clock())
     total = (4.0, 0.0, 16.0)
 
@@ -126,7 +138,7 @@
 
 
 def test_equal_demands_are_merged() -> None:
-    """Fifty jobs of a class were packed one by one into every pending machine."""
+    """Unmerged, fifty jobs of a class were packed one by one into every pending machine."""
     need = Demand((4.0, 0.0, 4.0), 3, ("small",), "", False, 1, False)
     other = Demand((2.0, 0.0, 4.0), 1, ("small",), "", False, 1, False)
     found = rentals.merge_demands([need, other, need])
@@ -135,7 +147,10 @@
 
 
 def test_boot_timeout_follows_the_recent_boot_times() -> None:
-    """Replaced after 1.8 times the nominal time, a wave of late boots was rented twice."""
+    """The boot timeout follows the recent boot times of the type, within bounds.
+
+    With a fixed timeout of 1.8 times the nominal time, a wave of late boots was rented twice.
+    """
     clock = Clock()
     context = make_context(clock)
     boot = context.machine_types[context.type_names.intern("small")].boot_s
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""Fixed limits against a fleet of 4,000 machines, all of them with one controller."""
+"""Fixed limits hold for a fleet of 4,000 machines that all belong to one controller."""
 
 import itertools
 import random
@@ -29,11 +29,11 @@
 from tests.support.reference_model import FakeStateClient, FakeStateService, run_without_waiting
 
 MACHINES = 4000
-TASKS = 32  # per machine
-IMAGES = 20
-JOB_TASKS = 100
+TASKS_PER_MACHINE = 32
+IMAGES_PER_MACHINE = 20
+TASKS_PER_JOB = 100
 WRITE_RPS = 150.0
-SHARE = 0.9 * WRITE_RPS / 3  # of one of three controllers
+WRITE_SHARE_RPS = 0.9 * WRITE_RPS / 3  # the write budget of one of three controllers
 
 
 def image_names(rng: random.Random) -> list[str]:
@@ -41,20 +41,20 @@
 
 
 def job_ids(count: int, shard: int) -> list[str]:
-    """The ids of `count` jobs of one shard."""
+    """Return the ids of `count` jobs of one shard."""
     names = (f"j-{number:06d}" for number in itertools.count())
     return list(itertools.islice((n for n in names if shard_of_job(n, 3) == shard), count))
 
 
-def full_fleet(
-    machines: MachineShard, jobs: JobShard, rng: random.Random, tasks: int = TASKS
+def populate_fleet(
+    machines: MachineShard, jobs: JobShard, rng: random.Random, tasks: int = TASKS_PER_MACHINE
 ) -> None:
-    """Every machine runs `tasks` tasks, recorded in the job shard, and has its images."""
-    images, ids = image_names(rng), job_ids(MACHINES * tasks // JOB_TASKS, jobs.shard)
-    order = rng.sample(range(MACHINES * tasks), MACHINES * tasks)  # jobs are spread over machines
+    """Add all machines, each with `tasks` running tasks and some images, and the tasks' jobs."""
+    images, ids = image_names(rng), job_ids(MACHINES * tasks // TASKS_PER_JOB, jobs.shard)
+    order = rng.sample(range(MACHINES * tasks), MACHINES * tasks)  # spreads each job over machines
     for number in range(MACHINES):
         first = number * tasks
-        names = [divmod(n, JOB_TASKS) for n in order[first : first + tasks]]
+        names = [divmod(n, TASKS_PER_JOB) for n in order[first : first + tasks]]
         report = api.Report(
             f"vm-{rng.getrandbits(32):08x}",
             f"10.0.{number >> 8}.{number & 255}:9000",
@@ -66,15 +66,15 @@
             tasks=[api.ReportTask(f"{ids[job]}/{task}", 1, "running") for job, task in names],
         )
         machine = machines.apply_report(report, True)
-        machine.images = dict.fromkeys(rng.sample(images, IMAGES), 0.0)
-    fill(machines, jobs, ids)
+        machine.images = dict.fromkeys(rng.sample(images, IMAGES_PER_MACHINE), 0.0)
+    record_running_tasks(machines, jobs, ids)
 
 
-def fill(machines: MachineShard, jobs: JobShard, ids: list[str]) -> None:
-    """Record all tasks that the machines run."""
+def record_running_tasks(machines: MachineShard, jobs: JobShard, ids: list[str]) -> None:
+    """Record all tasks that the machines run in the job shard."""
     context = machines.context
     for job in ids:
-        jobs.adopt(new_job(context, spec(job, chores=JOB_TASKS), jobs.shard, 0))
+        jobs.adopt(new_job(context, spec(job, chores=TASKS_PER_JOB), jobs.shard, 0))
     for machine in machines.machines.values():
         for key in machine.tasks:
             index, task = split_key(key)
@@ -83,17 +83,20 @@
 
 
 class BudgetClient(FakeStateClient):
-    """A state service that executes changes at a controller's share of its rate. The controller
-    runs a step during each transaction; the texts it starts are written concurrently."""
+    """A state service client that executes changes at a limited rate.
+
+    The controller starts new relay texts while each transaction waits, and these are written
+    concurrently. Only changes executed before `deadline` are recorded in `sent`.
+    """
 
     def __init__(self, node: Controller, clock: Clock, rate: float) -> None:
         super().__init__(FakeStateService(random.Random(1)), 0.0)
         self.node, self.clock = node, clock
         self.limiter = TokenBucket(rate, 1.0, clock.now)
         self.limiter.tokens = 0.0
-        self.until = 0.0
+        self.deadline = 0.0
         self.sent: list[api.Change] = []
-        self.begun: list[curio.Task] = []
+        self.writes: list[curio.Task] = []
 
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
@@ -102,20 +105,20 @@
             await curio.sleep(0)
             self.clock.at += min(wait_s, 0.02)
             await self.step()
-        if self.clock.at < self.until:
+        if self.clock.at < self.deadline:
             self.sent += changes
         return 1
 
     async def step(self) -> None:
-        if self.clock.at >= self.until:
+        if self.clock.at >= self.deadline:
             return
         for node, text in self.node.state_sync.relay_messages(self.clock.at, pb.Gossip):
             task = await curio.spawn(self.node.state_sync.write_relay, node, text)
-            self.begun.append(task)
+            self.writes.append(task)
 
 
-def cut_off(clock: Clock, peers: list[int]) -> Controller:
-    """A controller with a valid lease that can't reach some live peers."""
+def controller_without_links(clock: Clock, peers: list[int]) -> Controller:
+    """Return a controller with a valid lease that can't reach the given live peers."""
     context = make_context(clock)
     node = Controller(context)
     node.membership.lease_is_valid = lambda: True  # type: ignore[method-assign]
@@ -126,15 +129,15 @@
     return node
 
 
-def play_relay(node: Controller, clock: Clock, seconds: float, rate: float) -> BudgetClient:
-    """Start texts for `seconds`; only what is written by then counts."""
+def run_relay(node: Controller, clock: Clock, seconds: float, rate: float) -> BudgetClient:
+    """Relay messages for `seconds`. Return the client, which has what was written by then."""
     client = BudgetClient(node, clock, rate)
-    client.until = clock.at + seconds
+    client.deadline = clock.at + seconds
     node.state_sync.relay.state = client  # type: ignore[assignment]
 
     async def write() -> None:
         await client.step()
-        for task in client.begun:
+        for task in client.writes:
             await task.join()
 
     curio.run(write)
@@ -142,13 +145,13 @@
 
 
 def write_seconds(node: Controller, envelope: pb.Envelope, rate: float) -> float:
-    """How long it takes to write a message's text at `rate` changes a second."""
+    """Return how long writing a message's text takes at `rate` changes per second."""
     part = node.context.settings.settings.state.value_kb * 1000 - 200
     return len(encode_batch([envelope])) / part / rate
 
 
 def received_messages(client: BudgetClient, to: int) -> list[pb.Envelope]:
-    """The messages that a peer receives of what was written."""
+    """Return the messages that a peer decodes from what was written."""
     received: list[pb.Envelope] = []
     receiver = Controller(make_context(Clock(), node=to))
 
@@ -162,64 +165,76 @@
 
 
 def test_a_full_snapshot_of_the_fleet_is_relayed() -> None:
-    """A newer text was started every 2 s and replaced the one being written: one that took longer
-    never arrived. Half of the share of the rate is used by starts and ends."""
+    """A text that takes longer than RELAY_INTERVAL_S to write still arrives.
+
+    A new text was started every 2 s and replaced the one being written, so a text that took longer
+    never arrived. Half of the write budget is taken as used by starts and ends of tasks.
+    """
     clock = Clock()
-    node = cut_off(clock, [2])
+    node = controller_without_links(clock, [2])
     machines = MachineShard(node.context, 1, 5, 77, 0.0)
-    full_fleet(machines, JobShard(node.context, 0, 3, 9), random.Random(1))
+    populate_fleet(machines, JobShard(node.context, 0, 3, 9), random.Random(1))
     node.machines[1] = machines
     assert (
-        write_seconds(node, pb.Envelope(snapshot=machines.full_snapshot(True)), SHARE / 2)
+        write_seconds(node, pb.Envelope(snapshot=machines.full_snapshot(True)), WRITE_SHARE_RPS / 2)
         > RELAY_INTERVAL_S
     )
-    client = play_relay(node, clock, 3 * RELAY_INTERVAL_S, SHARE / 2)
+    client = run_relay(node, clock, 3 * RELAY_INTERVAL_S, WRITE_SHARE_RPS / 2)
     snapshots = [
         e.snapshot for e in received_messages(client, 2) if e.WhichOneof("body") == "snapshot"
     ]
     assert snapshots
     assert len(snapshots[0].machines) == MACHINES
-    assert len(snapshots[0].machines[0].tasks) == TASKS
+    assert len(snapshots[0].machines[0].tasks) == TASKS_PER_MACHINE
 
 
 def test_the_full_desired_state_of_the_fleet_is_relayed() -> None:
-    """One controller owns all jobs, the other all machines: too long for 2 s of a whole share."""
+    """The text takes longer than RELAY_INTERVAL_S to write, even with the whole write budget.
+
+    One controller owns all jobs and the other all machines.
+    """
     clock = Clock()
-    node = cut_off(clock, [2])
+    node = controller_without_links(clock, [2])
     machines = MachineShard(node.context, 1, 5, 77, 0.0)
     jobs = JobShard(node.context, 0, 3, 9)
-    full_fleet(machines, jobs, random.Random(1))
+    populate_fleet(machines, jobs, random.Random(1))
     assert (
-        write_seconds(node, pb.Envelope(desired_state=jobs.desired_state_message(1, 77)), SHARE)
+        write_seconds(
+            node, pb.Envelope(desired_state=jobs.desired_state_message(1, 77)), WRITE_SHARE_RPS
+        )
         > RELAY_INTERVAL_S
     )
     jobs.loaded = True
     node.membership.owners[1] = ShardOwner(2, 5, 77)
     node.writers[0] = RecordWriter(node.context, node.state, jobs, None)
-    client = play_relay(node, clock, 3 * RELAY_INTERVAL_S, SHARE)
+    client = run_relay(node, clock, 3 * RELAY_INTERVAL_S, WRITE_SHARE_RPS)
     desired_state = [
         e.desired_state
         for e in received_messages(client, 2)
         if e.WhichOneof("body") == "desired_state"
     ]
-    assert MACHINES * TASKS in [len(w.tasks) for w in desired_state]
+    assert MACHINES * TASKS_PER_MACHINE in [len(w.tasks) for w in desired_state]
 
 
 def test_relayed_texts_to_two_peers_are_independent() -> None:
-    """They shared a count of numbers: each peer's text was taken for newer than the other's."""
+    """Each peer's texts are numbered on their own.
+
+    With one shared counter, a text to one peer was taken for a newer version of the text to the
+    other.
+    """
     clock = Clock()
-    node = cut_off(clock, [1, 2])
+    node = controller_without_links(clock, [1, 2])
     noise = random.Random(5).randbytes(200_000).hex()[:120_000]
     node.machines[0] = machines = MachineShard(node.context, 0, 5, 77, 0.0)
     machines.full_snapshot = lambda valid: pb.Snapshot(shard=0, lost_machines=[noise])  # type: ignore[method-assign]
-    client = play_relay(node, clock, RELAY_INTERVAL_S, SHARE)
+    client = run_relay(node, clock, RELAY_INTERVAL_S, WRITE_SHARE_RPS)
     for peer in (1, 2):
         assert [e.snapshot.lost_machines[0] for e in received_messages(client, peer)[1:]] == [noise]
 
 
 def test_a_new_text_is_relayed_after_a_failed_one() -> None:
     clock = Clock()
-    node = cut_off(clock, [2])
+    node = controller_without_links(clock, [2])
     node.machines[0] = MachineShard(node.context, 0, 5, 77, 0.0)
     client = FakeStateClient(FakeStateService(random.Random(1)), 0.0)
     client.cut = True
@@ -227,7 +242,7 @@
     for _ in range(3):
         ((to, text),) = node.state_sync.relay_messages(clock.at, pb.Gossip)
         clock.at += RELAY_INTERVAL_S
-        # The last one is still being written.
+        # No new text starts while the last one is still being written.
         assert not node.state_sync.relay_messages(clock.at, pb.Gossip)
         curio.run(node.state_sync.write_relay, to, text)
 
@@ -237,13 +252,13 @@
     context = make_context(Clock())
     machines = MachineShard(context, 1, 5, 77, 0.0)
     jobs = JobShard(context, 0, 3, 9)
-    full_fleet(machines, jobs, random.Random(1))
+    populate_fleet(machines, jobs, random.Random(1))
     snapshot = pb.Envelope(snapshot=machines.full_snapshot(True))
     desired_state = pb.Envelope(desired_state=jobs.desired_state_message(1, 77))
     gossip = pb.Envelope(
         gossip=pb.Gossip(deleted_machines=[machine.name for machine in machines.machines.values()])
     )
-    assert len(desired_state.desired_state.tasks) == MACHINES * TASKS
+    assert len(desired_state.desired_state.tasks) == MACHINES * TASKS_PER_MACHINE
     sizes = [len(e.SerializeToString()) for e in (snapshot, desired_state, gossip)]
     texts = [len(encode_batch([e])) for e in (snapshot, desired_state, gossip)]
     for size, limit in zip(sizes, (5_700_000, 3_800_000, 53_000), strict=True):
@@ -252,8 +267,8 @@
         assert 0.9 * limit < size <= limit
 
 
-class Workers:
-    """Replies to calls of the workers' addresses, with a limit on open connections."""
+class FakeWorkers:
+    """Answers calls to the workers' addresses, with a limit on open connections."""
 
     def __init__(self, machines: MachineShard, limit: int) -> None:
         self.machines = machines
@@ -279,28 +294,34 @@
         return Reply(200, msgspec.json.encode(report), None)
 
 
-def fleet_to_call(stopping: bool) -> tuple[Controller, MachineShard, Workers]:
-    """A controller that owns all machines, each running a task; all tasks are to stop, or none."""
+def fleet_to_call(stopping: bool) -> tuple[Controller, MachineShard, FakeWorkers]:
+    """Return a controller that owns all machines, each running one task, and their workers.
+
+    With `stopping`, all tasks are to be stopped.
+    """
     node = Controller(make_context(Clock()))
     machines = MachineShard(node.context, 1, 5, 77, 0.0)
     jobs = JobShard(node.context, 0, 3, 9)
-    full_fleet(machines, jobs, random.Random(1), 1)
+    populate_fleet(machines, jobs, random.Random(1), 1)
     message = jobs.desired_state_message(1, 77)
     for item in message.tasks:
         item.stop = stopping
     machines.apply_desired_state(message)
     for machine in machines.machines.values():
-        # Reachable: it is called whenever there is a command for it.
+        # A reachable machine is called whenever there is a command for it.
         machine.unconfirmed_since = None
     node.machines[1] = machines
-    workers = Workers(machines, node.http.max_open)
+    workers = FakeWorkers(machines, node.http.max_open)
     node.http.call = workers.call  # type: ignore[method-assign]
     return node, machines, workers
 
 
 def test_commands_to_every_machine_wait_for_connections() -> None:
-    """A call without a free connection was taken for unanswered: after two of them a machine was
-    taken for unreachable and received its starts with its reports only."""
+    """Commands wait for a free connection and don't count as unanswered meanwhile.
+
+    A call without a free connection was taken for unanswered. After two of them the machine was
+    taken for unreachable, and received its starts only in the answers to its reports.
+    """
     node, machines, workers = fleet_to_call(stopping=True)
 
     async def call_all() -> None:
@@ -317,26 +338,32 @@
 
 
 def test_a_new_token_is_sent_to_every_machine_of_an_acquired_shard() -> None:
-    """All were called at once: those beyond the connections allowed were not called at all."""
+    """Calls are limited to `max_in_flight` at a time.
+
+    When all machines were called at once, those beyond the connection limit were never called.
+    """
     node, machines, workers = fleet_to_call(stopping=False)
     snapshots: dict[int, ShardSnapshot] = {}
     apply_snapshot_message(node.context, snapshots, machines.full_snapshot(True))
 
-    async def raise_all() -> None:
+    async def announce_all() -> None:
         await node.worker_caller.announce_token_to_workers(machines, snapshots[1])
         for _ in range(100):
             await curio.sleep(0.005)
             if len(workers.called) == MACHINES:
                 return
 
-    curio.run(raise_all)
+    curio.run(announce_all)
     assert len(workers.called) == MACHINES
     assert workers.peak <= node.worker_caller.max_in_flight
 
 
 def test_a_backlog_of_thousands_of_jobs_hides_no_guaranteed_work() -> None:
-    """Gossip had the 500 oldest jobs of any team: behind a backlog of a team without a guarantee,
-    another team's guaranteed work was taken for work beyond its guarantee."""
+    """Gossip lists guaranteed jobs, however many other jobs are older.
+
+    It listed the 500 oldest jobs of all teams. Behind the backlog of a team without a guarantee,
+    another team's guaranteed work was taken for work beyond its guarantee.
+    """
     node = Controller(make_context(Clock()))
     jobs = JobShard(node.context, 0, 3, 9)
     for number in range(MACHINES):
@@ -349,7 +376,7 @@
 
 
 def test_every_failing_machine_of_the_fleet_is_quarantined() -> None:
-    """Beyond 1,000 the oldest entry was dropped: each was retried and logged at every step."""
+    """With a limit of 1,000 entries the oldest were dropped, retried and logged at every step."""
     quarantine = Quarantine()
     for _ in range(2):
         for number in range(MACHINES):
@@ -358,15 +385,18 @@
 
 
 def test_deleted_machines_are_in_gossip_for_a_limited_time() -> None:
-    """A controller that had forgotten a machine learned of it again from one that had not: while
-    machines were being deleted, all that ever were stayed in all gossip."""
+    """Deleted machines are announced for ANNOUNCE_S only.
+
+    A controller that had forgotten a machine learned of it again from another that had not. While
+    machines were being deleted, all machines ever deleted stayed in the gossip of all controllers.
+    """
     clock = Clock()
     nodes = [Controller(make_context(clock, node=number)) for number in range(3)]
     published = []
     for second in range(MACHINES // 10):
         if second < MACHINES // 20:
             nodes[0].deleted_machines.record([f"vm-{second}-{i}" for i in range(20)])
-        for sender in (1, 2, 0):  # the deleting one sends its gossip last
+        for sender in (1, 2, 0):  # the controller that deletes machines gossips last
             clock.at += 0.3
             gossip = nodes[sender].build_gossip()
             published.append(len(gossip.deleted_machines))
@@ -374,5 +404,5 @@
                 curio.run(other.gossip.apply, sender, gossip)
         clock.at += 0.1
     assert max(published) <= 20 * (ANNOUNCE_S + 2)
-    assert published[-3:] == [0, 0, 0]  # the last one was deleted 200 s ago
+    assert published[-3:] == [0, 0, 0]  # the last machine was deleted 200 s ago
     assert f"vm-{MACHINES // 20 - 1}-0" in nodes[2].deleted_machines
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -1,4 +1,4 @@
-"""Input from outside is handled by every loop or refused at once, and stops no other work."""
+"""Invalid or extreme input from outside is refused or handled, and stops no other work."""
 
 import contextlib
 import random
@@ -29,29 +29,29 @@
     ReferenceModel,
 )
 
-VALUE_BYTES, TXN_BYTES = 16 * 1024, 64 * 1024
+MAX_VALUE_BYTES, MAX_TXN_BYTES = 16 * 1024, 64 * 1024
 GOOD = "j-000001"
 
 
 class StrictClient(FakeStateClient):
-    """Holds callers to the state service's limits."""
+    """Checks that every transaction keeps to the state service's limits."""
 
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
         body = api.Transaction([api.Condition(k, v) for k, v in conditions.items()], changes)
-        assert len(msgspec.json.encode(body)) <= TXN_BYTES
+        assert len(msgspec.json.encode(body)) <= MAX_TXN_BYTES
         assert len(changes) <= 12
         for change in changes:
             key = change.put or change.delete or ""
             assert 0 < len(key.encode()) <= 200
             assert not any(c.isspace() for c in key)
-            assert len(msgspec.json.encode(change.value)) <= VALUE_BYTES
+            assert len(msgspec.json.encode(change.value)) <= MAX_VALUE_BYTES
         return await super().transact(conditions, changes, urgent)
 
 
 class WorkerModel(ReferenceModel):
-    """The part of the reference model that a worker needs."""
+    """A reference model with only what FakeWorker calls."""
 
     def __init__(self) -> None:
         self.finished = set()
@@ -64,7 +64,7 @@
 
 
 class SingleControllerCluster:
-    """One controller, its state service and three machines; it may be restarted."""
+    """One controller with a state service and three machines. `start` also restarts it."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -89,14 +89,14 @@
         ) -> Reply:
             orders = msgspec.json.decode(body or b"", type=api.Commands)
             status, report = self.workers[address].handle_commands(orders)
-            return Reply(status, self.body(address, report), None)
+            return Reply(status, self.encode_report(address, report), None)
 
         node.http.call = call  # type: ignore[method-assign]
         for _ in range(3):
-            await curio.sleep(0)  # the shard is loaded
-        await node.reconcile()  # heartbeats wait for its first desired state
+            await curio.sleep(0)  # let the shard load
+        await node.reconcile()  # heartbeats wait for the first desired state
 
-    def body(self, address: str, report: api.Report) -> bytes:
+    def encode_report(self, address: str, report: api.Report) -> bytes:
         return msgspec.json.encode(msgspec.structs.replace(report, addr=address, type="big"))
 
     async def ask(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
@@ -113,7 +113,7 @@
         assert (await self.ask("GET", f"{api.JOBS}/{GOOD}"))[1]["status"] == api.DONE
 
     async def run_rounds(self, times: int) -> None:
-        """Run every loop of the controller, and the machines' work."""
+        """Run every loop of the controller and the work of the machines, `times` times."""
         node = self.node
         for _ in range(times):
             self.clock.at += 0.3
@@ -122,7 +122,7 @@
                 worker.expire(self.clock.at)
                 sent_at, session = self.clock.at, worker.session
                 status, reply = await self.ask(
-                    "POST", api.REPORT, self.body(address, worker.report())
+                    "POST", api.REPORT, self.encode_report(address, worker.report())
                 )
                 assert status == 200, reply
                 worker.handle_reply(msgspec.convert(reply, api.ReportReply), session, sent_at)
@@ -203,8 +203,11 @@
     ],
 )
 def test_a_record_older_than_the_bounds_stops_nothing_else(fields: dict[str, Any]) -> None:
-    """One such job ended renting, planning, or all writing of its shard, at every controller,
-    and again after each restart; now it is quarantined at worst, and its user is told so."""
+    """A stored job that today's validation would refuse is at worst quarantined.
+
+    One such job stopped rentals, planning, or all writes of its shard at every controller, and
+    again after each restart. The user of a quarantined job is told so.
+    """
 
     async def drive() -> None:
         cluster = SingleControllerCluster()
@@ -216,7 +219,7 @@
         status, job_status = await cluster.ask("GET", f"{api.JOBS}/j-7")
         assert status == 200
         assert ("fault" in job_status) == bool(cluster.node.context.quarantine.reason("job", "j-7"))
-        # The same submission once more is not refused: it was accepted.
+        # The same submission is not refused when repeated, since the job was accepted before.
         assert await cluster.submit(uid="j-7", **fields) == 200
 
     curio.run(drive)
@@ -233,7 +236,7 @@
         await cluster.start()
         await cluster.check_serves()
         assert (await cluster.ask("GET", f"{api.JOBS}/j-7"))[0] == 503
-        # What runs of a job is not known when a part of it can't be read: it starts nothing.
+        # With an unreadable chunk it is unknown which tasks of the job run, so none is started.
         assert all("j-8/" not in name for w in cluster.workers.values() for name in w.completed)
         found = {name for _, name in cluster.node.context.quarantine.entries}
         assert found == {records.job_key(0, "j-7"), records.chunk_key(0, "j-8", 1), "j-7"}
@@ -323,7 +326,7 @@
         await cluster.start()
         if message.HasField("desired_state"):
             message.desired_state.to_epoch = cluster.node.machines[0].epoch
-        with contextlib.suppress(LookupError, ValueError):  # its link ends: `Peers.serve`
+        with contextlib.suppress(LookupError, ValueError):  # `Peers.serve` closes the link
             await cluster.node.on_message(message)
         await cluster.check_serves()
 
