--- a/starlingdeck/autoscaling/autoscaler.py
+++ b/starlingdeck/autoscaling/autoscaler.py
@@ -21,7 +21,7 @@
 INITIAL_BACKOFF_S = 2.0  # of a kind of machine without capacity, before the first increase
 BACKOFF_FACTOR = 1.5
 MIN_RETRY_S = 4.0
-RETRY_SHARE_DIVISOR = 3.0  # at the longest wait, retries take a third of the requests
+RETRY_SHARE_DIVISOR = 3.0  # at the longest wait, retries of all kinds take 1/3 of the requests
 
 
 class Autoscaler:
--- a/starlingdeck/interning.py
+++ b/starlingdeck/interning.py
@@ -2,7 +2,7 @@
 
 
 class InternTable:
-    """Assigns each name an integer id, counting from 0. Ids are never reused or removed."""
+    """Assigns each name an integer id, counting from 0, and keeps it until the process ends."""
 
     def __init__(self) -> None:
         self.ids: dict[str, int] = {}
--- a/starlingdeck/storage/records.py
+++ b/starlingdeck/storage/records.py
@@ -47,7 +47,7 @@
     number: int  # the commit's number under this token
 
 
-LOG_START = Position(0, 0)  # before every commit; of chunks to which no commit was applied
+LOG_START = Position(0, 0)  # before every commit; also of a chunk to which none was applied
 
 
 class PlacementRecord(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
