--- a/starlingdeck/admission/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -157,7 +157,7 @@
     def on_key_changed(self, key: str, value: msgspec.Raw, version: int) -> None:
         """Record a team's shares from its key's value. Raises msgspec.DecodeError if invalid."""
         shares = msgspec.json.decode(value, type=list[ResourceAmount])
-        self.quota.record_shares(int(key[len(records.QUOTA) :]), shares, version)
+        self.quota.record_shares(int(key[len(records.QUOTA_PREFIX) :]), shares, version)
 
     async def _reread_quota(self, key: str) -> None:
         """Read a team's shares again, and retry until that succeeds."""
--- a/starlingdeck/counts/plugin.py
+++ b/starlingdeck/counts/plugin.py
@@ -40,7 +40,7 @@
 class CountedResourcePlugin:
     """The `DurablePlugin` that limits tasks by counted resources on this controller."""
 
-    prefix = records.COUNTS
+    prefix = records.COUNT_PREFIX
     path = api.COUNTS
 
     def __init__(
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -223,7 +223,7 @@
     """A controller left alone had the work of three, but only a third of the request budget."""
     budget = RequestBudget(200.0, 60.0, 3, Clock().now)
     budget.share_among(1)
-    assert budget.reads.rate == 180.0
+    assert budget.requests.rate == 180.0
     assert budget.writes.rate == 54.0
     budget.share_among(3)
     assert budget.writes.rate == 18.0
