--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -21,7 +21,7 @@
 
 from standins.scale import report as reports  # noqa: E402 -- needs the path above
 from standins.scale.plan import Plan, Rung, load_plan  # noqa: E402 -- needs the path above
-from standins.scale.run import PortsTakenError, play_rung  # noqa: E402 -- needs the path above
+from standins.scale.run import PortsTakenError, run_rung  # noqa: E402 -- needs the path above
 from starlingdeck.protocol.config import ConfigError  # noqa: E402 -- needs the path above
 
 
@@ -79,7 +79,7 @@
 def play_rung_or_exit(scale_plan: Plan, rung: Rung, folder: Path | None) -> reports.Row:
     """The row of a rung; exits with 2 if a port is in use, with 1 if a process failed."""
     try:
-        return play_rung(scale_plan, rung, folder, print_line)
+        return run_rung(scale_plan, rung, folder, print_line)
     except PortsTakenError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -121,7 +121,7 @@
             )
 
 
-def play_rung(plan: Plan, rung: Rung, keep: Path | None, print_line: Callable[[str], None]) -> Row:
+def run_rung(plan: Plan, rung: Rung, keep: Path | None, print_line: Callable[[str], None]) -> Row:
     """Runs one rung in a temporary folder, or in `keep`; raises PortsTakenError."""
     with TemporaryDirectory() as scratch:
         folder = keep or Path(scratch)
