--- a/standins/scale/__init__.py
+++ b/standins/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Runs real controllers against simulated workers, checks the rules and measures."""
+"""Runs real controllers against simulated workers, checks the protocol's rules and measures."""
--- a/standins/scale/checker.py
+++ b/standins/scale/checker.py
@@ -8,19 +8,20 @@
 from standins import workload
 from standins.events import EventKind
 
-EVENT_DELAY_S = 1.0  # events of different processes arrive out of order: they are sorted first
-EPSILON = 1e-6
+# Events of different processes arrive out of order: they are held for this long and sorted by time.
+EVENT_DELAY_S = 1.0
+EPSILON = 1e-6  # excess over a limit up to this is a rounding error
 
 
 class Event(NamedTuple):
-    """An event in the order of its time, then of its arrival."""
+    """An event; events are ordered by their time, then by their arrival."""
 
     at: float
     sequence: int
     kind: EventKind
-    task: str  # the job where it was reported done
+    task: str  # for JOB_REPORTED_DONE: the job
     machine: str = ""
-    task_count: int = 0  # of a job that was reported done
+    task_count: int = 0  # for JOB_REPORTED_DONE: the number of the job's tasks
 
 
 @dataclass
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A broken rule: when, which, by which task, and details."""
+    """A broken rule; `task` names the task that broke it, or the job that a user asked about."""
 
     at: float
     rule: str
@@ -46,30 +47,34 @@
 
 @dataclass
 class Checker:
-    """Follows every task; times are seconds of the monotonic clock that all processes share."""
+    """Tracks every task and records violations of the protocol's rules.
+
+    Times are seconds of the monotonic clock, which all processes on the machine share.
+    """
 
     cancel_s: float
     team_cpus_max: float
     running: dict[str, RunningTask] = field(default_factory=dict)
     tasks_by_machine: defaultdict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
+    # The running tasks of each team; each task uses one CPU.
     used_by_team: defaultdict[int, int] = field(default_factory=lambda: defaultdict(int))
     finished: set[str] = field(default_factory=set)
     first_start: dict[str, float] = field(default_factory=dict)
     violations: list[Violation] = field(default_factory=list)
     late_starts: list[str] = field(default_factory=list)  # starts after a confirmed cancellation
     cancelled: dict[str, float] = field(default_factory=dict)  # job -> time of the confirmation
-    # When no task of a cancelled job may run any more, and the job; a heap.
+    # A heap of (time, job): none of the cancelled job's tasks may run after that time.
     cancel_deadlines: list[tuple[float, str]] = field(default_factory=list)
     starts: int = 0
-    out_of_order: int = 0
+    out_of_order: int = 0  # events that arrived after their time had been evaluated
     pending_events: list[Event] = field(default_factory=list)
     event_sequence: int = 0
-    evaluated_until: float = 0.0  # up to when all events were evaluated
+    evaluated_until: float = 0.0  # events up to this time have been evaluated
 
     # --- events
 
     def receive_event(self, line: str) -> None:
-        """Queues an event line of a worker host: seconds, kind, task, machine."""
+        """Queues an event line of a worker host: time in seconds, kind, task, machine."""
         at, kind, task, machine = line.split()
         self.event_sequence += 1
         self.out_of_order += float(at) < self.evaluated_until
@@ -85,7 +90,7 @@
     def report_done(self, job: str, tasks: int, at: float) -> None:
         """Queues the event that a job was reported done to its user.
 
-        It is evaluated in order of time, as workers' events arrive a little later.
+        It is evaluated in order of time, since workers' earlier events may still be on their way.
         """
         self.event_sequence += 1
         kind = EventKind.JOB_REPORTED_DONE
@@ -104,7 +109,7 @@
         self.evaluated_until = max(self.evaluated_until, up_to)
 
     def evaluate_event(self, event: Event) -> None:
-        """Applies one event and checks the rules that it may break."""
+        """Applies one event and checks the rules that it can break."""
         if event.kind == EventKind.STARTED:
             self.task_started(event.at, event.task, event.machine)
         elif event.kind == EventKind.JOB_REPORTED_DONE:
@@ -134,7 +139,10 @@
             self.used_by_team[team] += 1
             if self.used_by_team[team] > self.team_cpus_max + EPSILON:
                 self.record_violation(
-                    at, "quota", task, f"team {team} uses {self.used_by_team[team]} on {machine}"
+                    at,
+                    "quota",
+                    task,
+                    f"team {team} uses {self.used_by_team[team]} CPUs, last start on {machine}",
                 )
         self.running[task] = RunningTask(machine, at)
         self.tasks_by_machine[machine].add(task)
@@ -154,7 +162,7 @@
             self.used_by_team[workload.parse_job_id(task.split("/", maxsplit=1)[0]).team] -= 1
 
     def check_done(self, at: float, job: str, tasks: int) -> None:
-        """Checks that all tasks of a job that was reported done have completed."""
+        """Checks that all tasks of a job that was reported done had completed (rule not_done)."""
         missing = [i for i in range(tasks) if f"{job}/{i}" not in self.finished]
         if missing:
             self.record_violation(
@@ -162,7 +170,7 @@
             )
 
     def check_cancelled(self, now: float) -> None:
-        """Checks that no task runs of a cancelled job whose deadline is over."""
+        """Checks that no task of a cancelled job runs past its deadline (rule ran_cancelled)."""
         while self.cancel_deadlines and self.cancel_deadlines[0][0] < now:
             at, job = heapq.heappop(self.cancel_deadlines)
             for task, running in self.running.items():
--- a/standins/scale/faults.py
+++ b/standins/scale/faults.py
@@ -15,14 +15,14 @@
 from standins.scale.site import Site
 
 SAMPLE_INTERVAL_S = 0.25
-BASELINE_S = 10.0  # over which the running tasks before a fault are averaged
-RECOVERED_SHARE = 0.95  # share of the former running tasks that counts as recovered
-START_GAP_WINDOW_S = 20.0  # after a fault: where the longest gap between starts is measured
+BASELINE_S = 10.0  # the running tasks before a fault are averaged over this time
+RECOVERED_SHARE = 0.95  # a site has recovered once this share of the former tasks runs again
+START_GAP_WINDOW_S = 20.0  # time after a fault in which the longest gap between starts is measured
 
 
 @dataclass
 class Sample:
-    """The counts of running and started tasks at one moment."""
+    """The number of running tasks, and of starts so far, at one moment."""
 
     at: float
     running: int
@@ -33,7 +33,9 @@
 class Recovery:
     """The recovery from one fault.
 
-    `again_s`: seconds until 95% of the former number of tasks run; None: not within the run.
+    `running_before`: mean over the 10 s before the fault; `running_least`: minimum after it.
+    `again_s`: seconds until 95% of the former number of tasks run again; 0: the number never fell
+    below that; None: not before the next fault or the end of the run.
     `gap_s`: the longest time without a start in the 20 s after the fault.
     """
 
@@ -46,7 +48,7 @@
 
 
 class InjectedFault(NamedTuple):
-    """A fault and when it was injected, in seconds of the steady clock."""
+    """A fault and when it was injected, in seconds of the monotonic clock."""
 
     fault: Fault
     at: float
@@ -68,7 +70,7 @@
         }
 
     async def sample_loop(self) -> None:
-        """Samples the running tasks every SAMPLE_S seconds."""
+        """Samples the running tasks every SAMPLE_INTERVAL_S seconds."""
         while True:
             now = time.monotonic()
             self.samples.append(Sample(now, len(self.checker.running), self.checker.starts))
@@ -81,73 +83,77 @@
         await self.actions[fault.kind](fault)
 
     async def kill_controller(self, fault: Fault) -> None:
-        """Kills a controller and starts it again after `for_s` seconds."""
+        """Kills a random controller and starts it again after `for_s` seconds."""
         number = self.rng.randrange(self.site.rung.controllers)
         self.site.kill_controller(number)
         await curio.sleep(fault.for_s)
         self.site.start_controller(number)
 
     async def kill_rack(self, fault: Fault) -> None:
-        """Kills `count` machines with consecutive names at once."""
+        """Kills the first `count` machines by name, one request after the other without a pause."""
         for number in range(fault.count):
             body = msgspec.json.encode({"host": f"vm-{number + 1:06d}"})
             await self.site.request(self.site.cloud, "POST", "/kill", body)
 
     async def restart_workers(self, fault: Fault) -> None:
-        """Restarts workers at random, at a rate, until the end of the run."""
+        """Restarts random workers, `rate` a second on average, until the end of the run."""
         while True:
             await curio.sleep(self.rng.expovariate(fault.rate))
             name = f"vm-{self.rng.randrange(self.site.rung.workers) + 1:06d}"
             await self.request_all_hosts("/restart", [name])
 
     async def interrupt_state_service(self, fault: Fault) -> None:
-        """Starts an outage of the state service."""
+        """Starts an outage of the state service that lasts `for_s` seconds."""
         body = msgspec.json.encode({"seconds": fault.for_s})
         await self.site.request(self.site.state, "POST", "/out", body)
 
     async def request_all_hosts(self, path: str, names: list[str]) -> None:
-        """Sends machine names to every worker host."""
+        """Posts machine names to every worker host; a host ignores the names of other machines."""
         body = msgspec.json.encode(names)
         for address in self.site.hosts:
             await self.site.request(address, "POST", path, body)
 
-    def recoveries(self, origin: float) -> list[Recovery]:
-        """The recovery from each fault but restarts; `origin`: start of the run."""
+    def recoveries(self, run_started_at: float) -> list[Recovery]:
+        """Returns the recovery from each fault except restarts; samples end at the next fault."""
         faults = [injected for injected in self.injected if injected.fault.kind != "restarts"]
         fault_times = [injected.at for injected in faults]
         found = []
         for fault, at in faults:
             until = min((later for later in fault_times if later > at), default=float("inf"))
             samples = [sample for sample in self.samples if sample.at < until]
-            found.append(measure_recovery(fault, at, origin, samples))
+            found.append(measure_recovery(fault, at, run_started_at, samples))
         return found
 
 
-def measure_recovery(fault: Fault, at: float, origin: float, samples: list[Sample]) -> Recovery:
-    """The recovery from one fault, from samples of running tasks."""
+def measure_recovery(
+    fault: Fault, at: float, run_started_at: float, samples: list[Sample]
+) -> Recovery:
+    """Returns the recovery from one fault, injected at `at`, from samples of running tasks."""
     before = [s.running for s in samples if at - BASELINE_S <= s.at < at]
     after = [s for s in samples if s.at >= at]
-    level = sum(before) / len(before) if before else 0.0
+    baseline = sum(before) / len(before) if before else 0.0
     least = min((s.running for s in after), default=0)
-    fell = next((i for i, s in enumerate(after) if s.running < RECOVERED_SHARE * level), None)
-    again: float | None = 0.0
-    if fell is not None:
-        again = next(
-            (s.at - at for s in after[fell:] if s.running >= RECOVERED_SHARE * level), None
+    first_drop = next(
+        (i for i, s in enumerate(after) if s.running < RECOVERED_SHARE * baseline), None
+    )
+    recovered_after_s: float | None = 0.0
+    if first_drop is not None:
+        recovered_after_s = next(
+            (s.at - at for s in after[first_drop:] if s.running >= RECOVERED_SHARE * baseline), None
         )
     gap_s = longest_gap(after, at + START_GAP_WINDOW_S)
     return Recovery(
         kind=fault.kind,
-        at_s=round(at - origin, 1),
-        running_before=round(level),
+        at_s=round(at - run_started_at, 1),
+        running_before=round(baseline),
         running_least=least,
-        again_s=None if again is None else round(again, 2),
+        again_s=None if recovered_after_s is None else round(recovered_after_s, 2),
         gap_s=round(gap_s, 2),
     )
 
 
 def longest_gap(samples: list[Sample], until: float) -> float:
-    """The longest time up to `until` without a task start, in seconds."""
+    """Returns the longest time without a task start, in seconds, from samples up to `until`."""
     longest, gap_started_at = 0.0, None
     for earlier, later in itertools.pairwise(samples):
         if later.at > until:
