--- a/standins/scale/measure.py
+++ b/standins/scale/measure.py
@@ -9,12 +9,16 @@
 
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-CPU_FIELDS = slice(11, 13)  # user and system time, after the process's name
+CPU_FIELDS = slice(11, 13)  # utime and stime in /proc/PID/stat, counted after the process's name
 
 
 @dataclass(frozen=True)
 class Usage:
-    """One process: seconds of processor time since its start, memory in bytes, descriptors."""
+    """The resource use of one process.
+
+    `cpu_s`: processor time since its start; `memory`: resident bytes; `descriptors`: open files and
+    sockets.
+    """
 
     cpu_s: float
     memory: int
@@ -22,7 +26,7 @@
 
 
 def process_usage(pid: int) -> Usage | None:
-    """The resource use of a process; None when it has ended."""
+    """Returns the resource use of a process; None when it has ended."""
     folder = Path(f"/proc/{pid}")
     try:
         fields = (folder / "stat").read_text().rpartition(")")[2].split()
@@ -45,7 +49,7 @@
 
 
 def port_traffic(ports: set[int]) -> dict[int, Traffic] | None:
-    """Traffic by listening port; None without `ss`. Closed connections don't count."""
+    """Returns the traffic by listening port, without closed connections; None without `ss`."""
     program = shutil.which("ss")
     if program is None:
         return None
--- a/standins/scale/measurement.py
+++ b/standins/scale/measurement.py
@@ -1,4 +1,4 @@
-"""Measures a rung: the difference of all counters between its warm-up and its end."""
+"""Measures a rung: the increase of its counters from the end of the warm-up to the end."""
 
 import time
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 @dataclass
 class CounterSnapshot:
-    """All counters at one moment; `cpu` in seconds by process."""
+    """All counters at one moment; `cpu`: seconds of processor time by process name."""
 
     at: float
     cpu: dict[str, float]
@@ -31,7 +31,7 @@
 
 
 class RungMeasurement:
-    """Reads the counters of a rung's processes and parts."""
+    """Reads the counters of a rung's processes, users and checker."""
 
     def __init__(
         self,
@@ -63,21 +63,23 @@
         )
 
     def row(self, first: CounterSnapshot, last: CounterSnapshot, run_started_at: float) -> Row:
-        """The rung's figures between two snapshots."""
+        """Returns the rung's figures between two snapshots."""
         seconds = last.at - first.at
         workers = self.site.rung.workers
 
         def cores(name: str) -> float:
             return round((last.cpu[name] - first.cpu.get(name, 0.0)) / seconds, 4)
 
-        def hosts(counter: Callable[[HostStats], int]) -> float:
+        def hosts_increase(counter: Callable[[HostStats], int]) -> float:
             return float(sum(map(counter, last.hosts)) - sum(map(counter, first.hosts)))
 
-        def state(counter: Callable[[StateStats], int]) -> float:
+        def state_rate(counter: Callable[[StateStats], int]) -> float:
             return float(counter(last.state) - counter(first.state)) / seconds
 
-        numbers = range(self.site.rung.controllers)
-        usages = [usage for i in numbers if (usage := self.site.usage(f"n-{i}")) is not None]
+        controller_numbers = range(self.site.rung.controllers)
+        usages = [
+            usage for i in controller_numbers if (usage := self.site.usage(f"n-{i}")) is not None
+        ]
         row = Row(
             name=self.site.rung.name,
             workers=workers,
@@ -85,20 +87,20 @@
             asked_starts=self.site.plan.requested_starts_per_s(self.site.rung),
             seconds=round(seconds, 2),
             starts=(last.starts - first.starts) / seconds,
-            reports=hosts(lambda stats: stats.reports) / seconds,
+            reports=hosts_increase(lambda stats: stats.reports) / seconds,
             submissions=(last.submissions - first.submissions) / seconds,
             polls=(last.polls - first.polls) / seconds,
             running=len(self.checker.running),
-            controller_cores=[cores(f"n-{i}") for i in numbers],
+            controller_cores=[cores(f"n-{i}") for i in controller_numbers],
             controller_mb=max((usage.memory for usage in usages), default=0) / 2**20,
             controller_descriptors=max((usage.descriptors for usage in usages), default=0),
             state_cores=cores("state"),
             host_cores=[cores(f"host-{i}") for i in range(len(self.site.hosts))],
             users_cores=cores("users"),
-            state_requests=state(lambda stats: stats.requests),
-            state_changes=state(lambda stats: stats.changes),
-            state_bytes=state(lambda stats: stats.bytes),
-            state_read_bytes=state(lambda stats: stats.read_bytes),
+            state_requests=state_rate(lambda stats: stats.requests),
+            state_changes=state_rate(lambda stats: stats.changes),
+            state_bytes=state_rate(lambda stats: stats.bytes),
+            state_read_bytes=state_rate(lambda stats: stats.read_bytes),
             state_keys=last.state.keys,
             state_puts={
                 kind: count - first.state.put.get(kind, 0) for kind, count in last.state.put.items()
@@ -106,18 +108,20 @@
             over_rate=last.state.over_rate - first.state.over_rate,
             malformed=last.state.malformed,
             report_bytes=(
-                hosts(lambda stats: stats.report_bytes) + hosts(lambda stats: stats.reply_bytes)
+                hosts_increase(lambda stats: stats.report_bytes)
+                + hosts_increase(lambda stats: stats.reply_bytes)
             )
             / seconds
             / workers,
-            command_bytes=hosts(lambda stats: stats.command_bytes) / seconds / workers,
+            command_bytes=hosts_increase(lambda stats: stats.command_bytes) / seconds / workers,
             worker_bytes=self.bytes_at(self.site.public, first, last, workers),
             between_bytes=self.bytes_at(self.site.cluster, first, last, 1),
-            unanswered_reports=hosts(lambda stats: stats.unanswered) / seconds,
+            unanswered_reports=hosts_increase(lambda stats: stats.unanswered) / seconds,
             submit_p95_s=percentile(self.users.accept_latencies, 0.95),
             waits=self.waits(run_started_at + self.site.plan.warmup_s / 2),
-            late_ticks=hosts(lambda stats: stats.late_ticks)
-            / max(1.0, hosts(lambda stats: stats.ticks)),
+            late_ticks=hosts_increase(lambda stats: stats.late_ticks)
+            / max(1.0, hosts_increase(lambda stats: stats.ticks)),
+            # RungRunner.finish sets late_starts, unanswered_jobs and broken.
             late_starts=0,
             out_of_order=self.checker.out_of_order,
             unanswered_jobs=[],
@@ -129,9 +133,12 @@
         return row
 
     def bytes_at(
-        self, addresses: list[str], first: CounterSnapshot, last: CounterSnapshot, share: int
+        self, addresses: list[str], first: CounterSnapshot, last: CounterSnapshot, divisor: int
     ) -> float | None:
-        """Bytes a second at ports, divided by `share`; without connections closed meanwhile."""
+        """Returns the bytes a second at addresses, divided by `divisor`; None without `ss`.
+
+        It is too low when connections close between the snapshots: their bytes no longer count.
+        """
         if first.traffic is None or last.traffic is None:
             return None
         total = 0
@@ -139,12 +146,13 @@
             port = split_address(address)[1]
             before, after = first.traffic[port], last.traffic[port]
             total += max(0, after.received - before.received) + max(0, after.sent - before.sent)
-        return total / (last.at - first.at) / share
+        return total / (last.at - first.at) / divisor
 
     def waits(self, since: float) -> dict[str, Waits]:
-        """Seconds from acceptance to first start by rank, of jobs accepted since then.
+        """Returns figures of the tasks' waits by rank: seconds from acceptance to first start.
 
-        A task that has not started counts once it has waited for SUBMIT_TIMEOUT_S seconds.
+        Only jobs accepted since `since` and without a cancellation count. A task that has not
+        started counts once it has waited for more than SUBMIT_TIMEOUT_S seconds.
         """
         found: dict[str, list[float]] = {}
         now = time.monotonic()
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -15,33 +15,33 @@
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
 PositiveCount = Annotated[int, Meta(ge=1, le=100_000)]
 
-# Memory (MB) and sockets of a process, measured on loopback: to refuse plans, not for reports.
+# Memory (MB) and sockets of the processes, measured on loopback. They serve only to refuse plans
+# that this machine can't run; reports have measured values.
 CONTROLLER_MB = 45.0
-CONTROLLER_WORKER_MB = 0.06  # for each worker, at each controller
+CONTROLLER_MB_PER_WORKER = 0.06  # at each controller
 HOST_MB = 35.0
-HOST_WORKER_MB = 0.12
+HOST_MB_PER_WORKER = 0.12
 OTHER_PROCESSES_MB = 250.0  # state service, cloud, users and checker
-HOST_WORKER_SOCKETS = (
-    4  # of a worker: it listens, sends heartbeats, and is called by two controllers
-)
-CONTROLLER_WORKER_SOCKETS = 3
+# A worker listens, sends heartbeats, and accepts connections of two controllers.
+HOST_SOCKETS_PER_WORKER = 4
+CONTROLLER_SOCKETS_PER_WORKER = 3
 SOCKET_HEADROOM = 300
 MAX_PROCESSES = 300
 MAX_MEMORY_SHARE = 0.5  # of the machine's memory
 
 
 class UserSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `users`: the jobs that are submitted. Shares are of all jobs."""
+    """Section `users`: the jobs that are submitted."""
 
     teams: PositiveCount = 340
     team_cpus_max: NonNegativeRate = 400.0
-    array_tasks: PositiveCount = 40  # mean of an array
-    run_s: Seconds = 10.0  # mean of a task
-    one_task: Share = 0.15  # of the starts are jobs of one task
-    urgent: Share = 0.2  # of the jobs
-    services: Annotated[int, Meta(ge=0, le=10_000)] = 6  # of two replicas, submitted at the start
-    cancelled: Share = 0.03
-    repeated: Share = 0.05  # submissions that are sent twice
+    array_tasks: PositiveCount = 40  # mean number of tasks of an array job
+    run_s: Seconds = 10.0  # mean run time of a task
+    one_task: Share = 0.15  # share of the task starts that belong to jobs of one task
+    urgent: Share = 0.2  # of all jobs except services
+    services: Annotated[int, Meta(ge=0, le=10_000)] = 6  # two replicas each; submitted at the start
+    cancelled: Share = 0.03  # of all jobs except services
+    repeated: Share = 0.05  # of all jobs: submitted a second time once accepted
     poll_s: Seconds = 5.0
 
 
@@ -56,14 +56,14 @@
     report_s: Seconds = 2.5
     lease_s: Seconds = 15.0
     cancel_s: Seconds = 40.0
-    max_connections: Annotated[int, Meta(ge=0, le=100_000)] = 0  # 0: as many as workers may open
+    max_connections: Annotated[int, Meta(ge=0, le=100_000)] = 0  # 0: enough for all workers
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One fault to inject: an entry of the file's `troubles`.
 
-    `count`: workers of a rack or a zone; `for_s`: length of an outage, or until a killed
-    controller is started again.
+    `count`: workers that a rack fault kills; `for_s`: length of an outage of the state service, or
+    time until a killed controller is started again.
     """
 
     at_s: Annotated[float, Meta(ge=0)]
@@ -77,7 +77,7 @@
 
 
 class Rung(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One entry of `rungs`: one load, run and measured with processes of its own."""
+    """One entry of `rungs`: a load that is run and measured with processes of its own."""
 
     workers: PositiveCount
     controllers: Annotated[int, Meta(ge=1, le=32)] = 3
@@ -89,20 +89,20 @@
     """A whole plan file."""
 
     rungs: list[Rung]
-    seconds: Seconds = 45.0  # of a rung, its warm-up included
+    seconds: Seconds = 45.0  # length of a rung, its warm-up included
     warmup_s: Annotated[float, Meta(ge=0, le=3600)] = 12.0
     slots: PositiveCount = 4  # processors of a worker; a task takes one
     per_process: PositiveCount = 1200  # simulated workers in one host process
     seed: int = 1
     port: Annotated[int, Meta(ge=1024, le=60_000)] = 24_000
     tuning: str = ""  # the controllers' tuning file
-    broken: bool = False  # one worker host breaks a rule: the run must end with exit status 1
+    broken: bool = False  # one worker host breaks a rule; the run must end with exit status 1
     users: UserSettings = UserSettings()
     limits: ServiceLimits = ServiceLimits()
     faults: list[Fault] = msgspec.field(name="troubles", default=[])
 
     def requested_starts_per_s(self, rung: Rung) -> float:
-        """Task starts a second that a rung's users request."""
+        """Returns how many task starts a second a rung's users request."""
         return rung.starts_per_s or 0.75 * self.slots * rung.workers / self.users.run_s
 
 
@@ -113,7 +113,7 @@
 
 
 def load_plan(path: Path | None) -> Plan:
-    """The plan of a file, or the default plan; raises ConfigError with every error."""
+    """Returns the plan in a file, or the default plan; raises ConfigError with all errors found."""
     if path is None:
         return DEFAULT_PLAN
     try:
@@ -136,7 +136,7 @@
 
 
 def plan_errors(plan: Plan, memory: float, socket_limit: int) -> list[str]:
-    """Contradictions in a plan, and what it needs beyond this machine's limits."""
+    """Returns a plan's contradictions and its needs beyond `memory` (MB) and `socket_limit`."""
     lines = []
     if not plan.rungs:
         lines.append("rungs: at least one")
@@ -156,23 +156,25 @@
 
 
 def rung_errors(plan: Plan, rung: Rung, memory: float, socket_limit: int) -> list[str]:
-    """What one rung needs beyond this machine's limits."""
+    """Returns what one rung needs beyond this machine's limits, one error for each limit."""
     lines = []
     needed_mb = estimated_memory_mb(plan, rung)
     if needed_mb > memory * MAX_MEMORY_SHARE:
-        lines.append(f"about {needed_mb:.0f} MB, over half of {memory:.0f} MB")
-    per_host = min(rung.workers, plan.per_process) * HOST_WORKER_SOCKETS + SOCKET_HEADROOM
-    per_controller = CONTROLLER_WORKER_SOCKETS * rung.workers + SOCKET_HEADROOM
+        lines.append(f"about {needed_mb:.0f} MB, over half of the memory ({memory:.0f} MB)")
+    per_host = min(rung.workers, plan.per_process) * HOST_SOCKETS_PER_WORKER + SOCKET_HEADROOM
+    per_controller = CONTROLLER_SOCKETS_PER_WORKER * rung.workers + SOCKET_HEADROOM
     needed_sockets = max(per_host, per_controller)
     if needed_sockets > socket_limit:
-        lines.append(f"about {needed_sockets} sockets in a process, over {socket_limit}")
+        lines.append(
+            f"about {needed_sockets} sockets in a process, over the limit of {socket_limit}"
+        )
     if process_count(plan, rung) > MAX_PROCESSES:
-        lines.append(f"{process_count(plan, rung)} processes, over {MAX_PROCESSES}")
+        lines.append(f"{process_count(plan, rung)} processes, over the limit of {MAX_PROCESSES}")
     return lines
 
 
 def tuning_errors(plan: Plan) -> list[str]:
-    """The errors of the controllers' tuning file."""
+    """Returns the errors in the controllers' tuning file; none if the plan names no such file."""
     if not plan.tuning:
         return []
     try:
@@ -183,24 +185,24 @@
 
 
 def worker_host_count(plan: Plan, rung: Rung) -> int:
-    """The number of worker host processes."""
+    """Returns the number of worker host processes."""
     return -(-rung.workers // plan.per_process)
 
 
 def process_count(plan: Plan, rung: Rung) -> int:
-    """The number of processes that a rung starts."""
+    """Returns a rung's number of processes, with state service, cloud, and users and checker."""
     return rung.controllers + worker_host_count(plan, rung) + 3
 
 
 def estimated_memory_mb(plan: Plan, rung: Rung) -> float:
-    """An estimate of the memory that a rung needs, in MB."""
-    controllers = rung.controllers * (CONTROLLER_MB + CONTROLLER_WORKER_MB * rung.workers)
-    workers = worker_host_count(plan, rung) * HOST_MB + HOST_WORKER_MB * rung.workers
+    """Returns an estimate of the memory that a rung needs, in MB."""
+    controllers = rung.controllers * (CONTROLLER_MB + CONTROLLER_MB_PER_WORKER * rung.workers)
+    workers = worker_host_count(plan, rung) * HOST_MB + HOST_MB_PER_WORKER * rung.workers
     return controllers + workers + OTHER_PROCESSES_MB
 
 
 def machine_memory_mb() -> float:
-    """The machine's memory in MB."""
+    """Returns the machine's memory in MB; raises OSError if /proc/meminfo lacks it."""
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemTotal:"):
             return int(line.split()[1]) / 1024
@@ -208,5 +210,5 @@
 
 
 def max_sockets() -> int:
-    """The number of sockets that one process may open."""
+    """Returns how many descriptors, and so sockets, one process may open."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
