--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -21,7 +21,7 @@
 
 
 class PortsTakenError(Exception):
-    """A port of a rung is in use already, most likely by another run."""
+    """Raised when ports of a rung are in use already, most likely by another run."""
 
     def __init__(self, ports: list[int]) -> None:
         numbers = ", ".join(map(str, ports))
@@ -29,7 +29,7 @@
 
 
 class RungRunner:
-    """Runs one rung; `print_line` receives the progress."""
+    """Runs one rung; `print_line` is called with lines about its progress."""
 
     def __init__(
         self, plan: Plan, rung: Rung, folder: Path, print_line: Callable[[str], None]
@@ -52,7 +52,10 @@
                 self.checker.receive_event(line.decode())
 
     async def evaluate_loop(self) -> None:
-        """Evaluates events every EVALUATION_INTERVAL_S seconds until a rule is broken."""
+        """Evaluates events every EVALUATION_INTERVAL_S seconds until a rule is broken.
+
+        Raises RuntimeError if a process of the site has ended by itself.
+        """
         while not self.checker.violations:
             await curio.sleep(EVALUATION_INTERVAL_S)
             self.checker.evaluate(time.monotonic() - EVENT_DELAY_S)
@@ -66,7 +69,7 @@
         listener = await curio.spawn(curio.tcp_server, *address, self.receive_events, daemon=True)
         tasks = [listener]
         try:
-            await curio.sleep(0)  # the listener listens before a worker host can connect
+            await curio.sleep(0)  # the listener has to listen before a worker host connects
             await self.site.start_all()
             run_started_at = time.monotonic()
             evaluation = await curio.spawn(self.evaluate_loop)
@@ -91,7 +94,7 @@
             self.site.stop()
 
     async def wait_until(self, evaluation: curio.Task, at: float) -> None:
-        """Waits until a time or a broken rule; raises if a process has ended by itself."""
+        """Waits until a time or a broken rule; raises RuntimeError if a process ended by itself."""
         while time.monotonic() < at and not evaluation.terminated:
             await curio.sleep(0.1)
         if evaluation.terminated and evaluation.exception is not None:
@@ -122,7 +125,10 @@
 
 
 def run_rung(plan: Plan, rung: Rung, keep: Path | None, print_line: Callable[[str], None]) -> Row:
-    """Runs one rung in a temporary folder, or in `keep`; raises PortsTakenError."""
+    """Runs one rung in a temporary folder, or in `keep`, and returns its row.
+
+    Raises PortsTakenError if a port is in use, RuntimeError if a process fails.
+    """
     with TemporaryDirectory() as scratch:
         folder = keep or Path(scratch)
         folder.mkdir(exist_ok=True)
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -23,21 +23,22 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 READY_TIMEOUT_S = 60.0
-FETCH_S = 0.3  # mean time until a simulated worker has an image
-LIST_LAG_S = 3.0
+FETCH_S = 0.3  # mean time that a simulated worker takes to fetch an image
+LIST_LAG_S = 3.0  # how far the cloud's list of machines lags behind its changes
 FIRST_NETWORK = 20  # second byte of the first worker host's addresses
-SPARE_MACHINE_SHARE = (
-    0.3  # machines that the cloud has beyond the initial ones, as a share of these
-)
+# Machines that the cloud has beyond the initial ones, as a share of these.
+SPARE_MACHINE_SHARE = 0.3
 T = TypeVar("T")
 
 
 class Site:
-    """Starts, queries and ends the processes; `folder` holds their settings and logs."""
+    """Starts, queries and ends a rung's processes; `folder` holds their settings and logs."""
 
     def __init__(self, plan: Plan, rung: Rung, folder: Path) -> None:
         self.plan, self.rung, self.folder = plan, rung, folder
         port = plan.port
+        # Addresses of the state service, the cloud, the checker and the worker hosts, and of the
+        # controllers' public and peer APIs.
         self.state = f"127.0.0.1:{port}"
         self.cloud = f"127.0.0.1:{port + 1}"
         self.checker = f"127.0.0.1:{port + 2}"
@@ -45,19 +46,19 @@
         self.public = [f"127.0.0.1:{port + 400 + i}" for i in range(rung.controllers)]
         self.cluster = [f"127.0.0.1:{port + 500 + i}" for i in range(rung.controllers)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.earlier_cpu_s: dict[str, float] = {}  # processor time of ended processes, by name
+        self.earlier_cpu_s: dict[str, float] = {}  # processor time of killed processes, by name
         self.http = HttpClient()
         self.environment = os.environ | {
             "PYTHONPATH": os.pathsep.join([str(ROOT), str(ROOT / "target" / "deps"), *sys.path])
         }
 
     def taken_ports(self) -> list[int]:
-        """The ports of the site that are in use already."""
+        """Returns the ports of the site that are in use already."""
         addresses = (self.state, self.cloud, self.checker, *self.hosts, *self.public, *self.cluster)
         found = []
         for address in addresses:
             with socket.socket() as trial:
-                # As servers do: closing connections of an earlier rung don't matter.
+                # Servers set this too: an earlier rung's closing connections don't block a port.
                 trial.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 try:
                     trial.bind(split_address(address))
@@ -68,7 +69,7 @@
     # --- settings
 
     def controller_settings(self, number: int) -> dict[str, Any]:
-        """The settings file of one controller."""
+        """Returns the contents of one controller's settings file."""
         plan, limits = self.plan, self.plan.limits
         members = [
             {"host_name": f"n-{i}", "zone": "a", "address": address}
@@ -114,7 +115,7 @@
         return str(path)
 
     def host_config(self, number: int) -> HostConfig:
-        """The settings of one worker host process."""
+        """Returns the settings of one worker host process."""
         plan = self.plan
         return HostConfig(
             control=self.hosts[number],
@@ -130,7 +131,7 @@
         )
 
     def cloud_config(self) -> CloudConfig:
-        """The settings of the cloud's process."""
+        """Returns the settings of the cloud's process."""
         workers = self.rung.workers
         # The machine type keeps the name that earlier reports and logs have.
         machine_type = api.MachineType(
@@ -182,7 +183,7 @@
         self.start(f"n-{number}", *command)
 
     def kill_controller(self, number: int) -> None:
-        """Kills one controller with SIGKILL."""
+        """Kills one controller with SIGKILL; its processor time so far is kept."""
         name = f"n-{number}"
         process = self.processes[name]
         last_usage = self.usage(name)
@@ -192,7 +193,7 @@
             self.earlier_cpu_s[name] = self.earlier_cpu_s.get(name, 0.0) + last_usage.cpu_s
 
     async def wait_ready(self, address: str, path: str) -> None:
-        """Waits until an address answers 200; raises RuntimeError after READY_S seconds."""
+        """Waits until an address answers 200; raises RuntimeError after READY_TIMEOUT_S seconds."""
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             self.check_alive()
@@ -200,10 +201,13 @@
             if reply is not None and reply.status == 200:
                 return
             await curio.sleep(0.1)
-        raise RuntimeError(f"{address} did not come up; see the logs in {self.folder}")
+        raise RuntimeError(
+            f"{address} did not answer 200 to GET {path} within {READY_TIMEOUT_S:.0f} s;"
+            f" see the logs in {self.folder}"
+        )
 
     def check_alive(self) -> None:
-        """Raises RuntimeError if a process has ended by itself."""
+        """Raises RuntimeError if a process has ended by itself, not by SIGKILL as from a fault."""
         for name, process in self.processes.items():
             if process.poll() not in (None, -signal.SIGKILL):
                 raise RuntimeError(f"{name} ended by itself; see {self.folder}/{name}.log")
@@ -220,39 +224,39 @@
     async def request(
         self, address: str, method: str, path: str, body: bytes | None = None
     ) -> Reply | None:
-        """One HTTP request; None when there is no response."""
+        """Sends one HTTP request and returns the response; None when there is none."""
         try:
             return await self.http.call(address, method, path, body, 10.0)
         except NoResponseError:
             return None
 
     async def fetch_stats(self, address: str, kind: type[T]) -> T:
-        """The statistics of a process; raises RuntimeError when it does not answer."""
+        """Returns the statistics of a process; raises RuntimeError when it does not answer."""
         reply = await self.request(address, "GET", "/stats")
         if reply is None:
             raise RuntimeError(f"{address} does not answer")
         return msgspec.json.decode(reply.body, type=kind)
 
     async def state_stats(self) -> StateStats:
-        """The statistics of the state service."""
+        """Returns the statistics of the state service."""
         return await self.fetch_stats(self.state, StateStats)
 
     async def host_stats(self) -> list[HostStats]:
-        """The statistics of each worker host."""
+        """Returns the statistics of each worker host."""
         return [await self.fetch_stats(address, HostStats) for address in self.hosts]
 
     def usage(self, name: str) -> Usage | None:
-        """The resource use of a process so far; None when it has ended."""
+        """Returns the resource use of a process so far; None when it has ended."""
         process = self.processes.get(name)
         if process is None or process.poll() is not None:
             return None
         return process_usage(process.pid)
 
     def cpu_s(self, name: str) -> float:
-        """Processor time in seconds of all processes so far under one name."""
+        """Returns the seconds of processor time so far of all processes under one name."""
         current = self.usage(name)
         return self.earlier_cpu_s.get(name, 0.0) + (current.cpu_s if current is not None else 0.0)
 
     def ports(self) -> set[int]:
-        """The ports whose traffic is measured."""
+        """Returns the ports whose traffic is measured."""
         return {split_address(address)[1] for address in (*self.public, *self.cluster, self.state)}
--- a/standins/scale/users.py
+++ b/standins/scale/users.py
@@ -1,6 +1,7 @@
-"""Users of a scale run: they submit, repeat, poll and cancel jobs.
+"""Simulated users of a scale run: they submit, repeat, poll and cancel jobs.
 
-Each status is checked against the earlier ones: no job is forgotten or goes back in its progress.
+Each status is checked against the earlier ones: a controller must not forget a job, nor may its
+progress go back.
 """
 
 import random
@@ -38,18 +39,18 @@
     submitted_at: float
     accepted_at: float = 0.0
     last_answered_at: float = 0.0  # when a request about it was last answered
-    done: int = 0
-    state: str = ""
+    done: int = 0  # the most completed tasks that a status reported
+    state: str = ""  # of the last status
     cancelling: bool = False
 
 
 class WorkloadGenerator:
-    """All users of a site; `addresses` are the controllers' public addresses."""
+    """Simulates all users of a site; `addresses` are the controllers' public addresses."""
 
     def __init__(
-        self, plan: UserSettings, addresses: list[str], checker: Checker, seed: int
+        self, settings: UserSettings, addresses: list[str], checker: Checker, seed: int
     ) -> None:
-        self.plan = plan
+        self.settings = settings
         self.addresses = addresses
         self.checker = checker
         self.rng = random.Random(seed)
@@ -63,7 +64,7 @@
 
     async def run(self, starts_per_s: float) -> None:
         """Submits jobs at a rate of task starts a second until `stopped` is set."""
-        for _ in range(self.plan.services):
+        for _ in range(self.settings.services):
             await self.spawn_for_job(self.submit, self.random_job(workload.SERVICE))
         owed_starts, last_at = 0.0, time.monotonic()
         while not self.stopped:
@@ -78,27 +79,27 @@
                 await self.spawn_for_job(self.submit, job)
 
     def one_task_job_share(self) -> float:
-        """The share of one-task jobs that gives them the planned share of the starts."""
-        one_task_jobs = self.plan.one_task
-        arrays = (1 - one_task_jobs) / self.plan.array_tasks
+        """Returns the share of jobs with one task that gives them their share of the starts."""
+        one_task_jobs = self.settings.one_task
+        arrays = (1 - one_task_jobs) / self.settings.array_tasks
         jobs = one_task_jobs + arrays
         return one_task_jobs / jobs if jobs else 0.0
 
     def random_job(self, kind: int) -> SubmittedJob:
-        """A random job of a kind."""
+        """Returns a new random job of a kind."""
         self.job_sequence += 1
-        rng, plan = self.rng, self.plan
+        rng, settings = self.rng, self.settings
         tasks = 1 if kind == workload.ONE_TASK else SERVICE_REPLICAS
         if kind == workload.ARRAY:
-            tasks = max(2, min(2000, round(rng.expovariate(1 / plan.array_tasks))))
-        run_s = plan.run_s * rng.uniform(0.5, 1.5)
-        rank = "urgent" if rng.random() < plan.urgent else "normal"
-        name = workload.job_id(kind, rng.randrange(plan.teams), run_s, self.job_sequence)
+            tasks = max(2, min(2000, round(rng.expovariate(1 / settings.array_tasks))))
+        run_s = settings.run_s * rng.uniform(0.5, 1.5)
+        rank = "urgent" if rng.random() < settings.urgent else "normal"
+        job_id = workload.job_id(kind, rng.randrange(settings.teams), run_s, self.job_sequence)
         rank = "prod" if kind == workload.SERVICE else rank
-        return SubmittedJob(name, kind, tasks, rank, time.monotonic())
+        return SubmittedJob(job_id, kind, tasks, rank, time.monotonic())
 
     def submission_body(self, job: SubmittedJob) -> bytes:
-        """The job's submission."""
+        """Returns the body of the request that submits a job."""
         description = workload.parse_job_id(job.id)
         service = description.service
         return msgspec.json.encode(
@@ -116,13 +117,13 @@
     async def spawn_for_job(
         self, function: Callable[[SubmittedJob], object], job: SubmittedJob
     ) -> None:
-        """Starts a task for one job."""
+        """Spawns a coroutine for one job."""
         await curio.spawn(function, job, daemon=True)
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> Reply | None:
-        """One request to a random controller; None when there is no response."""
+        """Sends one request to a random controller; returns None when there is no response."""
         try:
             address = self.rng.choice(self.addresses)
             reply = await self.http.call(address, method, path, body, timeout_s)
@@ -133,19 +134,22 @@
         return reply
 
     async def submit(self, job: SubmittedJob) -> None:
-        """Submits a job until it is accepted, then follows it to its end."""
+        """Submits a job, some jobs once more, and polls it to its end; cancels some jobs."""
         body = self.submission_body(job)
         if not await self.submit_until_accepted(job, body):
             return
-        if self.rng.random() < self.plan.repeated:
+        if self.rng.random() < self.settings.repeated:
             await self.request("POST", api.JOBS, body, SUBMIT_TIMEOUT_S)
         cancel_at = 0.0
-        if job.kind != workload.SERVICE and self.rng.random() < self.plan.cancelled:
-            cancel_at = job.accepted_at + self.rng.uniform(0.0, 1.5 * self.plan.run_s)
+        if job.kind != workload.SERVICE and self.rng.random() < self.settings.cancelled:
+            cancel_at = job.accepted_at + self.rng.uniform(0.0, 1.5 * self.settings.run_s)
         await self.follow(job, cancel_at)
 
     async def submit_until_accepted(self, job: SubmittedJob, body: bytes) -> bool:
-        """Repeats a submission; False when it was refused for good or the run has stopped."""
+        """Submits a job until it is accepted.
+
+        Returns False if it was refused for good or the run stopped before.
+        """
         while not self.stopped:
             self.submissions += 1
             reply = await self.request("POST", api.JOBS, body, SUBMIT_TIMEOUT_S)
@@ -161,9 +165,9 @@
         return False
 
     async def follow(self, job: SubmittedJob, cancel_at: float) -> None:
-        """Polls until the job has ended."""
+        """Polls a job until it has ended, and cancels it at `cancel_at` unless that is 0."""
         while job.state not in TERMINAL_STATES and not self.stopped:
-            wait = self.plan.poll_s * self.rng.uniform(0.8, 1.2)
+            wait = self.settings.poll_s * self.rng.uniform(0.8, 1.2)
             if cancel_at and not job.cancelling:
                 wait = min(wait, max(0.0, cancel_at - time.monotonic()))
             await curio.sleep(wait)
@@ -211,12 +215,15 @@
         job.state = status.state
 
     def record_violation(self, rule: str, job: SubmittedJob, reply: Reply | None) -> None:
-        """Records a broken rule with the answer that broke it."""
+        """Records a broken rule with the answer that shows it."""
         detail = f"answered {reply.status} {reply.body[:120]!r}" if reply else "no answer"
         self.checker.record_violation(time.monotonic(), rule, job.id, detail)
 
     async def query_unfinished(self, seconds: float) -> list[str]:
-        """Queries every unfinished job until it is answered; the ids of those without an answer."""
+        """Polls each unfinished job until it is answered or `seconds` have passed.
+
+        Returns the ids of the jobs without an answer.
+        """
         deadline = time.monotonic() + seconds
         unanswered = {job.id: job for job in self.unfinished.values()}
         while unanswered and time.monotonic() < deadline:
