--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: its checker, its plans, and the test doubles that it runs against."""
+"""Tests of the scale run: checker, plans, measurements, users, and simulated workers."""
 
 import socket
 import subprocess
@@ -54,19 +54,21 @@
 ]
 
 
-def checker() -> Checker:
+def make_checker() -> Checker:
     return Checker(cancel_s=40.0, team_cpus_max=2.0)
 
 
 @pytest.mark.parametrize(
-    ("lines", "rule"), [s[1:] for s in EVENT_CASES], ids=[s[0] for s in EVENT_CASES]
+    ("lines", "rule"), [case[1:] for case in EVENT_CASES], ids=[case[0] for case in EVENT_CASES]
 )
-def test_workers_events_are_checked_against_the_rules(lines: list[str], rule: str) -> None:
-    run_checker = checker()
+def test_events_of_workers_that_break_a_rule_are_recorded_as_violations(
+    lines: list[str], rule: str
+) -> None:
+    run_checker = make_checker()
     names = {"T": TASK, "U": f"{JOB}/1", "V": f"{JOB}/2", "-": "-"}
     for line in lines:
-        at, what, task, machine = line.split()
-        run_checker.receive_event(f"{at} {what} {names[task]} {machine}")
+        at, kind, task, machine = line.split()
+        run_checker.receive_event(f"{at} {kind} {names[task]} {machine}")
     run_checker.evaluate(100.0)
     assert [violation.rule for violation in run_checker.violations] == ([rule] if rule else [])
     if rule:
@@ -80,14 +82,14 @@
     [
         (30.0, None, [], 0),
         (60.0, None, ["ran_cancelled"], 0),
-        (5.0, 20.0, ["ran_cancelled"], 1),  # it runs on for too long
+        (5.0, 20.0, ["ran_cancelled"], 1),  # the second start runs past the deadline
         (5.0, 51.0, ["ran_cancelled"], 1),
     ],
 )
-def test_a_cancelled_job_is_gone_in_time(
+def test_task_of_a_cancelled_job_that_runs_past_the_deadline_is_a_violation(
     gone_at: float, starts_at: float | None, rules: list[str], late: int
 ) -> None:
-    run_checker = checker()
+    run_checker = make_checker()
     run_checker.receive_event(f"1 on {TASK} vm-1")
     run_checker.report_cancelled(JOB, 10.0)
     run_checker.receive_event(f"{gone_at} off {TASK} vm-1")
@@ -99,9 +101,11 @@
 
 
 @pytest.mark.parametrize(("done_at", "rules"), [(9.0, []), (11.0, ["not_done"])])
-def test_a_job_is_called_done_after_its_tasks(done_at: float, rules: list[str]) -> None:
-    """The user's event may reach the checker before the worker's."""
-    run_checker = checker()
+def test_job_reported_done_before_its_tasks_completed_is_a_violation(
+    done_at: float, rules: list[str]
+) -> None:
+    """The user's event may reach the checker before the worker's event of an earlier time."""
+    run_checker = make_checker()
     run_checker.report_done(JOB, 1, 10.0)
     run_checker.receive_event(f"1 on {TASK} vm-1")
     run_checker.receive_event(f"{done_at} done {TASK} vm-1")
@@ -119,23 +123,26 @@
 
 
 def run_all_timers(worker_host: WorkerHost) -> None:
-    """All timers, however far off."""
+    """Runs all timers, also those that are not due yet."""
     while worker_host.timers:
         worker_host.timers.sort()
         worker_host.timers.pop(0)[2]()
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_a_worker_that_runs_tasks_twice_is_detected(broken: bool) -> None:
-    """The whole way from a command to the rule; the other half shows that the checker can fail."""
+def test_host_that_reports_starts_on_two_machines_is_detected(broken: bool) -> None:
+    """A start command passes through a simulated worker to the checker.
+
+    The broken host shows that the checker detects a violation.
+    """
     worker_host = make_host(broken)
     machine = worker_host.machines["vm-0"]
-    orders = api.Commands(3, 1, [api.Command(api.START, TASK, 1)])
-    actions = machine.agent.handle_commands(orders)
+    commands = api.Commands(3, 1, [api.Command(api.START, TASK, 1)])
+    actions = machine.agent.handle_commands(commands)
     assert actions is not None
     machine.apply_actions(actions)
     run_all_timers(worker_host)
-    run_checker = checker()
+    run_checker = make_checker()
     for line in worker_host.event_lines:
         run_checker.receive_event(line)
     run_checker.evaluate(1e12)
@@ -146,9 +153,11 @@
     assert run_checker.finished == {TASK}
 
 
-def test_a_machine_without_power_is_not_restarted() -> None:
-    """It restarted after the cloud had confirmed its deletion: a task ran on that had rightly been
-    started elsewhere."""
+def test_restart_of_a_powered_off_machine_has_no_effect() -> None:
+    """Guards against a restart after the cloud confirmed the machine's deletion.
+
+    A task then ran on there that had rightly been started elsewhere.
+    """
     worker_host = make_host()
     machine = worker_host.machines["vm-0"]
     machine.power_off()
@@ -159,7 +168,7 @@
 
 # --- plans
 
-FAULTS: list[tuple[str, list[str]]] = [
+INVALID_PLANS: list[tuple[str, list[str]]] = [
     ("[[rungs]]\nworkers = 5\nworker = 3\n", ["rungs[0]: unknown key 'worker'"]),
     ("[[rungs]]\nworkers = 5\nstarts_per_s = -1.0\n", ["rungs[0].starts_per_s"]),
     ("speed = 3\nseconds = 0\n[[rungs]]\n", ["seconds", "unknown key 'speed'", "rungs[0].workers"]),
@@ -173,19 +182,19 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "faults"), FAULTS)
-def test_a_bad_plan_is_refused_with_all_its_faults(
-    tmp_path: Path, text: str, faults: list[str]
+@pytest.mark.parametrize(("text", "errors"), INVALID_PLANS)
+def test_load_plan_reports_every_error_of_an_invalid_plan(
+    tmp_path: Path, text: str, errors: list[str]
 ) -> None:
     path = tmp_path / "plan.toml"
     path.write_text(text)
-    with pytest.raises(ConfigError) as error:
+    with pytest.raises(ConfigError) as raised:
         load_plan(path)
-    text_of_errors = "\n".join(error.value.lines)
-    assert all(fault in text_of_errors for fault in faults), text_of_errors
+    reported = "\n".join(raised.value.lines)
+    assert all(error in reported for error in errors), reported
 
 
-def test_the_plans_that_are_there_can_be_played() -> None:
+def test_default_plan_and_plans_in_deploy_are_valid() -> None:
     assert load_plan(None) is DEFAULT_PLAN
     plans = sorted(Path(__file__).parent.parent.joinpath("deploy", "scale").glob("*.toml"))
     assert plans
@@ -194,10 +203,10 @@
         assert not plan_errors(plan, 24 * 1024.0, 20_000), path
 
 
-# --- what is measured
+# --- measurements
 
 
-def test_recovery_is_read_off_the_samples() -> None:
+def test_recovery_is_measured_from_samples_of_running_tasks() -> None:
     starts = [0, 1, 2, 3, 3, 3, 3, 4, 5, 6]
     running = [10, 10, 10, 5, 5, 6, 8, 9, 10, 10]
     samples = [Sample(float(i), r, s) for i, (r, s) in enumerate(zip(running, starts, strict=True))]
@@ -207,9 +216,9 @@
     assert longest_gap(samples, 5.0) == 2.0
 
 
-def test_each_fault_is_read_up_to_the_next() -> None:
+def test_recovery_from_a_fault_uses_samples_up_to_the_next_fault() -> None:
     plan = Plan([Rung(5)])
-    injector = FaultInjector(Site(plan, plan.rungs[0], Path("unused")), checker(), 1)
+    injector = FaultInjector(Site(plan, plan.rungs[0], Path("unused")), make_checker(), 1)
     assert injector.recoveries(0.0) == []
     running = [10, 10, 4, 10, 10, 0, 0, 10]
     injector.samples = [Sample(float(i), r, i) for i, r in enumerate(running)]
@@ -224,10 +233,10 @@
     ]
 
 
-def test_a_row_is_the_difference_of_two_snapshots(tmp_path: Path) -> None:
+def test_row_holds_the_increase_of_counters_between_two_snapshots(tmp_path: Path) -> None:
     plan = Plan([Rung(5, 1, name="small")])
     site = Site(plan, plan.rungs[0], tmp_path)
-    run_checker = checker()
+    run_checker = make_checker()
     users = WorkloadGenerator(plan.users, site.public, run_checker, 1)
     measurement = RungMeasurement(site, run_checker, users, FaultInjector(site, run_checker, 1))
     cpu = {"n-0": 1.0, "state": 0.0, "host-0": 0.0, "users": 0.0}
@@ -235,8 +244,8 @@
     first = CounterSnapshot(10.0, cpu, StateStats(put={"c": 1}), [HostStats()], 0, 0, 0, ports)
     state = StateStats(requests=40, changes=20, malformed=1, put={"c": 3, "w": 2})
     hosts = [HostStats(reports=30, report_bytes=500, reply_bytes=500, ticks=100, late_ticks=10)]
-    grown = {port: Traffic(200, 300, 1) for port in ports}
-    last = CounterSnapshot(20.0, cpu | {"n-0": 6.0}, state, hosts, 50, 10, 20, grown)
+    later_ports = {port: Traffic(200, 300, 1) for port in ports}
+    last = CounterSnapshot(20.0, cpu | {"n-0": 6.0}, state, hosts, 50, 10, 20, later_ports)
     found = measurement.row(first, last, 0.0)
     assert (found.starts, found.reports, found.submissions, found.polls) == (5.0, 3.0, 1.0, 2.0)
     assert found.controller_cores == [0.5]
@@ -265,7 +274,9 @@
         ({"late_ticks": 0.2}, ["hollow workers (generator)"]),
     ],
 )
-def test_what_limits_is_named(fields: dict[str, Any], limits: list[str]) -> None:
+def test_limiting_components_names_components_at_their_limit(
+    fields: dict[str, Any], limits: list[str]
+) -> None:
     assert reports.limiting_components(row(**fields), 150.0) == limits
 
 
@@ -273,7 +284,9 @@
     ("fields", "failed"),
     [({}, False), ({"broken": ["x"]}, True), ({"unanswered_jobs": ["j"]}, True)],
 )
-def test_a_summary_names_broken_rules(fields: dict[str, Any], failed: bool) -> None:
+def test_summary_says_no_rule_broken_only_if_the_rung_has_not_failed(
+    fields: dict[str, Any], failed: bool
+) -> None:
     text = "\n".join(reports.summary(row(**fields)))
     assert reports.failed(row(**fields)) == failed
     assert ("no rule broken" in text) != failed
@@ -292,14 +305,14 @@
         ([None, 503], False, []),
     ],
 )
-def test_a_submission_is_repeated_until_it_is_answered_for_good(
+def test_submission_is_repeated_until_accepted_refused_for_good_or_stopped(
     statuses: list[int | None],
     accepted: bool,
     rules: list[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("standins.scale.users.RETRY_S", 0.0)
-    run_checker = checker()
+    run_checker = make_checker()
     generator = WorkloadGenerator(Plan([Rung(5)]).users, ["127.0.0.1:1"], run_checker, 1)
     job = generator.random_job(workload.ARRAY)
 
@@ -321,13 +334,13 @@
 # --- runs
 
 
-def test_rungs_ask_for_as_much_as_their_workers_hold() -> None:
+def test_requested_starts_default_to_three_quarters_of_the_slots() -> None:
     plan = Plan([Rung(100), Rung(100, starts_per_s=7.0)])
     assert [plan.requested_starts_per_s(rung) for rung in plan.rungs] == [30.0, 7.0]
 
 
 def bind_below(sock: socket.socket, limit: int) -> int:
-    """Bind to the highest free port under `limit`, which no outgoing connection has."""
+    """Binds to the highest free port under `limit`; outgoing connections use ports above it."""
     for port in range(limit - 1, limit - 1000, -1):
         try:
             sock.bind(("127.0.0.1", port))
@@ -337,14 +350,17 @@
     raise OSError("no port is free")
 
 
-def test_a_run_whose_ports_are_taken_is_refused_before_it_starts(tmp_path: Path) -> None:
-    """Two runs at once: the second reported only that its state service had ended by itself."""
+def test_run_whose_ports_are_taken_is_refused_before_it_starts(tmp_path: Path) -> None:
+    """Guards against an unclear error when two runs use the same ports.
+
+    The second run reported only that its state service had ended by itself.
+    """
     plan = tmp_path / "plan.toml"
     with socket.socket() as other:
         port = bind_below(other, 30_000)
         other.listen()
-        first = port - 500  # that of the first controller's peers
-        plan.write_text(f"port = {first}\n[[rungs]]\nworkers = 1\ncontrollers = 1\n")
+        first_port = port - 500  # `port` is then the peer port of the first controller
+        plan.write_text(f"port = {first_port}\n[[rungs]]\nworkers = 1\ncontrollers = 1\n")
         done = subprocess.run(
             [sys.executable, "scripts/scale.py", str(plan)],
             cwd=ROOT,
@@ -359,7 +375,7 @@
 
 
 @pytest.mark.parametrize(("line", "limit"), [("", 1000), ("max_connections = 2002", 2002)])
-def test_a_plan_may_set_the_connections_of_a_controller(
+def test_max_connections_comes_from_the_plan_or_the_number_of_workers(
     tmp_path: Path, line: str, limit: int
 ) -> None:
     path = tmp_path / "plan.toml"
