--- a/starlingdeck/api/heartbeat_redirect.py
+++ b/starlingdeck/api/heartbeat_redirect.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-REPORT = "REPORT"  # method of a forwarded heartbeat
+REPORT_METHOD = "REPORT"  # `ForwardRequest.method` of a forwarded heartbeat
 RESPONSE_TIMEOUT_S = 5.0  # what a worker loses at each controller that doesn't answer it
 RETURN_MARGIN_S = 3.0
 OWNERSHIP_SETTLED_S = 10.0  # (start) until a new owner has announced its token to its workers
@@ -53,7 +53,7 @@
         # By machine, the time of:
         self.redirected: dict[int, float] = {}  # its last redirect
         self.misrouted: dict[int, float] = {}  # since when it seems unable to reach its owner
-        self.sources: dict[int, float] = {}  # its last heartbeat forwarded as a newcomer's
+        self.newcomers: dict[int, float] = {}  # its last heartbeat while not counted as misrouted
 
     def owner_to_report_to(self, shard: int) -> str | None:
         """The name of the controller to report to; None while we can't reach the owner.
@@ -90,8 +90,8 @@
             redirect = self._start_trial(machine, owner.node, now)
         else:
             # A newcomer's first heartbeat is forwarded, so that it leaves with its whole lease.
-            redirect = now - self.sources.get(machine, NEVER) < MISROUTED_RETENTION_S
-            self.sources[machine] = now
+            redirect = now - self.newcomers.get(machine, NEVER) < MISROUTED_RETENTION_S
+            self.newcomers[machine] = now
         if redirect:
             self.misrouted.pop(machine, None)
             self.redirected[machine] = now
@@ -99,7 +99,7 @@
         return await self._forward(report, owner.node, body)
 
     async def _forward(self, report: api.Report, node: int, body: bytes) -> Response:
-        envelope = pb.Envelope(forward_request=pb.ForwardRequest(method=REPORT, body=body))
+        envelope = pb.Envelope(forward_request=pb.ForwardRequest(method=REPORT_METHOD, body=body))
         try:
             reply = (await self.peers.call(node, envelope, FORWARD_TIMEOUT_S)).forward_reply
             return Response(reply.status, reply.body)
--- a/starlingdeck/controller/peer_messages.py
+++ b/starlingdeck/controller/peer_messages.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from starlingdeck.api.heartbeat_api import HeartbeatApi
-from starlingdeck.api.heartbeat_redirect import REPORT
+from starlingdeck.api.heartbeat_redirect import REPORT_METHOD
 from starlingdeck.api.job_api import JobApi
 from starlingdeck.cluster.membership import Membership
 from starlingdeck.controller.gossip import GossipExchange
@@ -56,7 +56,7 @@
         return None
 
     async def _handle_forwarded(self, request: pb.ForwardRequest) -> pb.ForwardReply:
-        if request.method != REPORT:
+        if request.method != REPORT_METHOD:
             return await self.job_api.handle_forwarded(request)
         response = await self.heartbeat_api.handle(request.body, True)
         return pb.ForwardReply(status=response.status, body=response.body)
