--- a/starlingdeck/api/__init__.py
+++ b/starlingdeck/api/__init__.py
@@ -1,1 +1,1 @@
-"""Handlers of the HTTP API: jobs, worker heartbeats."""
+"""Handlers of the HTTP API: users' job requests and workers' heartbeats."""
--- a/starlingdeck/api/heartbeat_api.py
+++ b/starlingdeck/api/heartbeat_api.py
@@ -1,4 +1,4 @@
-"""The workers' HTTP API: heartbeats (reports) of the machines owned here."""
+"""The workers' HTTP API: heartbeats, which are reports of what a machine runs."""
 
 import logging
 import math
@@ -20,12 +20,15 @@
 
 log = logging.getLogger(__name__)
 
-WATERMARK_WAIT_S = 1.5  # (start) for a first cancellation watermark; the worker waits 4 s
+FIRST_WATERMARK_WAIT_S = 1.5  # a worker waits 4 s for the response to its heartbeat
 WATERMARK_POLL_S = 0.1
 
 
 class HeartbeatApi:
-    """Applies heartbeats and renews leases; what is owned elsewhere goes to the redirector."""
+    """Applies heartbeats and renews the workers' leases.
+
+    Heartbeats of machines that another controller owns are passed to the redirector.
+    """
 
     def __init__(
         self,
@@ -38,10 +41,14 @@
         self.membership = membership
         self.machines = machines
         self.redirector = HeartbeatRedirector(context, membership, peers)
-        self.has_updates = False  # whether a heartbeat has shown anything new
+        # A heartbeat has made work for the reconciler; reset by HttpRouter.
+        self.has_updates = False
 
     async def handle(self, body: bytes, forwarded: bool = False) -> Response:
-        """Answer one heartbeat, from the worker itself or as forwarded by a peer."""
+        """Answer one heartbeat; one that a peer has forwarded is not forwarded again.
+
+        Only a response with status 200 renews the worker's lease.
+        """
         try:
             report = api.decode_report(body)
         except api.ValidationError as error:
@@ -59,7 +66,7 @@
             self.has_updates = True
             return error_response(503, "an old report")
         machine = machines.apply_report(report, True)
-        if not await self._is_confirmed(shard, machines, machine):
+        if not await self._await_confirmation(shard, machines, machine):
             self.has_updates = True
             return error_response(503, "no word from a job's holder")
         return self._renew_lease(report, machines, machine)
@@ -67,23 +74,26 @@
     def _renew_lease(
         self, report: api.Report, machines: MachineShard, machine: Machine
     ) -> Response:
-        """Renew the worker's lease, with the commands that are due for it."""
-        valid = self.membership.lease_is_valid()
-        newest = machine.position() == (report.session, report.seq)  # nothing has overtaken it
+        """Return the response that renews the worker's lease, with the commands that are due."""
+        lease_valid = self.membership.lease_is_valid()
+        is_newest = machine.position() == (report.session, report.seq)  # no later one was applied
         if machines.to_reconcile or machines.changed:
             self.has_updates = True
-        commands = machines.pending_commands(machine, valid) if newest else []
-        if newest and valid:
+        commands = machines.pending_commands(machine, lease_valid) if is_newest else []
+        if is_newest and lease_valid:
             commands += machines.piggybacked_starts(machine)
         return Response(200, msgspec.json.encode(api.ReportReply(machines.token, commands)))
 
-    async def _is_confirmed(self, shard: int, machines: MachineShard, machine: Machine) -> bool:
-        """Whether what runs on a machine may go on: its jobs' owners have confirmed it lately.
+    async def _await_confirmation(
+        self, shard: int, machines: MachineShard, machine: Machine
+    ) -> bool:
+        """Return whether the owners of the jobs on a machine have confirmed its tasks recently.
 
-        After a takeover their first desired states are some tenths of a second away: redirected,
-        the worker would lose a second and be sent back.
+        Waits up to FIRST_WATERMARK_WAIT_S for the first cancellation watermark of an owner. After
+        a takeover it arrives with the owner's first desired state, within some tenths of a
+        second. If the worker were redirected instead, it would lose a second and be sent back.
         """
-        polls = int(WATERMARK_WAIT_S / WATERMARK_POLL_S)
+        polls = int(FIRST_WATERMARK_WAIT_S / WATERMARK_POLL_S)
         while (age_s := machines.watermark_age_s(machine)) > self.context.watermark_lifetime_s:
             if age_s < math.inf or not polls:
                 machines.unconfirmed_reports += 1
