--- a/starlingdeck/api/job_api.py
+++ b/starlingdeck/api/job_api.py
@@ -15,7 +15,7 @@
 from starlingdeck.storage.state import StateError
 from starlingdeck.transport.server import Request, Response
 
-MAX_IN_FLIGHT = 200
+MAX_REQUESTS_IN_FLIGHT = 200
 
 Handler = Callable[[JobRequest], Awaitable[Response]]
 
@@ -55,7 +55,7 @@
         return await self.router.handle_forwarded(forwarded)
 
     async def _handle_bounded(self, handler: Handler, request: JobRequest) -> Response:
-        if self.in_flight >= MAX_IN_FLIGHT:
+        if self.in_flight >= MAX_REQUESTS_IN_FLIGHT:
             return error_response(429, "too many requests at once")
         self.in_flight += 1
         try:
@@ -70,26 +70,29 @@
             self.in_flight -= 1
 
     async def _submit(self, request: JobRequest) -> Response:
-        """Validate a submission and route it; a job accepted before is reported, not refused."""
+        """Validate and route a submission.
+
+        A job that was accepted before is reported even if its submission is no longer valid.
+        """
         context = self.services.context
         try:
             spec = api.decode_job(request.body)
         except api.ValidationError as error:
-            # An earlier version may have accepted what this one refuses: accepted, it stays known.
+            # An earlier version may have accepted a job that this one refuses.
             name = api.job_id_of(request.body)
-            return await self._known_or_refused(name, 400, str(error))
+            return await self._stored_status_or_error(name, 400, str(error))
         if reason := oversize_reason(context, spec):
-            return await self._known_or_refused(spec.id, 400, reason)
+            return await self._stored_status_or_error(spec.id, 400, reason)
         if not context.machine_types:
             return error_response(503, "machine types not known yet")
         reason = infeasibility_reason(context, spec)
         reason = reason or await self.services.admission.rejection_reason(spec)
         if reason:
-            # A job that was accepted before is known, whatever the machine types are now.
-            return await self._known_or_refused(spec.id, 422, reason)
+            # The job may have been accepted before, with other machine types.
+            return await self._stored_status_or_error(spec.id, 422, reason)
         context.counters.increment(spec.team, spec.cls, counters.OFFERED)
         return await self.router.route(JobRequest(Operation.SUBMIT, spec.id, request.body))
 
-    async def _known_or_refused(self, name: str, status: int, reason: str) -> Response:
-        known = await self.stored_status.status(name) if name else None
-        return known or error_response(status, reason)
+    async def _stored_status_or_error(self, name: str, status: int, reason: str) -> Response:
+        stored = await self.stored_status.status(name) if name else None
+        return stored or error_response(status, reason)
--- a/starlingdeck/api/job_request.py
+++ b/starlingdeck/api/job_request.py
@@ -15,7 +15,7 @@
 
 
 class Operation(StrEnum):
-    """What is asked; the values are those of `ForwardRequest.method`."""
+    """What a request asks for; the values are those of `ForwardRequest.method`."""
 
     SUBMIT = "SUBMIT"
     STATUS = "GET"
@@ -23,7 +23,10 @@
 
 
 class JobRequest(NamedTuple):
-    """One request. `operation` is a plain string when it comes from a peer."""
+    """A request for the job `name`, which is empty for a submission that is not decoded yet.
+
+    `operation` is a plain string if a peer has forwarded the request.
+    """
 
     operation: str
     name: str
@@ -31,7 +34,7 @@
 
 
 class JobApiServices(Struct, kw_only=True, eq=False, dict=True):
-    """The parts of the controller that job requests are handled with."""
+    """The parts of the controller that the handlers of job requests use."""
 
     context: ControllerContext
     state: StateClient
@@ -39,4 +42,4 @@
     peers: Peers
     writers: Mapping[int, RecordWriter]
     admission: AdmissionController
-    request_wake: Callable[[], None]  # have the scheduler woken after the request
+    request_wake: Callable[[], None]  # wakes the scheduler once the request is answered
--- a/starlingdeck/api/owner_handler.py
+++ b/starlingdeck/api/owner_handler.py
@@ -45,7 +45,7 @@
         if job is None:
             return self._terminal_status(shard, name) or error_response(404, "no such job")
         if job.outcome_unknown or job.stale or job.uncertain_chunks:
-            # Another controller may have read and reported more than we know of it.
+            # Another controller may have read and reported a later status than the one known here.
             stored = await self.stored_status.status(name, job)
             return stored or error_response(503, "the job is changing")
         return json_response(200, self._live_status(shard, job))
@@ -70,7 +70,7 @@
         return json_response(200, terminal_status(name, state, completed))
 
     async def _reload(self, writer: RecordWriter, name: str) -> None:
-        """Read a job that is neither unfinished nor remembered here from the state service."""
+        """Read a job from the state service that is not known here, unfinished or finished."""
         async with writer.lock:
             await writer.reload(name)
 
@@ -89,11 +89,12 @@
             revision = await self.services.state.transact(conditions, [record], True)
         except TransactionConflictError:
             await self._reload(writer, spec.id)
-            return self._known_status(shard, spec.id)
+            return self._existing_status(shard, spec.id)
         if spec.id in shard.terminal_states:
-            # Read, cancelled and ended while the response was under way: put back now, it was
-            # reported as queued after its user had been told that it is cancelled.
-            return self._known_status(shard, spec.id)
+            # Another request had the job read, cancelled and ended before the response to the write
+            # arrived. If the job were added now, it would be reported as queued after its user had
+            # been told that it is cancelled.
+            return self._existing_status(shard, spec.id)
         job.key_versions[0] = revision
         shard.jobs.setdefault(job.index, job)
         shard.replicas_waiting |= spec.service
@@ -108,8 +109,8 @@
         self.services.request_wake()
         return json_response(201, api.JobStatus(spec.id, api.QUEUED))
 
-    def _known_status(self, shard: JobShard, name: str) -> Response:
-        """The status of a job that was found to exist when it was to be created."""
+    def _existing_status(self, shard: JobShard, name: str) -> Response:
+        """Return the status of a job that turned out to exist when it was to be created."""
         job = self._find_job(shard, name)
         if job is not None:
             return json_response(200, shard.status(job))
--- a/starlingdeck/api/store_handler.py
+++ b/starlingdeck/api/store_handler.py
@@ -1,6 +1,6 @@
-"""Handling of job requests without the shard's owner, by the state service alone.
+"""Handling of job requests through the state service, without the shard's owner.
 
-The owner learns of a submission or cancellation by an entry in its shard's mailbox.
+The owner learns of a submission or cancellation from an entry in its shard's mailbox.
 """
 
 import logging
@@ -48,8 +48,8 @@
         try:
             await self.services.state.transact(conditions, [record, notification], True)
         except TransactionConflictError:
-            known = await self.stored_status.status(name)
-            return known or error_response(503, "the job is changing")
+            stored = await self.stored_status.status(name)
+            return stored or error_response(503, "the job is changing")
         context.counters.increment(spec.team, spec.cls, counters.ACCEPTED)
         log.info("job accepted without owner: job=%s shard=%d", name, shard)
         return json_response(201, api.JobStatus(name, api.QUEUED))
@@ -70,7 +70,7 @@
             except TransactionConflictError:
                 return error_response(503, "the job is changing")
             log.info("job cancelled without owner: job=%s shard=%d", name, shard)
-        # From here on the job stays cancelled, but nobody may be told before its owner knows.
+        # The cancellation is durable, but is not reported to anybody before the owner knows of it.
         if not await self.stored_status.owner_acknowledged(shard, name):
             return error_response(503, CANCELLATION_UNACKNOWLEDGED)
         return json_response(200, api.JobStatus(name, api.CANCELLED))
--- a/starlingdeck/api/stored_status.py
+++ b/starlingdeck/api/stored_status.py
@@ -1,4 +1,4 @@
-"""A job's status as the state service has it: records, commit log, terminal states."""
+"""Reads a job's status from the state service: its record, the commit log, its terminal state."""
 
 import curio
 import msgspec
@@ -14,7 +14,7 @@
 from starlingdeck.storage.records import FinalRecord, JobRecord, ShardValue
 from starlingdeck.transport.server import Response
 
-ACKNOWLEDGEMENT_TIMEOUT_S = 0.8  # until a cancellation's mailbox entry must be taken by the owner
+ACKNOWLEDGEMENT_TIMEOUT_S = 0.8  # for the owner to take the mailbox entry of a cancellation
 ACKNOWLEDGEMENT_POLL_S = 0.1
 CANCELLATION_UNACKNOWLEDGED = "the job's holder has not heard of its cancellation yet"
 
@@ -27,15 +27,17 @@
         self.log_reader = LogReader()
 
     async def status(self, name: str, owned: Job | None = None) -> Response | None:
-        """The status of a job; None if the state service doesn't know the job.
+        """Return the status of a job; None if the state service doesn't know the job.
 
-        The key of the unfinished job is read first: a job moves from there only. `owned` is the
-        job as its owner knows it. The owner reports no cancellation that isn't in its own desired
-        state: it would go on confirming the job to the owners of machines.
+        The key of the unfinished job is read before that of its terminal state, because a job
+        moves only from the first to the second. `owned` is the job as its owner knows it, if this
+        controller is the owner. The owner does not report a cancellation that is missing from its
+        own desired state, because it would go on confirming the job to the owners of machines.
         """
         state = self.services.state
         shard = shard_of_job(name, self.services.context.shard_count)
-        # Before the record: what a checkpoint takes out of the log meanwhile is in the record then.
+        # Read before the record: what a checkpoint removes from the log in between is then in the
+        # record.
         changes = await self._log_changes(shard, name)
         entry = await state.get(records.job_key(shard, name), True)
         if entry is not None:
@@ -55,13 +57,13 @@
             acknowledged = owned.cancelled if owned else await self.owner_acknowledged(shard, name)
             if not acknowledged:
                 return error_response(503, CANCELLATION_UNACKNOWLEDGED)
-        done = await self._completed_tasks(shard, record, changes, owned)
+        completed = await self._completed_tasks(shard, record, changes, owned)
         running = len(replay({0: record.chunk}, changes)[0].placements)
         state = api.CANCELLED if record.cancelled else api.RUNNING if running else api.QUEUED
-        return json_response(200, api.JobStatus(name, state, done, running))
+        return json_response(200, api.JobStatus(name, state, completed, running))
 
     async def _log_changes(self, shard: int, name: str) -> list[LoggedChange]:
-        """What the shard's commit log says of a job beyond its record, if the shard has one."""
+        """Return a job's changes in the commit log; empty if the shard's records are complete."""
         if not self.services.membership.writes_log(shard):
             return []
         return (await self.log_reader.read(self.services.state, shard)).changes_of(name)
@@ -69,44 +71,46 @@
     async def _completed_tasks(
         self, shard: int, record: JobRecord, changes: list[LoggedChange], owned: Job | None
     ) -> int:
-        """How many tasks of a job have completed, by all chunks of its record and by the log.
+        """Return how many tasks of a job have completed, by its record and the commit log.
 
-        By the first chunk alone an array's count fell whenever its owner couldn't be reached. The
-        owner reads only the chunks of which the record may say more than it knows.
+        All chunks of the record count: by the first chunk alone, an array's count fell whenever
+        its owner couldn't be reached. The owner reads only the chunks that may have more
+        completed tasks in the record than it knows of.
         """
-        chunks = await self._done_chunks(shard, record, owned)
+        chunks = await self._encoded_completed_bits(shard, record, owned)
         completed = completed_by_chunk(chunks, changes)
         if owned is None:
             return sum(bits.bit_count() for bits in completed.values())
-        # Both at once, after all reading: a commit in between was counted as undone in a chunk
-        # and not among all that had completed.
+        # Both terms are computed together, after all reads: when a commit came between them, its
+        # tasks were counted in neither.
         return owned.completed + sum(
             owned.unknown_done(number, bits) for number, bits in completed.items()
         )
 
-    async def _done_chunks(
+    async def _encoded_completed_bits(
         self, shard: int, record: JobRecord, owned: Job | None
     ) -> dict[int, str]:
-        """The encoded completion bits of a job's chunks, by chunk number."""
+        """Return the encoded bits of completed tasks by chunk; with `owned` of uncertain chunks."""
         state, name = self.services.state, record.spec.id
         chunks = {0: record.chunk.completed_bits}
         if record.spec.tasks > records.TASKS_PER_CHUNK and owned is None:
             prefix = records.chunk_key(shard, name, None)
             for entry in (await state.read(prefix))[0]:
-                chunks[_chunk_number(entry)] = _done_field(entry)
+                chunks[_chunk_number(entry)] = _completed_bits(entry)
         elif owned is not None:
             for number in owned.uncertain_chunks - {0}:
                 key = records.chunk_key(shard, name, number)
                 if (chunk := await state.get(key, True)) is not None:
-                    chunks[number] = _done_field(chunk)
+                    chunks[number] = _completed_bits(chunk)
         return chunks
 
     async def owner_acknowledged(self, shard: int, name: str) -> bool:
-        """Whether no owner can answer any more from before a change that was written for it.
+        """Return whether no owner can report a job's state from before a change any more.
 
-        The owner has taken the mailbox entry, or owns the shard no longer; a later owner reads
-        the record first. Without this, an owner that had just come through an outage answered
-        that a job was running whose cancellation another controller had confirmed to its user.
+        That is certain once the owner has taken the change's mailbox entry, or no longer owns the
+        shard: a later owner reads the record first. Waits up to ACKNOWLEDGEMENT_TIMEOUT_S for it.
+        Without this, an owner that had just come through an outage answered that a job was
+        running, although another controller had confirmed its cancellation to its user.
         """
         context, state = self.services.context, self.services.state
         deadline, first_epoch = context.now() + ACKNOWLEDGEMENT_TIMEOUT_S, None
@@ -123,15 +127,15 @@
             await curio.sleep(ACKNOWLEDGEMENT_POLL_S)
 
 
-def terminal_status(name: str, state: str, done: int) -> api.JobStatus:
-    """The status of a job that has ended: nothing of it runs."""
-    return api.JobStatus(name, state, done, 0)
+def terminal_status(name: str, state: str, completed: int) -> api.JobStatus:
+    """Return the status of a job that has ended, with no running tasks."""
+    return api.JobStatus(name, state, completed, 0)
 
 
 def _chunk_number(chunk: api.Entry) -> int:
-    """Which chunk of its job's record an entry is."""
+    """Return the number of the chunk that an entry holds."""
     return int(chunk.key.rsplit("/", 1)[1])
 
 
-def _done_field(chunk: api.Entry) -> str:
+def _completed_bits(chunk: api.Entry) -> str:
     return msgspec.json.decode(chunk.value, type=records.CompletedBits).completed_bits
--- a/starlingdeck/api/submission.py
+++ b/starlingdeck/api/submission.py
@@ -1,20 +1,21 @@
-"""Checks of a submission beyond its fields' bounds: can the job ever be stored and run?"""
+"""Checks beyond the bounds of a submission's fields: whether the job can be stored and ever run."""
 
 import msgspec
 
 from starlingdeck.context import ControllerContext, fits, machine_capacity, requested_resources
 from starlingdeck.protocol.api import JobSpec
 
-MAX_SPEC_SHARE = 0.25  # of a value of the state service; what the tasks need comes on top
+# Of the largest value that the state service stores; the rest is for the states of the tasks.
+MAX_SPEC_SHARE = 0.25
 
 
 def infeasibility_reason(context: ControllerContext, spec: JobSpec) -> str:
-    """Why a job can never run; empty if it can."""
+    """Return why a job can never run; empty if it can."""
     team = next((t for t in context.settings.settings.teams if t.name == spec.team), None)
     if team is None:
         return f"unknown team {spec.team!r}"
-    count = spec.tasks if spec.service else 1
-    if 0 < team.cpus_max < spec.cpus * count or 0 < team.gpus_max < spec.gpus * count:
+    replicas = spec.tasks if spec.service else 1
+    if 0 < team.cpus_max < spec.cpus * replicas or 0 < team.gpus_max < spec.gpus * replicas:
         return f"more than the limit of team {spec.team!r}"
     size = requested_resources(spec)
     for machine_type in context.machine_types.values():
@@ -28,7 +29,7 @@
 
 
 def oversize_reason(context: ControllerContext, spec: JobSpec) -> str:
-    """Why a job's record could not be stored; empty if it can."""
+    """Return why a job's record is too large to be stored; empty if it is not."""
     limit = int(context.settings.settings.state.value_kb * 1000 * MAX_SPEC_SHARE)
     size = len(msgspec.json.encode(spec))
     return f"the description takes {size} bytes of {limit} allowed" if size > limit else ""
