--- a/starlingdeck/cli.py
+++ b/starlingdeck/cli.py
@@ -1,4 +1,4 @@
-"""The command line: run a controller, check its files, show or cancel a job."""
+"""The command line: run a controller, check its files, show or cancel a job, manage counts."""
 
 import gc
 import logging
@@ -145,8 +145,8 @@
         lambda: int(time.time() * 1000),
         random.Random(os.urandom(SEED_BYTES)),
     )
-    # Heartbeats and snapshots make many short-lived objects and few cycles: collect less often,
-    # and never traverse what was there from the start.
+    # Heartbeats and snapshots make many short-lived objects and few cycles, so garbage is collected
+    # less often, and objects that exist before the start are never traversed.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     if logging.getLogger().isEnabledFor(logging.DEBUG):
--- a/starlingdeck/cli_client.py
+++ b/starlingdeck/cli_client.py
@@ -13,8 +13,8 @@
 
 
 def request(server: str, method: str, path: str, body: bytes | None = None) -> str:
-    """Make one request and return the response's body; without success, exit with status 1."""
-    import http.client  # here, because a controller's start must not wait for it
+    """Make one request and return the response's body; exit with status 1 if it fails."""
+    import http.client  # imported here so that a controller starts without it
 
     try:
         connection = http.client.HTTPConnection(server, timeout=REQUEST_TIMEOUT_S)
--- a/starlingdeck/cli_counts.py
+++ b/starlingdeck/cli_counts.py
@@ -12,13 +12,13 @@
 
 @click.group()
 def counts() -> None:
-    """Counted resources: list, show, change (docs/counts.md)."""
+    """List, show and change counted resources (docs/counts.md)."""
 
 
 @counts.command("list")
 @server_option
 def counts_list(server: str) -> None:
-    """All counts: units held, ceiling, and the revision that `set` asks for."""
+    """List all counts with units held, ceiling, and the revision for `set --rev`."""
     for count in _all_counts(server):
         click.echo(_summary(count))
 
@@ -27,14 +27,14 @@
 @server_option
 @click.argument("name")
 def counts_show(server: str, name: str) -> None:
-    """One count, and the tasks that hold it at this controller's shards."""
+    """Show one count, and the tasks that hold units of it in this controller's shards."""
     count = msgspec.json.decode(request(server, "GET", f"{api.COUNTS}/{name}"))
     click.echo(_summary(count))
-    for use in count.get("holders", []):
-        stopping = "  told to stop" if use["yields"] else ""
+    for task in count.get("holders", []):
+        stopping = "  told to stop" if task["yields"] else ""
         click.echo(
-            f"  {use['task']} attempt {use['attempt']}: {use['units']} on {use['machine']}, "
-            f"{use['state']}{stopping}"
+            f"  {task['task']} attempt {task['attempt']}: {task['units']} on {task['machine']}, "
+            f"{task['state']}{stopping}"
         )
     shards = ", ".join(str(shard) for shard in count.get("shards", []))
     click.echo(f"  held by shard: {count['held']}; listed are those of shards {shards or 'none'}")
@@ -44,22 +44,30 @@
 @server_option
 @click.argument("name")
 @click.argument("ceiling", type=click.IntRange(0, api.MAX_UNITS))
-@click.option("--rev", type=int, help="Only if it is still at this revision. Default: as it is.")
-@click.option("--stop", is_flag=True, help="Stop what is over it: lowest rank, youngest first.")
-@click.option("--preempt/--no-preempt", default=None, help="May higher work stop lower work?")
-@click.option("--by", default="", help="Who changes it, for the history.")
+@click.option(
+    "--rev", type=int, help="Fail if the count is at another revision. Default: the present one."
+)
+@click.option(
+    "--stop", is_flag=True, help="Stop tasks over the ceiling: lowest rank, youngest first."
+)
+@click.option(
+    "--preempt/--no-preempt", default=None, help="May waiting jobs preempt tasks that hold units?"
+)
+@click.option("--by", default="", help="Who makes the change, for the history.")
 def counts_set(server: str, name: str, rev: int | None, **change: Any) -> None:
-    """Make a count, or change its ceiling. 0 closes it."""
+    """Create a count, or change its ceiling. With 0, no more tasks that need it start."""
     _change(server, name, rev, change)
 
 
 @counts.command("remove")
 @server_option
 @click.argument("name")
-@click.option("--rev", type=int, help="Only if it is still at this revision. Default: as it is.")
+@click.option(
+    "--rev", type=int, help="Fail if the count is at another revision. Default: the present one."
+)
 @click.option("--by", default="", help="Who removes it, for the history.")
 def counts_remove(server: str, name: str, rev: int | None, by: str) -> None:
-    """Take a count away: what waits for it waits on, new jobs that name it are refused."""
+    """Remove a count: jobs that wait for it go on waiting, new jobs that name it are refused."""
     _change(server, name, rev, {"ceiling": 0, "removed": True, "by": by})
 
 
@@ -67,7 +75,7 @@
 @server_option
 @click.argument("name")
 def counts_history(server: str, name: str) -> None:
-    """The last changes that operators made, oldest first."""
+    """List the last changes that operators made, oldest first."""
     history = msgspec.json.decode(request(server, "GET", f"{api.COUNTS}/{name}/history"))
     for change in history["changes"]:
         at = datetime.fromtimestamp(change["at_ms"] / 1000, UTC).isoformat(timespec="seconds")
@@ -82,7 +90,7 @@
 
 
 def _change(server: str, name: str, revision: int | None, change: dict[str, Any]) -> None:
-    """Change a count at a revision, by default at its present one; 0 creates it."""
+    """Change a count that is at `revision`, by default its present one; revision 0 creates it."""
     if revision is None:
         matching = (c.get("rev", 1) for c in _all_counts(server) if c["name"] == name)
         revision = next(matching, 0)
@@ -92,7 +100,7 @@
 
 
 def _summary(count: dict[str, Any]) -> str:
-    """One line on a count."""
+    """Return the line that shows a count: units held, ceiling, revision and flags."""
     flags = [flag for flag in ("preempt", "removed") if count.get(flag)]
     use = f"{sum(count['held'])} of {count['ceiling']} held"
     return "  ".join([f"{count['name']:<24} {use:<22} rev {count.get('rev', 1)}", *flags])
