--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -1,6 +1,6 @@
-"""Users ask every controller within milliseconds: no answer is older than an earlier one.
+"""Users query every controller within milliseconds, and no response is older than an earlier one.
 
-`SimulatedCluster.request` checks each answer against those given before its request began.
+`SimulatedCluster.request` checks each response against those given before its request began.
 """
 
 from typing import Any
@@ -25,7 +25,7 @@
 async def run_staggered_job(
     cluster: SimulatedCluster, name: str, tasks: int = 6, **other: Any
 ) -> None:
-    """A job whose tasks end one by one."""
+    """Submit a job whose tasks end one by one, and let it run for 2 s."""
     await cluster.run(4.0)
     for i in range(tasks):
         cluster.run_times[f"{name}/{i}"] = 2.0 + 1.3 * i
@@ -33,9 +33,12 @@
     await cluster.run(2.0)
 
 
-def counts_while_writing(monkeypatch: pytest.MonkeyPatch, trouble: str) -> list[int]:
-    """How many of a job's tasks are reported done, while its owner's writes are answered late or
-    not at all and everybody is asked; a count that falls breaks an invariant."""
+def counts_while_writing(monkeypatch: pytest.MonkeyPatch, failure: str) -> list[int]:
+    """Return how many of a job's tasks had been reported done, every 0.1 s, while the writes of its
+    owner were answered late or not at all and all controllers were queried.
+
+    A count that falls raises InvariantViolationError.
+    """
     cluster = SimulatedCluster(3)
     counts = []
 
@@ -43,7 +46,7 @@
         name = job_of_shard(0)
         await run_staggered_job(cluster, name)
         inject_failure(cluster, "apart", 0)
-        cluster.clients[0].lost_answer_share = float(trouble == "lost")
+        cluster.clients[0].lost_answer_share = float(failure == "lost")
         cluster.clients[0].max_latency_s = 2.0
         for _ in range(80):
             await cluster.spawn(ask_all, cluster, name)
@@ -55,20 +58,20 @@
     return counts
 
 
-@pytest.mark.parametrize("trouble", ["lost", "slow"])
-def test_no_count_falls_while_a_write_is_under_way(
-    monkeypatch: pytest.MonkeyPatch, trouble: str
+@pytest.mark.parametrize("failure", ["lost", "slow"])
+def test_reported_completed_count_during_an_unanswered_write_never_falls(
+    monkeypatch: pytest.MonkeyPatch, failure: str
 ) -> None:
-    """The owner's write of ended tasks was executed and its answer under way, or lost: others
-    read and reported the count, then the owner reported the one before."""
-    counts = counts_while_writing(monkeypatch, trouble)
+    """The owner's write of ended tasks was executed, but its answer was late or lost: other
+    controllers read and reported the new count, then the owner reported the old one."""
+    counts = counts_while_writing(monkeypatch, failure)
     assert counts[0] < counts[-1]
 
 
-def test_all_chunks_of_an_array_are_counted_without_its_owner(
+def test_array_whose_owner_is_unreachable_reports_the_tasks_of_all_chunks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """By its record's first chunk alone an array's count fell once its owner was unreachable."""
+    """Only the first chunk was counted, so an array's count fell once its owner was unreachable."""
     cluster = SimulatedCluster(4)
     tasks = records.TASKS_PER_CHUNK + 20
 
@@ -90,9 +93,11 @@
 
 
 @pytest.mark.parametrize("end", ["done", "cancelled"])
-def test_a_finished_jobs_count_stays_what_it_was(monkeypatch: pytest.MonkeyPatch, end: str) -> None:
-    """A repeated submission to a new owner was answered that nothing of a finished job was done,
-    and so was whoever asked about a cancelled one."""
+def test_finished_job_keeps_its_reported_completed_count(
+    monkeypatch: pytest.MonkeyPatch, end: str
+) -> None:
+    """A new owner answered a repeated submission of a finished job, and queries of a cancelled one,
+    with a completed count of 0."""
     cluster = SimulatedCluster(5)
 
     async def drive() -> tuple[int, str]:
@@ -110,7 +115,7 @@
             cluster.crash(0, 0.2)
             await cluster.run(6.0)
             await ask_all(cluster, name)
-        # The owner has dropped it since, or is a new one: only the record has it.
+        # As if every owner had dropped the job, or were new: only the record has it.
         for node in cluster.controllers:
             for writer in node.writers.values():
                 writer.shard.terminal_states.clear()
@@ -122,20 +127,21 @@
     assert done >= 2
 
 
-def test_a_job_that_ended_while_its_acceptance_was_under_way_stays_so(
+def test_job_that_ends_before_its_submission_is_answered_stays_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The record of a submission was there and its answer under way: another request had the
-    owner read it, cancel it and end it. Then the answer came, and the job was waiting again."""
+    """The record of a submission was written and its answer had not arrived, when another request
+    had the owner read the job, cancel it and end it. Then the answer came, and the owner kept the
+    job as queued."""
     cluster = SimulatedCluster(6)
 
     async def drive() -> list[str]:
         await cluster.run(4.0)
         name, client = job_of_shard(0), cluster.clients[0]
-        plain = client.transact
+        original = client.transact
 
         async def slow(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]  # the signature of `transact`
-            revision = await plain(conditions, changes, urgent)
+            revision = await original(conditions, changes, urgent)
             if records.final_key(0, name) in conditions:
                 await curio.sleep(1.5)
             return revision
@@ -147,12 +153,12 @@
         await cluster.spawn(cluster.request, 0, "POST", api.JOBS, body)
         await cluster.run(0.2)
         assert await cluster.request(0, "POST", f"{api.JOBS}/{name}/{api.CANCEL}") == 200
-        answer = []
+        states = []
         for _ in range(20):
             await cluster.run(0.2)
             assert await cluster.request(0, "GET", f"{api.JOBS}/{name}") == 200
-            answer.append(cluster.reported_terminal[name][0])
+            states.append(cluster.reported_terminal[name][0])
         assert not cluster.controllers[0].writers[0].shard.jobs
-        return answer
+        return states
 
     assert set(run_simulation(monkeypatch, cluster, drive())) == {"cancelled"}
--- a/tests/test_status_answers.py
+++ b/tests/test_status_answers.py
@@ -1,4 +1,4 @@
-"""The status that users are answered never goes back, whichever controller they ask."""
+"""The status that is reported for a job never goes back, whichever controller reports it."""
 
 import random
 
@@ -25,23 +25,27 @@
 
 NODES = 3
 TTL_S = 2.5
-FORGOTTEN_S = 75.0  # the operators' bound on a job's questions without an answer
+MAX_UNANSWERED_S = 75.0  # the operators' bound on how long queries of a job may stay unanswered
 JOB = "j-000001"
 SHARD = shard_of_job(JOB, NODES)
 
 
 class Cluster:
-    """Three controllers, one job, and the faults between them. Watches can be paused."""
+    """Three controllers, one job, and the faults between them. Watches can be paused.
+
+    `owner` is the owner of the job's shard, -1 if there is none; `terminal_state` is the one that
+    was reported, if any; `accepted` is set once any controller has reported the job.
+    """
 
     def __init__(self, seed: int) -> None:
         self.clock = Clock()
         self.state = FakeStateService(random.Random(seed))
         self.clients = [FakeStateClient(self.state, 0.0) for _ in range(NODES)]
         self.nodes = [self.start(i) for i in range(NODES)]
-        self.parted: set[frozenset[int]] = set()
+        self.partitions: set[frozenset[int]] = set()
         self.watch_paused: set[int] = set()
         self.owner = -1
-        self.answered = ""
+        self.terminal_state = ""
         self.accepted = False
 
     def start(self, number: int) -> Controller:
@@ -50,21 +54,21 @@
         node.membership.lease.lease_id, node.membership.lease.renewed_at = 1, self.clock.at
 
         async def call(to: int, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
-            if not up(to):
-                raise PeerUnavailableError("parted")
+            if not is_reachable(to):
+                raise PeerUnavailableError("partitioned")
             reply = await self.nodes[to].on_message(envelope)
             assert reply is not None
             return reply
 
-        def up(to: int) -> bool:
-            return frozenset((number, to)) not in self.parted
+        def is_reachable(to: int) -> bool:
+            return frozenset((number, to)) not in self.partitions
 
         node.peers.call = call  # type: ignore[method-assign, assignment]  # a test double
-        node.peers.is_reachable = up  # type: ignore[method-assign, assignment]  # a test double
+        node.peers.is_reachable = is_reachable  # type: ignore[method-assign, assignment]  # a test double
         return node
 
-    async def tick(self, seconds: float) -> None:
-        """Leases, takeovers, and the watches that aren't paused."""
+    async def advance(self, seconds: float) -> None:
+        """Advance the clock; renew or end leases, take over the shard, deliver unpaused watches."""
         self.clock.at += seconds
         for number, node in enumerate(self.nodes):
             if self.clock.at > node.membership.lease.renewed_at + TTL_S:
@@ -80,11 +84,11 @@
             if not self.clients[number].cut:
                 await self.deliver_watch(number)
 
-    async def take_over(self, first: int = 0) -> None:
-        able = [i for i in range(NODES) if not self.clients[i].cut]
-        if not able:
+    async def take_over(self, preferred: int = 0) -> None:
+        connected = [i for i in range(NODES) if not self.clients[i].cut]
+        if not connected:
             return
-        self.owner = first if first in able else able[0]
+        self.owner = preferred if preferred in connected else connected[0]
         epoch = self.state.rng.getrandbits(40)
         change = put_change(records.shard_key(SHARD), records.ShardValue(self.owner, epoch))
         assert not self.state.apply({records.shard_key(SHARD): 0}, [change])
@@ -96,7 +100,7 @@
             other.membership.owners[SHARD] = ShardOwner(self.owner, token, epoch)
 
     async def deliver_watch(self, number: int) -> None:
-        """Handle the mailbox entries that its watch would have reported."""
+        """Have a controller handle the mailbox entries that its watch would have reported."""
         writer = self.nodes[number].writers.get(SHARD)
         prefix = records.mailbox_key(SHARD, "")
         for key, (_, version) in list(self.state.keys.items()):
@@ -105,42 +109,44 @@
                     writer, key[len(prefix) :], key, version
                 )
 
-    async def act(self, verb: str, number: int, other: int) -> None:
+    async def perform(self, action: str, number: int, other: int) -> None:
         """Inject a fault, end the job's task, or send a user's request."""
         node = self.nodes[number]
-        if verb == "finish":
+        if action == "finish":
             await self.finish()
-        elif verb == "submit":
-            await self.ask(node, "POST", api.JOBS, msgspec.json.encode(job_body(JOB, chores=1)))
-        elif verb == "query":
-            await self.ask(node, "GET", f"{api.JOBS}/{JOB}", b"")
-        elif verb == "cancel":
-            await self.ask(node, "POST", f"{api.JOBS}/{JOB}/{api.CANCEL}", b"")
-        elif verb == "restart":
+        elif action == "submit":
+            await self.send_request(
+                node, "POST", api.JOBS, msgspec.json.encode(job_body(JOB, chores=1))
+            )
+        elif action == "query":
+            await self.send_request(node, "GET", f"{api.JOBS}/{JOB}", b"")
+        elif action == "cancel":
+            await self.send_request(node, "POST", f"{api.JOBS}/{JOB}/{api.CANCEL}", b"")
+        elif action == "restart":
             await self.restart(number)
         else:
-            self.inject(verb, number, other)
+            self.inject(action, number, other)
 
-    def inject(self, verb: str, number: int, other: int) -> None:
+    def inject(self, action: str, number: int, other: int) -> None:
         """Begin or end a fault of the network or the state service."""
         client = self.clients[number]
-        if verb == "cut":
+        if action == "cut":
             client.cut = not client.cut
-        elif verb == "part":
-            self.parted ^= {frozenset((number, other))}
-        elif verb == "pause_watch":
+        elif action == "part":
+            self.partitions ^= {frozenset((number, other))}
+        elif action == "pause_watch":
             self.watch_paused ^= {number}
-        elif verb == "trouble":
+        elif action == "trouble":
             client.failure_rate = 0.0 if client.failure_rate else 0.6
-        elif verb == "late" and self.state.delayed_transactions:
+        elif action == "late" and self.state.delayed_transactions:
             self.state.apply(*self.state.delayed_transactions.pop(0))
-        elif verb == "outage":
+        elif action == "outage":
             down = not all(c.cut for c in self.clients)
             for each in self.clients:
                 each.cut = down
 
     async def restart(self, number: int) -> None:
-        """Back within a fraction of a second: what it has sent may still be executed."""
+        """Restart a controller in a fraction of a second: what it sent may still be executed."""
         client = self.clients[number]
         self.nodes[number] = self.start(number)
         if number == self.owner:
@@ -150,26 +156,26 @@
                 await self.take_over(number)
 
     async def recover(self) -> None:
-        """All faults are over: soon every healthy controller answers for the job."""
-        self.parted.clear()
+        """End all faults, and check that every healthy controller soon reports the job."""
+        self.partitions.clear()
         self.watch_paused.clear()
         for client in self.clients:
             client.cut, client.failure_rate = False, 0.0
-        asked, began = set(range(NODES)), self.clock.at
-        while asked:
-            assert self.clock.at - began < FORGOTTEN_S, "forgotten"
-            await self.tick(3.0)
-            for number in list(asked):
+        unanswered_by, started_at = set(range(NODES)), self.clock.at
+        while unanswered_by:
+            assert self.clock.at - started_at < MAX_UNANSWERED_S, "forgotten"
+            await self.advance(3.0)
+            for number in list(unanswered_by):
                 node = self.nodes[number]
                 query = Request("GET", f"{api.JOBS}/{JOB}", b"")
                 if (
                     node.http_router.health().status != 200
                     or (await node.serve(query)).status == 200
                 ):
-                    asked.discard(number)
+                    unanswered_by.discard(number)
 
     async def finish(self) -> None:
-        """The owner learns that the task ran to its end, and writes what it can."""
+        """Have the owner learn that the task has completed, and write that if it can."""
         if self.owner < 0:
             return
         node = self.nodes[self.owner]
@@ -193,7 +199,7 @@
         except StateError:
             return
 
-    async def ask(self, node: Controller, method: str, path: str, body: bytes) -> None:
+    async def send_request(self, node: Controller, method: str, path: str, body: bytes) -> None:
         reply: Response = await node.serve(Request(method, path, body))
         if reply.status == 404 and path != api.JOBS:
             assert not self.accepted, "a job once accepted is unknown"
@@ -201,14 +207,16 @@
             return
         status = msgspec.json.decode(reply.body, type=api.JobStatus)
         self.accepted = True
-        if self.answered:
-            assert status.state == self.answered, f"was {self.answered}, is {status.state}"
+        if self.terminal_state:
+            assert status.state == self.terminal_state, (
+                f"was {self.terminal_state}, is {status.state}"
+            )
         if status.state in (api.DONE, api.CANCELLED):
-            self.answered = status.state
+            self.terminal_state = status.state
 
 
-VERBS = ["query"] * 5 + ["cancel", "cancel", "submit", "finish", "finish"]
-VERBS += [
+ACTIONS = ["query"] * 5 + ["cancel", "cancel", "submit", "finish", "finish"]
+ACTIONS += [
     "restart",
     "cut",
     "part",
@@ -221,24 +229,24 @@
     "outage",
 ]
 STEPS = st.tuples(
-    st.sampled_from(VERBS),
+    st.sampled_from(ACTIONS),
     st.integers(0, NODES - 1),
     st.integers(0, NODES - 1),
     st.sampled_from([0.0, 0.0, 0.1, 1.0, 3.0]),
 )
 
 
-async def play(cluster: Cluster, steps: list[tuple[str, int, int, float]]) -> None:
-    await cluster.tick(0.0)
-    for verb, number, other, seconds in steps:
-        await cluster.act(verb, number, other)
+async def run_steps(cluster: Cluster, steps: list[tuple[str, int, int, float]]) -> None:
+    await cluster.advance(0.0)
+    for action, number, other, seconds in steps:
+        await cluster.perform(action, number, other)
         if seconds:
-            await cluster.tick(seconds)
+            await cluster.advance(seconds)
 
 
 @pytest.fixture
 def cluster(monkeypatch: pytest.MonkeyPatch) -> list[Cluster]:
-    """The cluster of the running test, whose time passes while a controller sleeps."""
+    """Return a list for the test's cluster, whose clock advances while a controller sleeps."""
     current: list[Cluster] = []
 
     async def sleep(seconds: float) -> None:
@@ -248,47 +256,47 @@
     return current
 
 
-def test_a_cancellation_made_for_an_owner_is_answered_once_that_knows_it(
+def test_cancellation_by_another_controller_is_confirmed_once_the_owner_knows_it(
     cluster: list[Cluster],
 ) -> None:
-    """The owner came through an outage as valid and answered from memory, before it had read
-    that another controller had cancelled the job and told its user so."""
+    """The owner kept its lease through an outage and reported a job as running from memory, before
+    it had read that another controller had cancelled the job and confirmed that to its user."""
     cluster.append(Cluster(1))
     clock, nodes = cluster[0].clock, cluster[0].nodes
 
     async def drive() -> list[int]:
-        await play(cluster[0], [("submit", 0, 0, 0.5)])
+        await run_steps(cluster[0], [("submit", 0, 0, 0.5)])
         owner = cluster[0].owner
-        near, far = (i for i in range(NODES) if i != owner)
-        cluster[0].parted.add(frozenset((near, owner)))
-        cluster[0].parted.add(frozenset((near, far)))
+        canceller, querier = (i for i in range(NODES) if i != owner)
+        cluster[0].partitions.add(frozenset((canceller, owner)))
+        cluster[0].partitions.add(frozenset((canceller, querier)))
         cluster[0].watch_paused.add(owner)
         path, statuses = f"{api.JOBS}/{JOB}/{api.CANCEL}", []
         for handled in (False, True):
             if handled:
                 await cluster[0].deliver_watch(owner)
             before = clock.at
-            reply = await nodes[near].serve(Request("POST", path, b""))
+            reply = await nodes[canceller].serve(Request("POST", path, b""))
             statuses.append(reply.status)
             assert clock.at - before < 1.0
-            query = await nodes[far].serve(Request("GET", f"{api.JOBS}/{JOB}", b""))
+            query = await nodes[querier].serve(Request("GET", f"{api.JOBS}/{JOB}", b""))
             assert (b"cancelled" in query.body) == handled
         return statuses
 
     assert curio.run(drive) == [503, 200]
 
 
-def test_an_owner_does_not_answer_from_before_an_end_it_may_have_written(
+def test_owner_whose_write_of_an_end_got_no_answer_reports_the_recorded_state(
     cluster: list[Cluster],
 ) -> None:
-    """The record said done and another controller had told its user so, while the owner, whose
-    write had got no answer, called the job running."""
+    """The owner's write of a job's end was executed, but got no answer. Another controller reported
+    the job as done from its record, and the owner still reported it as running."""
     cluster.append(Cluster(1))
 
     async def drive() -> None:
-        await play(cluster[0], [("submit", 0, 0, 0.5)])
+        await run_steps(cluster[0], [("submit", 0, 0, 0.5)])
         owner = cluster[0].owner
-        far = (owner + 1) % NODES
+        querier = (owner + 1) % NODES
         client = cluster[0].clients[owner]
         apply = client.transact
 
@@ -298,37 +306,37 @@
 
         client.transact = unanswered  # type: ignore[method-assign]  # a test double
         await cluster[0].finish()
-        cluster[0].parted.add(frozenset((owner, far)))
-        await cluster[0].act("query", far, 0)
-        assert cluster[0].answered == api.DONE
-        await cluster[0].act("query", owner, 0)
+        cluster[0].partitions.add(frozenset((owner, querier)))
+        await cluster[0].perform("query", querier, 0)
+        assert cluster[0].terminal_state == api.DONE
+        await cluster[0].perform("query", owner, 0)
 
     curio.run(drive)
 
 
 @pytest.mark.parametrize("when", ["read", "handled"])
-def test_a_cancellation_that_comes_while_an_owner_loads_is_not_missed(
+def test_cancellation_during_a_load_or_a_mailbox_entry_is_not_missed(
     cluster: list[Cluster], when: str
 ) -> None:
-    """Watches passed over entries while a shard was being loaded after its takeover, and an entry
-    that came while an older one was handled was dropped with that: the owner went on running jobs
-    whose users had been answered that they were cancelled."""
+    """Watches skipped mailbox entries while a shard was being loaded after its takeover, and an
+    entry that arrived while an older one was handled was deleted with that one: the owner went on
+    running jobs whose users had been told that they were cancelled."""
     cluster.append(Cluster(1))
 
     async def drive() -> None:
-        await play(cluster[0], [("submit", 0, 0, 0.5)])
-        former = cluster[0].owner
-        writer = cluster[0].nodes[former].writers[SHARD]
-        others = [i for i in range(NODES) if i != former]
-        cluster[0].parted.update(frozenset((i, former)) for i in others)
-        client = cluster[0].clients[former if when == "handled" else others[0]]
-        plain = client.get if when == "handled" else client.read
+        await run_steps(cluster[0], [("submit", 0, 0, 0.5)])
+        first_owner = cluster[0].owner
+        writer = cluster[0].nodes[first_owner].writers[SHARD]
+        others = [i for i in range(NODES) if i != first_owner]
+        cluster[0].partitions.update(frozenset((i, first_owner)) for i in others)
+        client = cluster[0].clients[first_owner if when == "handled" else others[0]]
+        original = client.get if when == "handled" else client.read
         cancels = [others[-1]]
 
-        async def and_then(key: str, urgent: bool = False) -> object:
-            found = await plain(key)
+        async def read_then_cancel(key: str, urgent: bool = False) -> object:
+            found = await original(key)
             if key.startswith(records.job_key(SHARD, "")) and cancels:
-                await cluster[0].act("cancel", cancels.pop(), 0)
+                await cluster[0].perform("cancel", cancels.pop(), 0)
             return found
 
         if when == "handled":
@@ -336,13 +344,13 @@
             assert not cluster[0].state.apply(
                 entry, [put_change(records.mailbox_key(SHARD, JOB), 1)]
             )
-            client.get = and_then  # type: ignore[method-assign, assignment]  # a test double
-            await cluster[0].deliver_watch(former)
+            client.get = read_then_cancel  # type: ignore[method-assign, assignment]  # a test double
+            await cluster[0].deliver_watch(first_owner)
         else:
-            client.read = and_then  # type: ignore[method-assign, assignment]  # a test double
-            cluster[0].watch_paused.update(others)  # the watch has come by while the shard is read
-            cluster[0].clients[former].cut = True
-            await cluster[0].tick(TTL_S + 1.0)
+            client.read = read_then_cancel  # type: ignore[method-assign, assignment]  # a test double
+            cluster[0].watch_paused.update(others)  # their watches pass the entry during the read
+            cluster[0].clients[first_owner].cut = True
+            await cluster[0].advance(TTL_S + 1.0)
             writer = cluster[0].nodes[cluster[0].owner].writers[SHARD]
         (job,) = writer.shard.jobs.values()
         assert job.cancelled or records.mailbox_key(SHARD, JOB) in cluster[0].state.keys
@@ -351,21 +359,23 @@
     curio.run(drive)
 
 
-def test_an_entry_is_handled_by_one_task_however_often_it_is_read(cluster: list[Cluster]) -> None:
-    """A failure had all entries read again, and every reading started a task for each."""
+def test_mailbox_entry_that_is_read_repeatedly_is_handled_by_one_task(
+    cluster: list[Cluster],
+) -> None:
+    """After a failure all entries were read again, and each read started a task for every entry."""
     cluster.append(Cluster(1))
 
     async def drive() -> tuple[int, bool]:
-        await play(cluster[0], [("submit", 0, 0, 0.5)])
+        await run_steps(cluster[0], [("submit", 0, 0, 0.5)])
         node = cluster[0].nodes[cluster[0].owner]
         writer, key = node.writers[SHARD], records.mailbox_key(SHARD, JOB)
         reads = 0
-        plain = writer.reload
+        original = writer.reload
 
         async def reload(name: str) -> object:
             nonlocal reads
             reads += 1
-            return await plain(name)
+            return await original(name)
 
         writer.reload = reload  # type: ignore[method-assign, assignment]  # a test double
         await writer.lock.acquire()
@@ -387,29 +397,29 @@
     assert curio.run(drive) == (1, False)
 
 
-PAIRS = st.sampled_from([frozenset(p) for p in ((0, 1), (0, 2), (1, 2))])
+NODE_PAIRS = st.sampled_from([frozenset(p) for p in ((0, 1), (0, 2), (1, 2))])
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(
     seed=st.integers(0, 1 << 16),
-    parted=st.sets(PAIRS),
+    partitions=st.sets(NODE_PAIRS),
     watch_paused=st.sets(st.integers(0, NODES - 1)),
     steps=st.lists(STEPS, min_size=6, max_size=30),
 )
 def check_answers(
     current: list[Cluster],
     seed: int,
-    parted: set[frozenset[int]],
+    partitions: set[frozenset[int]],
     watch_paused: set[int],
     steps: list[tuple[str, int, int, float]],
 ) -> None:
     current[:] = [Cluster(seed)]
-    current[0].parted, current[0].watch_paused = parted, watch_paused
-    curio.run(play, current[0], [("submit", 0, 0, 0.1), *steps])
+    current[0].partitions, current[0].watch_paused = partitions, watch_paused
+    curio.run(run_steps, current[0], [("submit", 0, 0, 0.1), *steps])
     if current[0].accepted:
         curio.run(current[0].recover)
 
 
-def test_the_answered_status_never_goes_back(cluster: list[Cluster]) -> None:
+def test_reported_status_under_random_faults_never_goes_back(cluster: list[Cluster]) -> None:
     check_answers(cluster)
