--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Test doubles for what a deployment has beside the controllers: processes on loopback.
+"""Test doubles for all parts of a deployment other than the controllers: processes on loopback.
 
-They implement PROTOCOL as far as real controllers need it to run on one machine.
+They implement as much of PROTOCOL as real controllers need in order to run on one machine.
 """
--- a/standins/agent.py
+++ b/standins/agent.py
@@ -1,7 +1,7 @@
 """The worker's side of the protocol: sessions, leases, tokens, sequence numbers, commands.
 
-State only: sockets and timers belong to the driver. `execute` returns the tasks to start and to
-stop; the driver reports their progress with `task_running` and `task_ended`.
+An agent holds state only: sockets and timers belong to its caller. `execute` returns the tasks to
+start and to stop; the caller reports their progress with `task_running` and `task_ended`.
 """
 
 from collections.abc import Callable
@@ -11,8 +11,8 @@
 
 FETCHING, RUNNING, EXITED = "fetching", "running", "exited"
 REPORT_TIMEOUT_S = 4.0  # until a heartbeat counts as unanswered
-CONTROLLER_RETRY_S = 1.0  # before a worker tries the next controller
-MIN_REPORT_INTERVAL_S = 0.5  # between two heartbeats
+CONTROLLER_RETRY_S = 1.0  # wait before a worker tries the next controller
+MIN_REPORT_INTERVAL_S = 0.5  # between the starts of two heartbeats
 
 
 @dataclass
@@ -60,10 +60,10 @@
         self.tasks.clear()
         self.session = 1
         self.sequence = self.token = 0
-        self.last_answered_at = now  # when the last answered heartbeat was sent
+        self.lease_renewed_at = now  # when the last answered heartbeat was sent
 
     def build_report(self) -> api.Report:
-        """The next heartbeat; each has a higher sequence number."""
+        """Returns the next heartbeat; its sequence number is one higher than the last."""
         self.sequence += 1
         identity = self.identity
         tasks = [
@@ -76,7 +76,11 @@
         )  # fmt: skip
 
     def handle_commands(self, batch: api.Commands) -> Actions | None:
-        """Executes direct commands; None, without effect, on a lower token or another session."""
+        """Executes commands that a controller sent directly.
+
+        Returns None, without any effect, if their token is lower than the highest one seen or
+        their session is not the current one.
+        """
         if batch.token < self.token or batch.session != self.session:
             return None
         self.token = batch.token
@@ -85,18 +89,24 @@
     def handle_report_reply(
         self, reply: api.ReportReply, session: int, sent: float
     ) -> Actions | None:
-        """Executes the commands of a heartbeat's reply; None when the reply is outdated.
+        """Renews the lease and executes the commands of the reply to a heartbeat.
 
-        `session` and `sent` (seconds) are those of the heartbeat.
+        `session` is the heartbeat's session; the lease runs from `sent`, when the heartbeat was
+        sent, in seconds. Returns None, without any effect, if that session has ended or the
+        reply's token is lower than the highest one seen.
         """
         if session != self.session or reply.token < self.token:
             return None
         self.token = reply.token
-        self.last_answered_at = max(self.last_answered_at, sent)
+        self.lease_renewed_at = max(self.lease_renewed_at, sent)
         return self.execute(reply.commands)
 
     def execute(self, commands: list[api.Command]) -> Actions:
-        """Executes commands in order. A start of a known attempt has no effect."""
+        """Executes commands in order and returns the tasks to start and to stop.
+
+        A start has no effect if its attempt is known or another attempt of the task has not
+        exited; a stop or reap has none if its attempt is not the known one.
+        """
         actions = Actions()
         for command in commands:
             task = self.tasks.get(command.task)
@@ -126,30 +136,32 @@
         """Records that a task has its image and runs."""
         self.tasks[name].state = RUNNING
 
-    def task_ended(self, name: str, error: str) -> None:
+    def task_ended(self, name: str, exit_cause: str) -> None:
         """Records that a task has exited, with the cause that heartbeats carry."""
         task = self.tasks[name]
-        task.state, task.exit_cause = EXITED, error
+        task.state, task.exit_cause = EXITED, exit_cause
 
     def expire_lease(self, now: float, lease_s: float) -> list[str]:
-        """Ends the session if the lease has expired; returns the tasks killed by that."""
-        if now - self.last_answered_at <= lease_s:
+        """Ends the session if the lease has expired; returns the tasks that this kills."""
+        if now - self.lease_renewed_at <= lease_s:
             return []
         killed = [name for name, task in self.tasks.items() if task.state != EXITED]
         self.tasks.clear()
         self.session += 1
-        self.last_answered_at = now
+        self.lease_renewed_at = now
         return killed
 
 
-def advance_controller(names: list[str], named: str | None) -> bool:
-    """Moves the controller to report to next to the front, after a refused heartbeat.
+def advance_controller(controllers: list[str], redirect_to: str | None) -> bool:
+    """Moves the controller for the next heartbeat to the front.
 
-    `named` is the controller that the refusal named. True when the worker has to wait first.
+    Called after the controller at the front refused a heartbeat or did not answer. The next one is
+    `redirect_to`, which the refusal named, if it is another one in the list, and otherwise the
+    second. Returns whether the worker has to wait before the next heartbeat.
     """
-    if named in names and named != names[0]:
-        names.remove(named)
-        names.insert(0, named)
+    if redirect_to in controllers and redirect_to != controllers[0]:
+        controllers.remove(redirect_to)
+        controllers.insert(0, redirect_to)
         return False
-    names.append(names.pop(0))
+    controllers.append(controllers.pop(0))
     return True
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -1,10 +1,10 @@
 """Test double of the cloud: rentals, deletions and a lagging machine list, with rate limits.
 
 python -m standins.cloud ADDRESS TYPES.json FIRST_PORT -- WORKER ARGUMENTS...
-starts one worker process per machine and passes the arguments on to each. A `Launcher` runs the
-machines, so that simulated workers can share processes (standins.simulated_cloud).
+starts one worker process per machine and passes the arguments on to each. The machines are run by a
+`Launcher`: `ProcessLauncher`, or that of standins.simulated_cloud, whose machines share processes.
 POST /kill with {"host": "vm-000001"} kills a machine; POST /cut with {"host": ..., "seconds": 8}
-isolates one from the controllers.
+isolates a machine from the controllers.
 """
 
 import signal
@@ -23,9 +23,9 @@
 from starlingdeck.transport.client import HttpClient
 from starlingdeck.transport.server import Request, Response
 
-MAX_RENTED_PER_CALL = 50  # machines
+MAX_MACHINES_PER_RENTAL = 50
 MAX_PAGE_ITEMS = 500
-RATE_BURST_S = 2.0  # burst of the rate limit, in seconds' worth of requests
+RATE_BURST_S = 2.0  # allowed burst, in seconds' worth of requests
 FAILURE_VISIBLE_AFTER_S = 30.0  # until a dead machine is listed as failed
 
 
@@ -45,8 +45,8 @@
 class ProcessLauncher:
     """Runs one worker process per machine."""
 
-    def __init__(self, port: int, arguments: list[str]) -> None:
-        self.first_port = port
+    def __init__(self, first_port: int, arguments: list[str]) -> None:
+        self.first_port = first_port
         self.arguments = arguments
         self.started_count = 0
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -85,7 +85,7 @@
         await self.http.call(machine.addr, "POST", "/cut", body, 2.0)
 
     async def run(self) -> None:
-        """Ends the workers when the cloud's process ends."""
+        """Runs until the cloud's process ends, then kills the worker processes."""
         try:
             while True:
                 await curio.sleep(1.0)
@@ -105,7 +105,10 @@
         list_lag_s: float = 0.0,
         capacity: int = 0,
     ) -> None:
-        """`rps` (requests a second) and `capacity` (machines): 0 for no limit."""
+        """Limits the cloud to `rps` requests per second and `capacity` machines; 0 means no limit.
+
+        `list_lag_s` is the time until a started machine is listed.
+        """
         self.types = types
         self.launcher = launcher
         self.rate_limiter = RateLimiter(rps, RATE_BURST_S)
@@ -118,7 +121,7 @@
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
     async def handle(self, request: Request) -> Response:
-        """Handles one request, within the rate limit."""
+        """Handles one request; only fault injection is exempt from the rate limit."""
         post = request.method == "POST"
         if request.path in ("/kill", "/cut"):
             return await self.inject_fault(request)
@@ -156,7 +159,7 @@
         if machine_type is None or request.zone not in machine_type.zones:
             return error_response(400, "no such type there")
         if request.request not in self.rented_by_request:
-            count = min(MAX_RENTED_PER_CALL, request.count)
+            count = min(MAX_MACHINES_PER_RENTAL, request.count)
             if self.capacity:
                 count = min(count, self.capacity - len(self.machines) + len(self.died_at))
             if count <= 0:
@@ -177,7 +180,7 @@
         return name
 
     def list_page(self, parameters: dict[str, str]) -> Response:
-        """One page of the machine list, `list_lag_s` seconds late."""
+        """Returns a page of the machine list; a machine is listed `list_lag_s` after its start."""
         now = time.monotonic()
         for name in list(self.died_at):
             if now - self.died_at[name] > FAILURE_VISIBLE_AFTER_S and name in self.machines:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,7 +1,8 @@
 """Test double of a tariff engine: accepts sessions and logs how many are open.
 
 python -m standins.engine ADDRESS LOG
-A line of the log: seconds, "open", "close" or "done", task, attempt, machine, sessions then open.
+Each line of the log has the Unix time in seconds, "open", "close" or "done", the task, the attempt,
+the machine, and the number of sessions open at that time.
 """
 
 import sys
@@ -14,7 +15,7 @@
 
 
 class Engine:
-    """Counts open sessions and logs every change."""
+    """Counts open sessions and logs their events."""
 
     def __init__(self, path: Path) -> None:
         self.log = path.open("a", buffering=1)
--- a/standins/simulated_cloud.py
+++ b/standins/simulated_cloud.py
@@ -1,4 +1,4 @@
-"""A cloud whose machines are simulated workers, distributed over their host processes.
+"""Test double of the cloud whose machines are simulated workers in several host processes.
 
 python -m standins.simulated_cloud CONFIG.json
 """
@@ -26,7 +26,7 @@
     rps: float
     list_lag_s: float
     capacity: int
-    initial: int  # machines that run from the start
+    initial: int  # number of machines started with the cloud
 
 
 class SimulatedWorkerLauncher:
@@ -35,7 +35,7 @@
     def __init__(self, hosts: list[str]) -> None:
         self.hosts = hosts
         self.started_count = 0
-        self.host_by_machine: dict[str, str] = {}  # machine -> control address
+        self.host_by_machine: dict[str, str] = {}  # control address of each machine's host
         self.http = HttpClient()
 
     async def start(self, machine_type: api.MachineType, machine: api.MachineInfo) -> None:
@@ -58,12 +58,12 @@
             await self.http.call(host, "POST", "/kill", msgspec.json.encode([name]), CALL_TIMEOUT_S)
 
     async def isolate(self, machine: api.MachineInfo, seconds: float) -> None:
-        """Not supported."""
+        """Raises NotImplementedError: simulated workers can't be isolated."""
         raise NotImplementedError("simulated workers can be killed or restarted, not isolated")
 
 
 def main() -> None:
-    """Runs the cloud of a configuration file."""
+    """Runs a cloud with the configuration file that the command line names."""
     config = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=CloudConfig)
     launcher = SimulatedWorkerLauncher(config.hosts)
     cloud = Cloud(config.types, launcher, config.rps, config.list_lag_s, config.capacity)
--- a/standins/simulated_workers.py
+++ b/standins/simulated_workers.py
@@ -1,9 +1,9 @@
-"""Simulated workers: many machines in one process that follow the whole protocol; tasks are timers.
+"""Simulated workers: one process runs many machines that follow the whole protocol.
 
 python -m standins.simulated_workers CONFIG.json. Each machine listens on a loopback address of its
 own and keeps one connection to the controller that it reports to. Starts and ends of tasks are sent
-to the checker, one line each. A job's id encodes what a real worker would fetch for it
-(standins.workload).
+to the checker, one line each. Tasks are timers: a real worker would fetch what a task runs; a
+simulated one reads from the job's id how long it runs (standins.workload).
 """
 
 import heapq
@@ -38,9 +38,9 @@
 
 TICK_INTERVAL_S = 0.02
 LEASE_CHECK_INTERVAL_S = 0.25  # between two checks of all leases
-MAX_REDIRECT_DELAY_S = 0.5  # until a redirected worker sends its next heartbeat
-MACHINES_PER_SUBNET = 250  # machines that share the third byte of their addresses
-LATE_TICK_THRESHOLD_S = 0.1  # a later tick shows that the process is overloaded
+MAX_REDIRECT_DELAY_S = 0.5  # maximum of the random delay between a redirect and the next heartbeat
+MACHINES_PER_SUBNET = 250  # machines whose addresses have the same third byte
+LATE_TICK_THRESHOLD_S = 0.1  # a tick delayed by more shows that the process is overloaded
 
 
 class HostConfig(msgspec.Struct, forbid_unknown_fields=True):
@@ -69,7 +69,7 @@
 
 
 class HostStats(msgspec.Struct):
-    """Counters since the start of the process; bytes are those of HTTP bodies."""
+    """Counters since the start of the process; byte counts cover only HTTP bodies."""
 
     machines: int = 0
     reports: int = 0
@@ -86,7 +86,7 @@
 
 
 class SimulatedWorker:
-    """One simulated worker."""
+    """One simulated machine: an Agent driven by the timers of its host process."""
 
     def __init__(self, host: "WorkerHost", request: StartRequest, address: str) -> None:
         self.host = host
@@ -103,7 +103,7 @@
         self.last_report_at = 0.0
 
     def fits(self, _task: str, live: int) -> bool:
-        """Whether one more task fits beside the live ones."""
+        """Returns whether one more task fits beside `live` unfinished ones."""
         return live < self.slots
 
     async def handle(self, request: Request) -> Response:
@@ -122,7 +122,7 @@
         return json_response(self.agent.build_report())
 
     def apply_actions(self, actions: Actions) -> None:
-        """Starts and stops the tasks that commands named."""
+        """Records the stopped tasks and starts to fetch the images of the new ones."""
         for task in actions.to_stop:
             self.host.record_event(EventKind.STOPPED, task, self)
         now = time.monotonic()
@@ -134,7 +134,11 @@
             self.report_soon(now)
 
     def image_fetched(self, name: str) -> None:
-        """Runs a task whose image has arrived, unless it was stopped or restarted meanwhile."""
+        """Sets a task running, if it still waits for its image, and schedules its completion.
+
+        Services never complete; a task that was completed earlier on any machine of this process
+        completes at once.
+        """
         task = self.agent.tasks.get(name)
         if self.powered_off or task is None or task.state != FETCHING:
             return
@@ -150,7 +154,7 @@
         self.report_soon(now)
 
     def task_completed(self, name: str, attempt: int) -> None:
-        """Completes a task, unless it was stopped or restarted meanwhile."""
+        """Completes a task, unless this attempt has ended or the machine was powered off."""
         task = self.agent.tasks.get(name)
         if self.powered_off or task is None or task.attempt != attempt or task.state != RUNNING:
             return
@@ -171,7 +175,7 @@
         self.host.schedule(due, lambda: self.start_report(due))
 
     def start_report(self, due: float) -> None:
-        """Sends a heartbeat if `due` is the latest time set and none is in flight."""
+        """Sends a heartbeat if `due` is still the time set for it and none is in flight."""
         if not self.powered_off and not self.heartbeat_in_flight and self.next_report_at == due:
             self.heartbeat_in_flight, self.change_pending = True, False
             self.host.schedule_coroutine(self.send_heartbeat)
@@ -209,7 +213,10 @@
         )
 
     def handle_refusal(self, status: int, body: bytes) -> float:
-        """Chooses the next controller after a refusal; seconds until the next heartbeat."""
+        """Chooses the next controller after a refused heartbeat.
+
+        Returns the time until the next heartbeat in seconds.
+        """
         named = None
         if status == 421:
             named = msgspec.json.decode(body, type=api.Redirect).report_to
@@ -242,13 +249,13 @@
 
 
 class WorkerHost:
-    """The machines of one process, and their timers."""
+    """Runs the machines of one process and their timers."""
 
     def __init__(self, config: HostConfig) -> None:
         self.config = config
         self.rng = random.Random(config.seed)
         self.machines: dict[str, SimulatedWorker] = {}
-        self.completed: set[str] = set()  # results are kept outside the machines
+        self.completed: set[str] = set()  # tasks; results are kept outside the machines
         self.stats = HostStats()
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.timer_sequence = 0
@@ -258,16 +265,16 @@
     # --- timers
 
     def schedule(self, due: float, callback: Callable[[], None]) -> None:
-        """Schedules a callback for a time of the steady clock, in seconds."""
+        """Schedules a callback for a time of the monotonic clock, in seconds."""
         self.timer_sequence += 1
         heapq.heappush(self.timers, (due, self.timer_sequence, callback))
 
     def schedule_coroutine(self, function: Callable[[], Awaitable[None]]) -> None:
-        """Schedules a coroutine for the end of the present tick."""
+        """Queues a coroutine function that is to be spawned at the end of the tick."""
         self.pending_coroutines.append(function)
 
     async def tick_loop(self) -> None:
-        """Runs due timers, expires leases and spawns coroutines, every TICK_S seconds."""
+        """Runs due timers, expires leases and spawns coroutines, every TICK_INTERVAL_S."""
         leases_checked_at = 0.0
         while True:
             began = time.monotonic()
--- a/standins/state.py
+++ b/standins/state.py
@@ -1,6 +1,7 @@
 """Test double of the state service: compare-and-swap, leases, watches, limits, outages.
 
 python -m standins.state ADDRESS [--rps N] [--write-rps N] [--value-kb N] [--txn-ops N]
+    [--latency-ms N]
 Without options nothing is limited. POST /out with {"seconds": 5} starts an outage; GET /stats
 returns counts of requests, changes and refusals.
 """
@@ -18,26 +19,30 @@
 from starlingdeck.protocol import api
 from starlingdeck.transport.server import Request, Response
 
-RETAINED_CHANGES = 10_000  # changes that a watch can still start from
+RETAINED_CHANGES = 10_000  # kept for watches; a watch from before them is answered 410
 MAX_PAGE_ITEMS = 1000
-MAX_PAGE_BYTES = 512 * 1024  # of a page of keys and values
+MAX_PAGE_BYTES = 512 * 1024  # keys and values together
 MAX_TRANSACTION_BYTES = 64 * 1024
-CONDITIONS_PER_CHANGE = 4  # conditions allowed per allowed change
+CONDITIONS_PER_CHANGE = 4  # conditions in a transaction per change that `txn_ops` allows
 
 
 class StateStats(msgspec.Struct):
-    """Counted since the start; `bytes` are those of the values written."""
+    """Counters since the start of the service, but for `keys`, the number of keys now.
+
+    `bytes` counts the values written, `read_bytes` the keys and values that were listed. `writes`
+    counts the transactions with changes, whether or not their conditions held.
+    """
 
     requests: int = 0
     changes: int = 0
     writes: int = 0
-    refused: int = 0  # a condition failed
+    refused: int = 0  # transactions with a failed condition
     over_rate: int = 0  # answered 429
-    malformed: int = 0  # answered 400, but for expired leases
+    malformed: int = 0  # transactions over a limit (answered 400); not those with an expired lease
     bytes: int = 0
     read_bytes: int = 0
     keys: int = 0
-    put: dict[str, int] = {}  # values written, by the first part of the key
+    put: dict[str, int] = {}  # number of values written, by the first part of the key
 
 
 class Lease(NamedTuple):
@@ -59,7 +64,7 @@
         self.revision = 1
         self.change_log: list[api.Event] = []
         self.leases: dict[int, Lease] = {}
-        self.lease_by_key: dict[str, int] = {}  # key -> lease
+        self.lease_by_key: dict[str, int] = {}
         self.outage_until = 0.0
         self.stats = StateStats()
         self.change_event = curio.Event()
@@ -70,7 +75,7 @@
         return time.monotonic() < self.outage_until
 
     async def handle(self, request: Request) -> Response:
-        """Handles one request, within the limit of requests."""
+        """Handles one request; outages and the rate limit affect all but /out and /stats."""
         path, post = request.path, request.method == "POST"
         if path == "/out" and post:
             self.begin_outage(msgspec.json.decode(request.body)["seconds"])
@@ -89,7 +94,7 @@
         return await self.route(request, path, post)
 
     async def route(self, request: Request, path: str, post: bool) -> Response:
-        """Handles a request that the limits and the outage let through."""
+        """Handles a request that neither an outage nor the rate limit has refused."""
         if path == api.TXN and post:
             return await self.execute_transaction(request.body)
         if path == api.KV:
@@ -106,7 +111,7 @@
         return error_response(400, "no such path")
 
     def begin_outage(self, seconds: float) -> None:
-        """Answers every request with 503 for `seconds`."""
+        """Starts an outage: for `seconds`, requests are answered with 503 and open watches wait."""
         self.outage_until = time.monotonic() + seconds
         # After an outage every lease has its full length again.
         self.leases = {
@@ -122,7 +127,7 @@
         return json_response(api.LeaseGrant(lease_id))
 
     def renew_or_end_lease(self, lease_id: int, post: bool) -> Response:
-        """Renews a lease; with `post` false, ends it."""
+        """Renews a lease for its full length; with `post` false, lets it expire at once."""
         if lease_id not in self.leases:
             return error_response(404, "no such lease")
         ttl_s = self.leases[lease_id].ttl_s if post else 0.0
@@ -130,7 +135,7 @@
         return json_response()
 
     def transaction_error(self, body: bytes, txn: api.Transaction) -> str:
-        """Which limit of the protocol a transaction breaks; empty if none."""
+        """Returns which limit of the protocol a transaction exceeds; empty if none."""
         limits = self.limits
         if len(body) > MAX_TRANSACTION_BYTES:
             return "transaction too large"
@@ -146,7 +151,7 @@
         return ""
 
     async def execute_transaction(self, body: bytes) -> Response:
-        """Executes a transaction if all its conditions hold."""
+        """Executes a transaction if it is within the limits and all its conditions hold."""
         txn = msgspec.json.decode(body, type=api.Transaction)
         limit_error = self.transaction_error(body, txn)
         if limit_error:
@@ -168,7 +173,7 @@
         return json_response(api.TransactionResult(self.revision))
 
     def key_version(self, key: str) -> int:
-        """The revision of a key's last change; 0 when it does not exist."""
+        """Returns the revision of a key's last change; 0 if the key does not exist."""
         found = self.entries.get(key)
         return found.version if found is not None else 0
 
@@ -185,7 +190,7 @@
         await event.set()
 
     def put_key(self, change: api.Change) -> None:
-        """Sets a key."""
+        """Sets a key and its lease, and counts the value as written."""
         key = change.put or ""
         value = msgspec.Raw(msgspec.json.encode(change.value))
         self.stats.bytes += len(bytes(value))
@@ -208,7 +213,7 @@
         self.change_log.append(api.Event(self.revision, delete=key))
 
     def list_page(self, parameters: dict[str, str]) -> Response:
-        """One page of the keys with a prefix, in key order."""
+        """Returns one page of the keys with a prefix, in key order."""
         prefix, after = parameters.get("prefix", ""), parameters.get("after", "")
         limit = min(MAX_PAGE_ITEMS, int(parameters.get("limit", MAX_PAGE_ITEMS)))
         found: list[api.Entry] = []
@@ -229,7 +234,11 @@
         return json_response(api.Entries(found, self.revision, more))
 
     async def watch(self, parameters: dict[str, str]) -> Response:
-        """Waits for changes of keys with a prefix after a revision."""
+        """Returns the changes of keys with a prefix after a revision.
+
+        Waits up to `block_ms` for a change, and also until the end of an outage. Answers 410 when
+        changes after the revision are no longer retained.
+        """
         prefix, after = parameters.get("prefix", ""), int(parameters.get("after", 0))
         deadline = time.monotonic() + int(parameters.get("block_ms", 0)) / 1000
         while True:
@@ -271,7 +280,7 @@
 
 
 def main() -> None:
-    """Runs the state service of the command line."""
+    """Runs the state service with the command line's address and limits."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("address")
     for name in ("rps", "write-rps", "value-kb", "latency-ms"):
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -3,8 +3,8 @@
 python -m standins.worker NAME ADDRESS TYPE ZONE CPUS MEMORY_GB
     --controllers NAME=ADDRESS,... --engine ADDRESS --session-s S --results FOLDER
     --report-s S --lease-s S [--task-cpus N]
-A completed task leaves a file in the results folder, outside the machine; when it is started again,
-it exits at once.
+A completed task leaves a file in the results folder, which stands for storage outside the machine.
+If the task is started again, on any machine, it exits at once.
 """
 
 import argparse
@@ -48,7 +48,7 @@
         self.http = HttpClient()
 
     def fits(self, _task: str, live: int) -> bool:
-        """Whether one more task fits beside the live ones."""
+        """Returns whether one more task fits beside `live` unfinished ones."""
         return bool((live + 1) * self.args.task_cpus <= self.args.cpus)
 
     @property
@@ -72,7 +72,7 @@
         return json_response(self.agent.build_report())
 
     async def apply_actions(self, actions: Actions) -> None:
-        """Starts and stops the tasks that commands named."""
+        """Starts and stops the tasks that the commands named."""
         for name in actions.to_start:
             self.running_tasks[name] = await curio.spawn(self.run_task, name, daemon=True)
         for name in actions.to_stop:
@@ -101,7 +101,7 @@
                     await curio.sleep(self.args.session_s)
                     result.write_text(f"{attempt}")
                     await sock.sendall(b"done\n")
-                    await sock.recv(1)  # the engine has closed the session
+                    await sock.recv(1)  # returns when the engine has closed the session
             except OSError:
                 exit_cause = "error"
         self.running_tasks.pop(name, None)
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -1,4 +1,4 @@
-"""Job ids that encode what a real worker would fetch for a job: how long its tasks run.
+"""Job ids that encode how long a job's tasks run; real workers would fetch what there is to run.
 
 An id is j- and 16 digits: kind (1), team (3), run time in tenths of a second (5), number (7).
 """
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 
 ARRAY, SERVICE, ONE_TASK = 1, 2, 3
-UNLIMITED_RUN_DS = 99_999  # tenths of a second: the task runs until it is stopped
-RUN_TIME_SPREAD = 0.3  # tasks of a job run this share shorter or longer than its run time
+UNLIMITED_RUN_DS = 99_999  # in tenths of a second; stands for a task that runs until it is stopped
+RUN_TIME_SPREAD = 0.3  # a task runs up to this share shorter or longer than its job's run time
 
 
 class JobDescription(NamedTuple):
@@ -25,7 +25,7 @@
 
 
 def job_id(kind: int, team: int, run_s: float, number: int) -> str:
-    """The id of a job with these properties; `run_s` in seconds."""
+    """Returns the id of a job; `run_s`, in seconds, is not used for a service."""
     run_ds = (
         UNLIMITED_RUN_DS
         if kind == SERVICE
@@ -35,7 +35,7 @@
 
 
 def parse_job_id(job: str) -> JobDescription:
-    """The properties in an id made by `job_id`; raises ValueError for any other."""
+    """Returns the properties that an id encodes; raises ValueError if it can't be parsed."""
     digits = job.removeprefix("j-")
     if len(digits) != 16:
         raise ValueError(f"{job}: expected j- and 16 digits, as job_id makes them")
@@ -43,7 +43,7 @@
 
 
 def task_run_s(task: str) -> float:
-    """The run time of one task in seconds; the same for every start."""
+    """Returns the run time of one task in seconds, which is the same for every start."""
     description = parse_job_id(task.split("/", maxsplit=1)[0])
     return (
         description.run_ds
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -38,13 +38,15 @@
 @pytest.mark.parametrize(
     ("commands", "left"), [c[1:] for c in COMMANDS], ids=[c[0] for c in COMMANDS]
 )
-def test_commands(commands: list[tuple[str, int]], left: list[tuple[int, str, str | None]]) -> None:
+def test_executed_commands_leave_the_expected_attempts(
+    commands: list[tuple[str, int]], left: list[tuple[int, str, str | None]]
+) -> None:
     worker = agent()
     worker.execute([api.Command(op, TASK, attempt) for op, attempt in commands])
     assert [(t.attempt, t.state, t.exit_cause) for t in worker.tasks.values()] == left
 
 
-def test_a_full_machine_refuses_with_the_cause() -> None:
+def test_a_start_on_a_full_machine_exits_with_the_cause_full() -> None:
     worker = agent()
     other = f"{JOB}/1"
     worker.execute([api.Command(START, TASK, 1), api.Command(START, other, 1)])
@@ -52,23 +54,25 @@
 
 
 @pytest.mark.parametrize(
-    ("token", "session", "taken"), [(5, 1, True), (6, 1, True), (4, 1, False), (5, 2, False)]
+    ("token", "session", "accepted"), [(5, 1, True), (6, 1, True), (4, 1, False), (5, 2, False)]
 )
-def test_tokens_and_sessions(token: int, session: int, taken: bool) -> None:
+def test_commands_and_replies_need_a_current_token_and_the_same_session(
+    token: int, session: int, accepted: bool
+) -> None:
     worker = agent()
     worker.token = 5
     start = [api.Command(START, TASK, 1)]
-    assert (worker.handle_commands(api.Commands(token, session, start)) is not None) == taken
-    assert bool(worker.tasks) == taken
+    assert (worker.handle_commands(api.Commands(token, session, start)) is not None) == accepted
+    assert bool(worker.tasks) == accepted
     other_worker = agent()
     other_worker.token = 5
     assert (
         other_worker.handle_report_reply(api.ReportReply(token, start), session, 9.0) is not None
-    ) == taken
-    assert other_worker.last_answered_at == (9.0 if taken else 0.0)
+    ) == accepted
+    assert other_worker.lease_renewed_at == (9.0 if accepted else 0.0)
 
 
-def test_a_lease_that_is_over_ends_the_session_and_all_tasks() -> None:
+def test_an_expired_lease_ends_the_session_and_all_tasks() -> None:
     worker = agent()
     worker.execute([api.Command(START, TASK, 1)])
     assert worker.expire_lease(10.0, 10.0) == []
@@ -109,7 +113,7 @@
         (StateLimits(write_rps=10), 0, puts(11), 429),
     ],
 )
-def test_limits_of_a_transaction(
+def test_a_transaction_is_applied_only_within_the_limits(
     limits: StateLimits, conditions: int, changes: list[dict[str, Any]], status: int
 ) -> None:
     state = StateService(limits)
@@ -124,9 +128,9 @@
     assert state.stats.over_rate == 2
 
 
-def test_a_rate_allows_a_burst_worth_its_seconds() -> None:
-    rate = RateLimiter(5.0, 2.0)
-    assert [rate.take() for _ in range(11)] == [True] * 10 + [False]
+def test_a_rate_limiter_allows_a_burst_of_its_seconds_worth() -> None:
+    limiter = RateLimiter(5.0, 2.0)
+    assert [limiter.take() for _ in range(11)] == [True] * 10 + [False]
 
 
 def test_pages_of_a_list_are_limited_by_count_and_by_bytes() -> None:
@@ -136,8 +140,8 @@
         assert post(state, {}, changes) == 200
     assert post(state, {}, puts(60, 1000, "b/")) == 200
     for number in range(11):
-        pages = puts(60, 1000, f"b/{number:02d}")
-        assert post(state, {}, pages) == 200
+        large_puts = puts(60, 1000, f"b/{number:02d}")
+        assert post(state, {}, large_puts) == 200
 
     def page(query: str) -> api.Entries:
         reply = curio.run(state.handle, Request("GET", f"{api.KV}?{query}", b""))
@@ -154,7 +158,7 @@
     assert 400 < len(large.items) < 700
 
 
-def test_a_condition_that_fails_changes_nothing() -> None:
+def test_a_transaction_with_a_failed_condition_changes_nothing() -> None:
     state = StateService(StateLimits())
     assert post(state, {"a/00000": 0}, puts(1)) == 200
     assert post(state, {"a/00000": 0}, puts(2)) == 409
@@ -165,9 +169,9 @@
 def test_keys_are_deleted_with_their_lease_and_watches_report_it() -> None:
     state = StateService(StateLimits())
 
-    async def drive() -> tuple[int, list[str | None]]:
-        ask = Request("POST", api.LEASES, msgspec.json.encode({"life_ms": 100}))
-        lease = msgspec.json.decode((await state.handle(ask)).body)["permit"]
+    async def expire_during_watch() -> tuple[int, list[str | None]]:
+        lease_request = Request("POST", api.LEASES, msgspec.json.encode({"life_ms": 100}))
+        lease = msgspec.json.decode((await state.handle(lease_request)).body)["permit"]
         changes = [{"set": "c/n", "value": 1, "permit": lease}]
         body = msgspec.json.encode({"when": [], "apply": changes})
         await state.handle(Request("POST", api.TXN, body))
@@ -177,14 +181,14 @@
         await expiry.cancel()
         return len(state.entries), [event.get("delete") for event in watched["events"]]
 
-    assert curio.run(drive) == (0, ["c/n"])
+    assert curio.run(expire_during_watch) == (0, ["c/n"])
 
 
 # --- the workload
 
 
 @pytest.mark.parametrize("kind", [workload.ARRAY, workload.SERVICE, workload.ONE_TASK])
-def test_an_id_encodes_its_job(kind: int) -> None:
+def test_a_job_id_encodes_the_kind_team_and_run_time(kind: int) -> None:
     name = workload.job_id(kind, 339, 12.5, 42)
     assert api.JOB_ID.fullmatch(name)
     description = workload.parse_job_id(name)
@@ -194,6 +198,6 @@
         kind == workload.SERVICE,
     )
     if not description.service:
-        runs = [workload.task_run_s(f"{name}/{i}") for i in range(200)]
-        assert 12.5 * 0.7 <= min(runs) < max(runs) <= 12.5 * 1.3
-        assert runs == [workload.task_run_s(f"{name}/{i}") for i in range(200)]
+        run_times_s = [workload.task_run_s(f"{name}/{i}") for i in range(200)]
+        assert 12.5 * 0.7 <= min(run_times_s) < max(run_times_s) <= 12.5 * 1.3
+        assert run_times_s == [workload.task_run_s(f"{name}/{i}") for i in range(200)]
