--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,8 +1,11 @@
-"""Computes docs/CAPACITY.md's tables from the rungs recorded in docs/capacity/rungs.json.
+"""Compute the tables of docs/CAPACITY.md from the rungs recorded in docs/capacity/rungs.json.
+
+A rung is one load level of a scale run (scripts/scale.py); its measured figures are one row.
 
 python scripts/capacity.py          writes the tables into the page
-python scripts/capacity.py --check  exits with 1 if the page's tables are not these
-python scripts/capacity.py --record REPORT.json RUN   adds a scale run's rows under a run's name
+python scripts/capacity.py --check  exits with 1 if the page's tables differ from the computed ones
+python scripts/capacity.py --record REPORT.json RUN   adds the rows of a scale run's report to the
+                                                      recorded ones, under the name RUN
 """
 
 import json
@@ -19,29 +22,32 @@
 BLOCK_START, BLOCK_END = "<!-- from scripts/capacity.py -->", "<!-- end -->"
 
 # The operators' target.
-WORKERS, STARTS_PER_S, RUNNING = 22_000, 7_100.0, 69_000
-JOBS_A_DAY, REGIONS, ZONES = 160_000, 6, 23
-CONFIGURATION_CHANGES_A_DAY = 49_000
-WORKER_BYTES_PER_S = 11 * 1024
-URGENT_S, CONFIGURATION_S = 9.0, 8.0
-DAY_S, YEARS_2_DAYS = 86_400, 730
-
-# Assumptions beside the target; the page names them.
-ORDINARY_SHARE = 0.25  # of the peak's starts; the target names the peak only
+WORKERS, STARTS_PER_S, RUNNING_TASKS = 22_000, 7_100.0, 69_000
+JOBS_PER_DAY, REGIONS, ZONES = 160_000, 6, 23
+CONFIGURATION_CHANGES_PER_DAY = 49_000
+MAX_WORKER_BYTES_PER_S = 11 * 1024
+MAX_URGENT_WAIT_S, MAX_CONFIGURATION_DELAY_S = 9.0, 8.0
+DAY_S, TWO_YEARS_DAYS = 86_400, 730
+
+# Assumptions in addition to the target; the page lists them.
+ORDINARY_LOAD_SHARE = 0.25  # of the peak's starts; the target gives only the peak
 PEAK_JOB_FACTOR = 10.0  # jobs at the peak, as a multiple of their mean rate
-CONTROLLERS = 3  # of a region
-
-# Today's largest site, as its settings have it.
-TODAY_WORKERS, TODAY_STARTS = 622, 52.0
-SOCKETS, MEMORY_MB, CORES = 2_002, 326.0, 0.792
-CHANGES_PER_S = 150.0
-# Of a terminal state and its key: {"state":"done","tasks":N} under f/SHARD/JOB.
+CONTROLLERS = 3  # in each region
+
+# Today's largest site: its size, and the limits in its settings, of which sockets, memory and cores
+# are those of one controller.
+TODAY_WORKERS, TODAY_STARTS_PER_S = 622, 52.0
+MAX_SOCKETS, MAX_MEMORY_MB, MAX_CORES = 2_002, 326.0, 0.792
+MAX_STATE_CHANGES_PER_S = 150.0
+# A job's terminal state with its key: {"state":"done","tasks":N} under f/SHARD/JOB.
 TERMINAL_STATE_BYTES = 60
-NAME_BYTES = 170  # of a job's name and index in a controller's memory (docs/design.md)
-BASE_STARTS_PER_S = 30.0  # of the rungs from which the costs of a worker come
-ACCEPT_AND_END = 3  # changes of a job beside its starts and ends
+JOB_NAME_BYTES = 170  # a job's name and index in a controller's memory (docs/design.md)
+BASE_STARTS_PER_S = 30.0  # in the rungs from which the costs of a worker are derived
+# State changes for a job's acceptance and end, without those for its tasks' starts and ends.
+STATE_CHANGES_PER_JOB = 3
 
-MAX_MEASURED_FACTOR = 1.05  # up to this much beyond the largest rung counts as measured
+# A value up to this multiple of the largest measured one counts as measured.
+MAX_MEASURED_FACTOR = 1.05
 
 Row = dict[str, Any]
 
@@ -50,7 +56,7 @@
 class LinearFit:
     """A quantity as a linear function of one predictor.
 
-    `max_measured` is the largest value of the predictor in the rows, `rows` their number.
+    `max_measured` is the largest value of the predictor in the fitted rows, `rows` their number.
     """
 
     intercept: float
@@ -58,152 +64,182 @@
     max_measured: float
     rows: int
 
-    def at(self, value: float) -> float:
-        """The line's value."""
+    def predict(self, value: float) -> float:
+        """Return the fitted quantity for a value of the predictor."""
         return self.intercept + self.slope * value
 
     def mark(self, value: float) -> str:
-        """Whether a value was measured, or how far it is extrapolated."""
+        """Return "measured", or by which factor the value exceeds the largest measured one."""
         factor = value / self.max_measured
         return "measured" if factor <= MAX_MEASURED_FACTOR else f"extrapolated ×{factor:.1f}"
 
 
 def fit(rows: list[Row], predictor: str, quantity: Callable[[Row], float]) -> LinearFit:
-    """The line through the rows, by least squares."""
+    """Fit a line to the rows by least squares."""
     values = [float(row[predictor]) for row in rows]
     line = statistics.linear_regression(values, [quantity(row) for row in rows])
     return LinearFit(line.intercept, line.slope, max(values), len(rows))
 
 
-def cores(row: Row) -> float:
-    """Processor time of all controllers together, in cores."""
+def total_cores(row: Row) -> float:
+    """Return the processor time of all controllers together, in cores."""
     return float(sum(row["controller_cores"]))
 
 
 class Measurements:
-    """The recorded rungs and the linear fits through them."""
+    """The recorded rungs, and linear fits through them.
+
+    `memory_mb` and `sockets` of a controller depend on the number of workers, `peer_bytes` (a
+    second, between controllers) on the starts a second. Fits by starts use rungs with group commit,
+    except `cores_by_starts_ungrouped`.
+    """
 
     def __init__(self, runs: dict[str, list[Row]]) -> None:
         self.runs = runs
-        workers = [row for row in runs["slopes"] if row["name"] == "workers"]
-        starts = [row for row in runs["slopes"] if row["name"] == "starts"]
-        starts = [row for row in workers if row["workers"] == 600] + starts
-        grouped = [row for row in runs["group-commit"] if row["name"] == "starts"]
-        grouped = [row for row in grouped if row["workers"] == 600]
-        self.cores_worker = fit(workers, "workers", cores)
-        self.cores_start = fit(grouped, "starts", cores)
-        self.cores_start_records = fit(starts, "starts", cores)
-        self.memory = fit(workers, "workers", lambda row: row["controller_mb"])
-        self.sockets = fit(workers, "workers", lambda row: row["controller_descriptors"])
-        self.reports = fit(workers, "workers", lambda row: row["reports"])
-        self.reports_start = fit(grouped, "starts", lambda row: row["reports"])
-        self.between = fit(grouped, "starts", lambda row: row["between_bytes"])
-        self.changes_a_start = [row["state_changes"] / row["starts"] for row in starts]
-        self.region = runs["region"]
-        self.best = max(self.region, key=lambda row: row["starts"])
-        self.controllers = runs["controllers"]
+        workers_rows = [row for row in runs["slopes"] if row["name"] == "workers"]
+        ungrouped_rows = [row for row in runs["slopes"] if row["name"] == "starts"]
+        ungrouped_rows = [row for row in workers_rows if row["workers"] == 600] + ungrouped_rows
+        group_commit_rows = [row for row in runs["group-commit"] if row["name"] == "starts"]
+        group_commit_rows = [row for row in group_commit_rows if row["workers"] == 600]
+        self.cores_by_workers = fit(workers_rows, "workers", total_cores)
+        self.cores_by_starts = fit(group_commit_rows, "starts", total_cores)
+        self.cores_by_starts_ungrouped = fit(ungrouped_rows, "starts", total_cores)
+        self.memory_mb = fit(workers_rows, "workers", lambda row: row["controller_mb"])
+        self.sockets = fit(workers_rows, "workers", lambda row: row["controller_descriptors"])
+        self.reports_by_workers = fit(workers_rows, "workers", lambda row: row["reports"])
+        self.reports_by_starts = fit(group_commit_rows, "starts", lambda row: row["reports"])
+        self.peer_bytes = fit(group_commit_rows, "starts", lambda row: row["between_bytes"])
+        self.changes_per_start = [row["state_changes"] / row["starts"] for row in ungrouped_rows]
+        self.region_rungs = runs["region"]
+        self.busiest_rung = max(self.region_rungs, key=lambda row: row["starts"])
+        self.controllers_rungs = runs["controllers"]
 
     def cores_at(self, workers: float, starts_per_s: float) -> float:
-        """Processor time of all controllers, in cores."""
-        idle = self.cores_worker.at(workers) - self.cores_start_records.slope * BASE_STARTS_PER_S
-        return idle + self.cores_start.slope * starts_per_s
+        """Return the estimated processor time of all controllers, in cores."""
+        idle = (
+            self.cores_by_workers.predict(workers)
+            - self.cores_by_starts_ungrouped.slope * BASE_STARTS_PER_S
+        )
+        return idle + self.cores_by_starts.slope * starts_per_s
 
     def commits_per_s(self) -> float:
-        """Commits of the log a second in the region's rung with the most starts."""
-        return float(self.best["state_puts"]["w"] / self.best["seconds"])
+        """Return commits of the log a second in the region's rung with the most starts."""
+        return float(self.busiest_rung["state_puts"]["w"] / self.busiest_rung["seconds"])
 
     def reports_at(self, workers: float, starts_per_s: float) -> float:
-        """Heartbeats a second at all controllers."""
-        idle = self.reports.at(workers) - self.reports_start.slope * BASE_STARTS_PER_S
-        return idle + self.reports_start.slope * starts_per_s
+        """Return the estimated heartbeats a second at all controllers together."""
+        idle = (
+            self.reports_by_workers.predict(workers)
+            - self.reports_by_starts.slope * BASE_STARTS_PER_S
+        )
+        return idle + self.reports_by_starts.slope * starts_per_s
 
 
 def peak_jobs_per_s() -> float:
-    """Jobs a second of one region at the peak."""
-    return PEAK_JOB_FACTOR * JOBS_A_DAY / DAY_S / REGIONS
+    """Return the jobs a second of one region at the peak."""
+    return PEAK_JOB_FACTOR * JOBS_PER_DAY / DAY_S / REGIONS
 
 
 def region_rows(measured: Measurements) -> list[tuple[str, ...]]:
-    """A region: quantity, slope, today, ordinary, peak, peak with a controller down, mark."""
+    """Return the rows of the table of one region's load.
+
+    Columns: quantity, slope, today, ordinary load, peak, peak with a controller down, mark at peak.
+    """
     workers = WORKERS / REGIONS
     peak = STARTS_PER_S / REGIONS
-    ordinary = ORDINARY_SHARE * peak
+    ordinary = ORDINARY_LOAD_SHARE * peak
     jobs = peak_jobs_per_s()
 
-    def line(
-        name: str, slope: str, values: tuple[float, float, float, float], mark: str, form: str
+    def table_row(
+        name: str,
+        slope: str,
+        values: tuple[float, float, float, float],
+        mark: str,
+        number_format: str,
     ) -> tuple[str, ...]:
-        return (name, slope, *(form.format(v) for v in values), mark)
+        return (name, slope, *(number_format.format(v) for v in values), mark)
 
-    def controller(of: Callable[[float, float], float]) -> tuple[float, float, float, float]:
+    def per_controller(
+        quantity: Callable[[float, float], float],
+    ) -> tuple[float, float, float, float]:
         return (
-            of(TODAY_WORKERS, TODAY_STARTS) / CONTROLLERS,
-            of(workers, ordinary) / CONTROLLERS,
-            of(workers, peak) / CONTROLLERS,
-            of(workers, peak) / (CONTROLLERS - 1),
+            quantity(TODAY_WORKERS, TODAY_STARTS_PER_S) / CONTROLLERS,
+            quantity(workers, ordinary) / CONTROLLERS,
+            quantity(workers, peak) / CONTROLLERS,
+            quantity(workers, peak) / (CONTROLLERS - 1),
         )
 
-    def same(of: Callable[[float, float], float]) -> tuple[float, float, float, float]:
-        now = of(workers, peak)
-        return (of(TODAY_WORKERS, TODAY_STARTS), of(workers, ordinary), now, now)
+    def undivided(quantity: Callable[[float, float], float]) -> tuple[float, float, float, float]:
+        at_peak = quantity(workers, peak)
+        return (
+            quantity(TODAY_WORKERS, TODAY_STARTS_PER_S),
+            quantity(workers, ordinary),
+            at_peak,
+            at_peak,
+        )
 
     commits = measured.commits_per_s()
-    start_mark = measured.cores_start.mark(peak)
+    start_mark = measured.cores_by_starts.mark(peak)
     return [
-        line(
+        table_row(
             "a controller's processor time, cores",
-            f"{1e6 * measured.cores_worker.slope:.0f} µs a worker and second,"
-            f" {1e3 * measured.cores_start.slope:.2f} ms a start (all three)",
-            controller(measured.cores_at),
+            f"{1e6 * measured.cores_by_workers.slope:.0f} µs a worker and second,"
+            f" {1e3 * measured.cores_by_starts.slope:.2f} ms a start (all three)",
+            per_controller(measured.cores_at),
             start_mark,
             "{:.2f}",
         ),
-        line(
+        table_row(
             "a controller's memory, MB",
-            f"{measured.memory.intercept:.0f} + {measured.memory.slope * 1000:.1f}"
+            f"{measured.memory_mb.intercept:.0f} + {measured.memory_mb.slope * 1000:.1f}"
             " a thousand workers",
-            same(lambda w, _s: measured.memory.at(w)),
-            measured.memory.mark(workers),
+            undivided(lambda w, _s: measured.memory_mb.predict(w)),
+            measured.memory_mb.mark(workers),
             "{:.0f}",
         ),
-        line(
+        table_row(
             "a controller's sockets",
             f"{measured.sockets.slope:.2f} a worker with three, two thirds of it reports",
-            controller(lambda w, _s: CONTROLLERS * measured.sockets.at(w)),
+            per_controller(lambda w, _s: CONTROLLERS * measured.sockets.predict(w)),
             measured.sockets.mark(workers),
             "{:.0f}",
         ),
-        line(
+        table_row(
             "reports a second, all controllers",
-            f"{measured.reports.slope:.3f} a worker, {measured.reports_start.slope:.2f} a start",
-            same(measured.reports_at),
-            measured.reports_start.mark(peak),
+            f"{measured.reports_by_workers.slope:.3f} a worker,"
+            f" {measured.reports_by_starts.slope:.2f} a start",
+            undivided(measured.reports_at),
+            measured.reports_by_starts.mark(peak),
             "{:.0f}",
         ),
-        line(
+        table_row(
             "between controllers, kB a second",
-            f"{measured.between.slope / 1000:.2f} kB a start",
-            same(lambda _w, s: measured.between.at(s) / 1000),
-            measured.between.mark(peak),
+            f"{measured.peer_bytes.slope / 1000:.2f} kB a start",
+            undivided(lambda _w, s: measured.peer_bytes.predict(s) / 1000),
+            measured.peer_bytes.mark(peak),
             "{:.0f}",
         ),
-        line(
+        table_row(
             "state service, changes a second",
-            f"{ACCEPT_AND_END} a job, {commits:.1f} commits of the log",
+            f"{STATE_CHANGES_PER_JOB} a job, {commits:.1f} commits of the log",
             (
-                TODAY_STARTS * statistics.mean(measured.changes_a_start),
-                ACCEPT_AND_END * jobs / PEAK_JOB_FACTOR + commits,
-                ACCEPT_AND_END * jobs + commits,
-                ACCEPT_AND_END * jobs + commits,
+                TODAY_STARTS_PER_S * statistics.mean(measured.changes_per_start),
+                STATE_CHANGES_PER_JOB * jobs / PEAK_JOB_FACTOR + commits,
+                STATE_CHANGES_PER_JOB * jobs + commits,
+                STATE_CHANGES_PER_JOB * jobs + commits,
             ),
-            f"commits at {measured.best['starts']:.0f} starts a second measured",
+            f"commits at {measured.busiest_rung['starts']:.0f} starts a second measured",
             "{:.0f}",
         ),
     ]
 
 
 class Gap(NamedTuple):
-    """How far a mechanism reaches: its limit divided by the need, and where that comes from."""
+    """How one mechanism compares with the target.
+
+    `reach` is its limit divided by the need: below 1 it falls short of the target. `mark` says
+    whether the figures were measured, extrapolated or calculated ("on paper").
+    """
 
     reach: float
     mechanism: str
@@ -213,98 +249,100 @@
 
 
 def gaps(measured: Measurements) -> list[Gap]:
-    """Every mechanism's reach, smallest first."""
+    """Return every mechanism with its limit and need, the smallest reach first."""
     workers, peak = WORKERS / REGIONS, STARTS_PER_S / REGIONS
-    by_record = statistics.mean(measured.changes_a_start)
+    changes_per_start = statistics.mean(measured.changes_per_start)
     jobs = peak_jobs_per_s()
     commits = measured.commits_per_s()
-    changes = ACCEPT_AND_END * jobs + commits
-    best = measured.best["starts"]
+    changes = STATE_CHANGES_PER_JOB * jobs + commits
+    most_starts_per_s = measured.busiest_rung["starts"]
     cores_needed = measured.cores_at(workers, peak)
-    names_mb = JOBS_A_DAY / REGIONS * NAME_BYTES / 2**20
-    headroom_mb = MEMORY_MB - measured.memory.at(workers)
+    job_names_mb_per_day = JOBS_PER_DAY / REGIONS * JOB_NAME_BYTES / 2**20
+    headroom_mb = MAX_MEMORY_MB - measured.memory_mb.predict(workers)
     rows = [
         Gap(
             0.0,
             "changes of configuration in force everywhere (none yet: the settings file)",
             "restart of all controllers",
-            f"{CONFIGURATION_CHANGES_A_DAY / DAY_S:.2f} a second within {CONFIGURATION_S:.0f} s",
+            f"{CONFIGURATION_CHANGES_PER_DAY / DAY_S:.2f} a second"
+            f" within {MAX_CONFIGURATION_DELAY_S:.0f} s",
             "on paper",
         ),
         Gap(
-            best / STARTS_PER_S,
+            most_starts_per_s / STARTS_PER_S,
             "regions: one set of controllers and one state service for all",
-            f"{best:.0f} starts a second by one set",
+            f"{most_starts_per_s:.0f} starts a second by one set",
             f"{STARTS_PER_S:.0f}",
             "measured",
         ),
         Gap(
-            CHANGES_PER_S / (peak * by_record),
+            MAX_STATE_CHANGES_PER_S / (peak * changes_per_start),
             "a record rewritten for each job's change (a region, as `run` has it)",
-            f"{CHANGES_PER_S:.0f} changes a second",
-            f"{peak * by_record:.0f}",
+            f"{MAX_STATE_CHANGES_PER_S:.0f} changes a second",
+            f"{peak * changes_per_start:.0f}",
             f"extrapolated ×{peak / max(row['starts'] for row in measured.runs['slopes']):.1f}",
         ),
         Gap(
-            CHANGES_PER_S / changes,
+            MAX_STATE_CHANGES_PER_S / changes,
             "starts and ends written together (a region)",
-            f"{CHANGES_PER_S:.0f} changes a second",
+            f"{MAX_STATE_CHANGES_PER_S:.0f} changes a second",
             f"{changes:.0f}",
-            f"commits at {best:.0f} starts a second",
+            f"commits at {most_starts_per_s:.0f} starts a second",
         ),
         Gap(
             CONTROLLERS / cores_needed,
             "three controllers of one core each (a region)",
             f"{CONTROLLERS} cores",
             f"{cores_needed:.1f}",
-            measured.cores_start.mark(peak),
+            measured.cores_by_starts.mark(peak),
         ),
         Gap(
-            CONTROLLERS * CORES / cores_needed,
+            CONTROLLERS * MAX_CORES / cores_needed,
             "the same with today's share of a core",
-            f"{CONTROLLERS * CORES:.1f} cores",
+            f"{CONTROLLERS * MAX_CORES:.1f} cores",
             f"{cores_needed:.1f}",
-            measured.cores_start.mark(peak),
+            measured.cores_by_starts.mark(peak),
         ),
         Gap(
-            SOCKETS * (CONTROLLERS - 1) / (CONTROLLERS * measured.sockets.at(workers)),
+            MAX_SOCKETS * (CONTROLLERS - 1) / (CONTROLLERS * measured.sockets.predict(workers)),
             "connections of workers, one controller down",
-            f"{SOCKETS} each",
-            f"{CONTROLLERS * measured.sockets.at(workers) / (CONTROLLERS - 1):.0f}",
+            f"{MAX_SOCKETS} each",
+            f"{CONTROLLERS * measured.sockets.predict(workers) / (CONTROLLERS - 1):.0f}",
             measured.sockets.mark(workers),
         ),
         Gap(
-            headroom_mb / names_mb / 30,
+            headroom_mb / job_names_mb_per_day / 30,
             "names of jobs in a controller's memory, a month without a restart",
             f"{headroom_mb:.0f} MB",
-            f"{30 * names_mb:.0f} MB",
+            f"{30 * job_names_mb_per_day:.0f} MB",
             "on paper",
         ),
         Gap(
-            MEMORY_MB / measured.memory.at(workers),
+            MAX_MEMORY_MB / measured.memory_mb.predict(workers),
             "a controller's memory beside names",
-            f"{MEMORY_MB:.0f} MB",
-            f"{measured.memory.at(workers):.0f} MB",
-            measured.memory.mark(workers),
+            f"{MAX_MEMORY_MB:.0f} MB",
+            f"{measured.memory_mb.predict(workers):.0f} MB",
+            measured.memory_mb.mark(workers),
         ),
         Gap(
-            URGENT_S / measured.best["waits"]["urgent"]["p99"],
-            f"urgent starts of a region, p99 at {best:.0f} starts a second",
-            f"{URGENT_S:.0f} s",
-            f"{measured.best['waits']['urgent']['p99']:.1f} s",
+            MAX_URGENT_WAIT_S / measured.busiest_rung["waits"]["urgent"]["p99"],
+            f"urgent starts of a region, p99 at {most_starts_per_s:.0f} starts a second",
+            f"{MAX_URGENT_WAIT_S:.0f} s",
+            f"{measured.busiest_rung['waits']['urgent']['p99']:.1f} s",
             "measured",
         ),
         Gap(
-            URGENT_S / measured.region[0]["waits"]["urgent"]["p99"],
-            f"urgent starts of a region, p99 at {measured.region[0]['starts']:.0f} a second",
-            f"{URGENT_S:.0f} s",
-            f"{measured.region[0]['waits']['urgent']['p99']:.1f} s",
+            MAX_URGENT_WAIT_S / measured.region_rungs[0]["waits"]["urgent"]["p99"],
+            f"urgent starts of a region, p99 at {measured.region_rungs[0]['starts']:.0f} a second",
+            f"{MAX_URGENT_WAIT_S:.0f} s",
+            f"{measured.region_rungs[0]['waits']['urgent']['p99']:.1f} s",
             "measured",
         ),
         Gap(
-            WORKER_BYTES_PER_S / max(row["worker_bytes"] for row in measured.runs["group-commit"]),
+            MAX_WORKER_BYTES_PER_S
+            / max(row["worker_bytes"] for row in measured.runs["group-commit"]),
             "a worker's bytes a second",
-            f"{WORKER_BYTES_PER_S}",
+            f"{MAX_WORKER_BYTES_PER_S}",
             f"{max(row['worker_bytes'] for row in measured.runs['group-commit']):.0f}",
             "measured",
         ),
@@ -313,13 +351,13 @@
 
 
 def table(head: list[str], rows: Sequence[tuple[str, ...]]) -> list[str]:
-    """A Markdown table."""
+    """Return the lines of a Markdown table."""
     lines = ["| " + " | ".join(head) + " |", "| " + " | ".join("---" for _ in head) + " |"]
     return lines + ["| " + " | ".join(row) + " |" for row in rows]
 
 
 def rungs_table(measured: Measurements) -> list[str]:
-    """Every recorded rung."""
+    """Return the table of all recorded rungs."""
     rows = [
         (
             run,
@@ -329,7 +367,7 @@
             f"{row['asked_starts']:.0f}",
             f"{row['starts']:.0f}",
             f"{row['reports']:.0f}",
-            f"{cores(row):.2f} ({max(row['controller_cores']):.2f})",
+            f"{total_cores(row):.2f} ({max(row['controller_cores']):.2f})",
             f"{row['controller_mb']:.0f}",
             f"{row['controller_descriptors']}",
             f"{row['state_changes'] / row['starts']:.2f}",
@@ -358,20 +396,20 @@
 
 
 def controllers_table(measured: Measurements) -> list[str]:
-    """The cost of more controllers at the same load."""
-    first = measured.controllers[0]
+    """Return the table of costs with more controllers at the same load."""
+    first = measured.controllers_rungs[0]
     rows = [
         (
             f"{row['controllers']}",
-            f"{cores(row):.2f}",
-            f"{cores(row) / cores(first):.1f}",
+            f"{total_cores(row):.2f}",
+            f"{total_cores(row) / total_cores(first):.1f}",
             f"{row['between_bytes'] / 1000:.0f}",
             f"{row['between_bytes'] / first['between_bytes']:.1f}",
             f"{row['state_requests']:.0f}",
             f"{row['state_changes'] / row['starts']:.2f}",
             f"{row['controller_descriptors']}",
         )
-        for row in measured.controllers
+        for row in measured.controllers_rungs
     ]
     head = [
         "controllers",
@@ -387,7 +425,7 @@
 
 
 def recoveries_table(measured: Measurements) -> list[str]:
-    """The recovery from each fault."""
+    """Return the table of recoveries, one row for each injected fault."""
     rows = [
         (
             f"{recovery['kind']} at {recovery['at_s']:.0f} s",
@@ -405,7 +443,7 @@
 
 
 def page_tables(measured: Measurements) -> dict[str, list[str]]:
-    """Every table of the page, by its name."""
+    """Return the lines of every table of the page, by the table's name."""
     gap_rows = [
         (
             f"{gap.reach:.2f}",
@@ -418,22 +456,26 @@
         for gap in gaps(measured)
     ]
     head = ["", "slope", "today", "ordinary", "peak", "peak, one controller down", "mark at peak"]
-    terminal_states = JOBS_A_DAY * YEARS_2_DAYS
-    best, tasks = measured.best["starts"], RUNNING / ZONES
+    terminal_states = JOBS_PER_DAY * TWO_YEARS_DAYS
+    most_starts_per_s, zone_tasks = measured.busiest_rung["starts"], RUNNING_TASKS / ZONES
     day_mb, two_years_gb = (
-        JOBS_A_DAY * TERMINAL_STATE_BYTES / 1e6,
+        JOBS_PER_DAY * TERMINAL_STATE_BYTES / 1e6,
         terminal_states * TERMINAL_STATE_BYTES / 1e9,
     )
     growth = [
-        ("final states a day, all regions", f"{JOBS_A_DAY}", f"{day_mb:.0f} MB"),
+        ("final states a day, all regions", f"{JOBS_PER_DAY}", f"{day_mb:.0f} MB"),
         (
             "final states in two years",
             f"{terminal_states / 1e6:.0f} million",
             f"{two_years_gb:.1f} GB",
         ),
         ("parts of ended arrays", "0", "deleted 10 s after the end"),
-        ("a zone's workers", f"{WORKERS / ZONES:.0f}", f"{tasks:.0f} tasks"),
-        ("those tasks started again", f"{best:.0f} a second at best", f"{tasks / best:.0f} s"),
+        ("a zone's workers", f"{WORKERS / ZONES:.0f}", f"{zone_tasks:.0f} tasks"),
+        (
+            "those tasks started again",
+            f"{most_starts_per_s:.0f} a second at best",
+            f"{zone_tasks / most_starts_per_s:.0f} s",
+        ),
     ]
     return {
         "gaps": table(["reach", "what carries it", "limit", "need", "", "mark"], gap_rows),
@@ -446,23 +488,26 @@
 
 
 def with_tables(text: str, tables: dict[str, list[str]]) -> str:
-    """The page with each block of tables put between its marks."""
+    """Return the page's text with each table put between its start and end markers.
+
+    Raises ValueError when a marker is missing.
+    """
     for name, lines in tables.items():
-        begin = f"{BLOCK_START} {name}"
-        first = text.index(begin) + len(begin)
+        start_marker = f"{BLOCK_START} {name}"
+        first = text.index(start_marker) + len(start_marker)
         last = text.index(BLOCK_END, first)
         text = text[:first] + "\n\n" + "\n".join(lines) + "\n\n" + text[last:]
     return text
 
 
 def load() -> dict[str, list[Row]]:
-    """The recorded rungs of every run."""
+    """Return the recorded rungs of every run, by the run's name."""
     found: dict[str, list[Row]] = json.loads(RUNGS.read_text())
     return found
 
 
 def record(report: Path, run: str) -> None:
-    """Adds a scale run's rows under a run's name."""
+    """Add the rows of a scale run's report to the recorded ones, under the run's name."""
     runs = load() if RUNGS.exists() else {}
     runs.setdefault(run, []).extend(json.loads(report.read_text())["rows"])
     RUNGS.parent.mkdir(exist_ok=True)
@@ -474,7 +519,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Writes or checks the page, or records a run; returns the exit status."""
+    """Write or check the page, or record a run; return the exit status."""
     if arguments[:1] == ["--record"]:
         record(Path(arguments[1]), arguments[2])
         return 0
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: its tables are what the recorded rungs give."""
+"""scripts/capacity.py: the capacity page's tables are those computed from the recorded rungs."""
 
 import json
 import runpy
@@ -15,14 +15,14 @@
     return runpy.run_path(str(SCRIPT))
 
 
-def test_the_pages_tables_are_those_of_the_rungs(capacity: dict[str, Any]) -> None:
+def test_page_tables_equal_those_computed_from_the_recorded_rungs(capacity: dict[str, Any]) -> None:
     text = capacity["PAGE"].read_text()
     tables = capacity["page_tables"](capacity["Measurements"](capacity["load"]()))
     assert capacity["with_tables"](text, tables) == text
 
 
-def test_a_changed_rung_changes_the_page(capacity: dict[str, Any]) -> None:
-    """So that the check above can fail."""
+def test_page_tables_differ_after_a_rung_changes(capacity: dict[str, Any]) -> None:
+    """The comparison of the test above fails when a recorded rung changes."""
     runs = capacity["load"]()
     runs["slopes"][0]["controller_mb"] += 10.0
     text = capacity["PAGE"].read_text()
@@ -30,7 +30,7 @@
     assert capacity["with_tables"](text, tables) != text
 
 
-def test_gaps_come_smallest_first_and_no_rung_of_the_generator_counts(
+def test_gaps_are_sorted_by_reach_and_no_rung_is_limited_by_the_load_generator(
     capacity: dict[str, Any],
 ) -> None:
     measured = capacity["Measurements"](capacity["load"]())
@@ -41,7 +41,9 @@
     assert not any("generator" in limit for limit in limits)
 
 
-def test_slopes_are_least_squares(capacity: dict[str, Any]) -> None:
+def test_fit_of_collinear_rows_returns_their_line_and_marks_extrapolation(
+    capacity: dict[str, Any],
+) -> None:
     rows = [{"workers": x, "y": y} for x, y in ((1, 3.0), (2, 5.0), (3, 7.0))]
     line = capacity["fit"](rows, "workers", lambda r: r["y"])
     assert (round(line.intercept, 9), round(line.slope, 9), line.max_measured) == (1.0, 2.0, 3.0)
@@ -49,7 +51,7 @@
     assert line.mark(12) == "extrapolated ×4.0"
 
 
-def test_rows_are_recorded_under_their_run(
+def test_record_appends_rows_under_the_run_name(
     capacity: dict[str, Any], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     report = tmp_path / "report.json"
--- a/tests/test_cost_table.py
+++ b/tests/test_cost_table.py
@@ -1,4 +1,4 @@
-"""The table of what a controller's time went to, from its log."""
+"""scripts/costs.py: the report of controllers' run time, computed from their logs."""
 
 import runpy
 from pathlib import Path
@@ -25,8 +25,8 @@
 """
 
 
-def test_costs_are_summed_over_controllers_and_minutes() -> None:
-    rows = list(runpy.run_path(str(SCRIPT))["tables"](LOG.splitlines()))
+def test_report_sums_run_times_of_all_controllers_per_minute() -> None:
+    rows = list(runpy.run_path(str(SCRIPT))["report_lines"](LOG.splitlines()))
     assert rows[0] == "minute 1: 2 machines, 9.0 s, 0.075 of a core"
     assert " ".join(rows[1].split()) == "Planner.run 150 runs 9.00 s, longest 0.009 s"
     assert " ".join(rows[2].split()) == "answers to change 100, p99 50 ms at the slowest"
