--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -1,7 +1,8 @@
-"""Measures a scheduling cycle with many counted resources and waiting tasks, on one controller.
+"""Measure a scheduling cycle with many counted resources and waiting tasks, on one controller.
 
 python scripts/counts_size.py [--counts 1000] [--jobs 5000] [--tasks 20] [--machines 600]
-With --counts 0 the same jobs need no units; this runs with earlier versions of the code too.
+With --counts 0 the same jobs need no units; that also runs with versions of the code that have no
+counted resources.
 """
 
 import random
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """The size of the measured load."""
+    """The size of the measured load; `counts` is the number of resources, `tasks` is per job."""
 
     counts: int
     jobs: int
@@ -61,17 +62,17 @@
     print(f"{jobs * tasks} tasks wait, {counts} counts, {machines} machines")
     print(f"a plan takes {median_ms:.1f} ms of processor time, most {max_ms:.1f}")
     print(f"the jobs take {(after_kb - before_kb) / 1024:.1f} MB")
-    for what, starts, changes in measure_changes(controller, shard):
-        print(f"{what}: {starts} starts, {changes / max(1, starts):.2f} state changes each")
+    for label, starts, changes in measure_changes(controller, shard):
+        print(f"{label}: {starts} starts, {changes / max(1, starts):.2f} state changes each")
 
 
 def peak_memory_kb() -> int:
-    """The largest resident memory of this process so far."""
+    """Return the largest resident memory of this process so far, in KiB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
 
 
 def build_controller(load: Load) -> tuple[Controller, JobShard]:
-    """A controller that owns job shard 0 and sees the machines of shard 2."""
+    """Return a controller that sees the machines of shard 2, and job shard 0, which it owns."""
     controller = Controller(make_context(Clock()))
     controller.membership.lease.lease_id, controller.membership.lease.renewed_at = 1, 1e9
     shard = JobShard(controller.context, 0, 3, 9)
@@ -80,7 +81,7 @@
     controller.membership.owners[2] = ShardOwner(0, 5, 77)
     controller.peers.last_heard_at[0] = 1e9
     snapshot = ShardSnapshot(controller.context, 2, 77)
-    candidates = [
+    machines = [
         pb.MachineState(
             id=f"vm-{i}",
             type="small",
@@ -91,16 +92,14 @@
         )
         for i in range(load.machines)
     ]
-    snapshot.apply(
-        pb.Snapshot(shard=2, epoch=77, seq=1, valid=True, full=True, machines=candidates)
-    )
+    snapshot.apply(pb.Snapshot(shard=2, epoch=77, seq=1, valid=True, full=True, machines=machines))
     controller.candidates.update(snapshot, set(snapshot.machines))
     controller.planner.reservations.reserve_local = lambda _: pb.ReserveReply()
     return controller, shard
 
 
 def add_resources(controller: Controller, counts: int) -> None:
-    """Declares counted resources with three free units each."""
+    """Declare counted resources with three free units each."""
     # Imported here, as earlier versions of the code have no counted resources.
     from starlingdeck.counts.ledger import Ledger
     from starlingdeck.counts.plugin import CountedResourcePlugin
@@ -121,7 +120,7 @@
 
 
 def add_jobs(controller: Controller, shard: JobShard, load: Load) -> None:
-    """Adds waiting jobs that need one or two random resources each."""
+    """Add waiting jobs; each needs a unit of one or two random resources, or none without any."""
     rng = random.Random(1)
     for i in range(load.jobs):
         units = (
@@ -134,73 +133,79 @@
 
 
 def time_cycles(controller: Controller, shard: JobShard, cycles: int) -> list[float]:
-    """Processor time of each scheduling cycle in seconds, sorted; no task is started."""
-    spent: list[float] = []
+    """Return the processor time of each scheduling cycle in seconds, sorted.
+
+    No task is started: reservations get an empty reply.
+    """
+    cycle_s: list[float] = []
 
     async def drive() -> None:
         for _ in range(cycles):
             began = time.process_time()
             await controller.planner.run_cycle()
-            spent.append(time.process_time() - began)
+            cycle_s.append(time.process_time() - began)
             await curio.sleep(0)
             for job in shard.jobs.values():
                 job.reserving.clear()
                 job.retry_at.clear()
 
     curio.run(drive)
-    return sorted(spent)
+    return sorted(cycle_s)
 
 
 class CountingState(FakeStateService):
-    """A state service that counts what is written."""
+    """A state service that counts the changes written to it."""
 
     written = 0
 
     def apply(self, conditions: dict[str, int], changes: list[api.Change]) -> list[str]:
-        """Applies a transaction and counts its changes."""
+        """Apply a transaction and count its changes."""
         self.written += len(changes)
         return super().apply(conditions, changes)
 
 
 def measure_changes(controller: Controller, shard: JobShard) -> Iterator[tuple[str, int, int]]:
-    """Starts and state changes: of up to 3 tasks a job, then of tasks that replace ended ones."""
+    """Yield a label, and the starts and state changes of up to 3 tasks per job.
+
+    First all tasks are new, then they replace the started ones, which have ended.
+    """
     state = CountingState(random.Random(1))
     writer, plugin = controller.writers[0], controller.admission.durable
     writer.state = FakeStateClient(state, 0.0)  # type: ignore[assignment]  # a fake client
-    puts = [put_change(records.shard_key(0), 0)]
+    initial_changes = [put_change(records.shard_key(0), 0)]
     for job in shard.jobs.values():
-        puts.append(put_change(records.job_key(0, job.id), 0))
+        initial_changes.append(put_change(records.job_key(0, job.id), 0))
         job.key_versions[0] = 2
     if plugin is not None:
         store = plugin.store  # type: ignore[attr-defined]  # a CountedResourcePlugin
         store.state = writer.state
         for resource_id, ledger in store.ledgers.items():
-            puts.append(put_change(store.key(resource_id), ledger))
+            initial_changes.append(put_change(store.key(resource_id), ledger))
             store.versions[resource_id] = 2
-    state.apply({}, puts)
+    state.apply({}, initial_changes)
     shard.token = state.revision
     zone, machine = (
         controller.context.zone_names.intern("a"),
         controller.context.machine_names.intern("vm-0"),
     )
-    for what in ("from nothing", "in the place of others"):
+    for label in ("from nothing", "in the place of others"):
         state.written = starts = 0
         for job in shard.jobs.values():
             for task, placement in job.placements.items():
                 shard.end_attempt(job, task, placement, api.CAUSE_DONE, "exit done")
         run_without_waiting(controller.admission.begin_cycle(list(shard.jobs.values())))
         for job in shard.jobs.values():
-            found = job.pending(min(3, controller.admission.headroom(job)))
-            for task in found:
+            new_tasks = job.pending(min(3, controller.admission.headroom(job)))
+            for task in new_tasks:
                 job.pending_starts[task] = TaskPlacement(
                     machine, 1, job.attempts[task] + 1, 0, zone, state_since=1e9
                 )
                 shard.dirty_jobs.add(job.index)
-            controller.admission.on_requested(job, len(found))
-            starts += len(found)
+            controller.admission.on_requested(job, len(new_tasks))
+            starts += len(new_tasks)
         while run_without_waiting(writer.flush()):
             pass
-        yield what, starts, state.written
+        yield label, starts, state.written
 
 
 if __name__ == "__main__":
--- a/scripts/fuzz_counts.py
+++ b/scripts/fuzz_counts.py
@@ -1,8 +1,9 @@
-"""Fuzz the decoders of counts' records, messages and requests, guided by coverage.
+"""Fuzz the decoders of counted resources' records, messages and requests, guided by coverage.
 
 pip install -r requirements-fuzz.txt
 python scripts/fuzz_counts.py -runs=200000 tests/corpus/counts
-Further arguments are libFuzzer's; give a folder of your own first to keep what it finds.
+Further arguments are passed to libFuzzer. It writes new inputs to the first folder: name one of
+your own before the corpus to keep them apart.
 """
 
 import sys
@@ -16,10 +17,10 @@
     from tests.support.fuzz_targets import decode
 
 
-def target(data: bytes) -> None:
-    """Feeds one input to all decoders."""
+def decode_input(data: bytes) -> None:
+    """Decode one input; its first byte selects the decoder."""
     decode(data)
 
 
-atheris.Setup(sys.argv, target)
+atheris.Setup(sys.argv, decode_input)
 atheris.Fuzz()
--- a/scripts/overload_size.py
+++ b/scripts/overload_size.py
@@ -1,10 +1,11 @@
-"""Measures what overload control costs by size: a scheduling cycle and a gossip message.
+"""Measure the cost of overload control at several sizes: a scheduling cycle and a gossip message.
 
   python scripts/overload_size.py
 
-Builds one controller of 3, 5 or 9 with its share of 600 full machines, jobs of 2, 20 or 1,000
-pairs of team and class, and 1,000 or 100,000 waiting tasks none of which can be placed. Prints the
-median of processor time per call, with minimum shares and without.
+Build one controller of a cluster of 3, 5 or 9, with its share of 600 machines without free capacity
+and of 1,000 or 100,000 waiting tasks, none of which can be placed; their jobs belong to up to 2, 20
+or 1,000 pairs of team and class. Print the median processor time per call, with and without minimum
+shares.
 """
 
 import itertools
@@ -33,13 +34,13 @@
 from tests.support.builders import Clock, make_context, spec
 
 MACHINES = 600
-TASKS_A_JOB = 40
-RUNS = 15
+TASKS_PER_JOB = 40
+RUNS = 15  # calls of each measurement, warm-up included
 WARM_UP_RUNS = 4
 
 
 class Size(NamedTuple):
-    """The size of one measurement; `pairs` of team and class."""
+    """The size of one measurement: `pairs` of team and class, `tasks` of the whole cluster."""
 
     controllers: int
     pairs: int
@@ -48,7 +49,7 @@
 
 
 def build(size: Size) -> tuple[Controller, Clock]:
-    """A controller with that many peers, pairs of team and class, and tasks."""
+    """Return a controller in a cluster of this size with its share of the load, and its clock."""
     clock = Clock()
     context = make_context(clock, 1, ("a",) * size.controllers)
     context.tuning = Tuning(overload=OverloadSettings() if size.min_shares else None)
@@ -58,26 +59,26 @@
         epoch = 70 + shard
         controller.membership.owners[shard] = ShardOwner(shard, 5, epoch)
         controller.peers.last_heard_at[shard] = 1e12
-        controller.peers.links[shard] = object()  # type: ignore[assignment]  # any link
+        controller.peers.links[shard] = object()  # type: ignore[assignment]  # any object
         names = [f"vm-{n}" for n in range(shard, MACHINES, size.controllers)]
         snapshot = ShardSnapshot(context, shard, epoch)
-        shown = [
+        machines = [
             pb.MachineState(
                 id=n, type="small", zone="a", schedulable=True, youngest_s=[-1, -1, 5, -1]
             )
             for n in names
         ]
         snapshot.apply(
-            pb.Snapshot(shard=shard, epoch=epoch, seq=1, valid=True, full=True, machines=shown)
+            pb.Snapshot(shard=shard, epoch=epoch, seq=1, valid=True, full=True, machines=machines)
         )
         controller.candidates.update(snapshot, set(snapshot.machines))
     jobs = JobShard(context, 0, 5, 70)
     jobs.loaded = True
     controller.writers[0] = RecordWriter(context, controller.state, jobs)
     controller.machines[0] = MachineShard(context, 0, 5, 70, 0.0)
-    for n in range(size.tasks // size.controllers // TASKS_A_JOB):
+    for n in range(size.tasks // size.controllers // TASKS_PER_JOB):
         body = spec(
-            f"j-{n:06d}", chores=TASKS_A_JOB, flock=f"c-{n % size.pairs}", cores=1.0, ram_gb=1.0
+            f"j-{n:06d}", chores=TASKS_PER_JOB, flock=f"c-{n % size.pairs}", cores=1.0, ram_gb=1.0
         )
         job = new_job(context, body, 0, context.wall_clock_ms() - n)
         jobs.jobs[job.index] = job
@@ -90,25 +91,25 @@
 
 
 def median_ms(controller: Controller, clock: Clock, call: Callable[[], Awaitable[None]]) -> float:
-    """Median processor time of one call, in milliseconds, after WARM_UP_RUNS calls."""
+    """Return the median processor time of a call in milliseconds, without the warm-up calls."""
 
     async def timed_call() -> float:
         began = time.process_time()
         await call()
         return (time.process_time() - began) * 1000
 
-    took: list[float] = []
+    run_times_ms: list[float] = []
     for _ in range(RUNS):
         clock.at += 0.5
         controller.membership.lease.renewed_at = clock.at
         for snapshot in controller.candidates.snapshots.values():
             snapshot.received_at = clock.at
-        took.append(curio.run(timed_call))
-    return statistics.median(took[WARM_UP_RUNS:])
+        run_times_ms.append(curio.run(timed_call))
+    return statistics.median(run_times_ms[WARM_UP_RUNS:])
 
 
 def print_row(size: Size) -> None:
-    """Measures one size and prints its row."""
+    """Measure one size and print its row."""
     controller, clock = build(size)
     if controller.overload is not None:
         controller.overload.settings = OverloadSettings(patience_s=0.1)
@@ -130,7 +131,7 @@
 
 
 def main() -> None:
-    """Prints one row for each size."""
+    """Print one row for each size."""
     logging.disable(logging.CRITICAL)
     print("controllers pairs waiting min_shares cycle_ms gossip_ms gossip_bytes")
     sizes = itertools.product((3, 5, 9), (2, 20, 1000), (1_000, 100_000), (False, True))
--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -1,6 +1,7 @@
-"""Runs real controllers against simulated workers on loopback, checks and measures them.
+"""Run real controllers against simulated workers on loopback; check and measure them.
 
 python scripts/scale.py [PLAN.toml] [--report FILE] [--keep FOLDER]
+A plan's rungs are load levels, each run with processes of its own.
 Without a plan: three controllers, 150 workers, 45 s in which a controller is killed. Exit status
 0: no rule broken and every job's status answered; 1: a rule broken, a job unanswered or a process
 failed; 2: an invalid plan, or a port in use.
@@ -26,7 +27,7 @@
 
 
 def print_line(text: str) -> None:
-    """Prints a line at once."""
+    """Print a line and flush the output, so that it shows at once in a pipe or file."""
     click.echo(text)
     sys.stdout.flush()
 
@@ -36,7 +37,7 @@
 @click.option("--report", type=click.Path(path_type=Path), help="Write the rows here, as JSON.")
 @click.option("--keep", type=click.Path(path_type=Path), help="Keep settings and logs here.")
 def main(plan: Path | None, report: Path | None, keep: Path | None) -> None:
-    """Play a plan's rungs one after the other."""
+    """Run a plan's rungs one after the other."""
     try:
         scale_plan = load_plan(plan)
     except ConfigError as error:
@@ -45,7 +46,7 @@
         sys.exit(2)
     # curio warns whenever a wait ends in the same instant as its timeout.
     logging.getLogger("curio").setLevel(logging.ERROR)
-    # The rungs' processes end with this one, also on SIGTERM.
+    # SIGTERM raises SystemExit, so that the processes of the current rung are ended as well.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     run_report = reports.Report(plan=scale_plan)
     write_report(report, run_report)
@@ -77,7 +78,7 @@
 
 
 def play_rung_or_exit(scale_plan: Plan, rung: Rung, folder: Path | None) -> reports.Row:
-    """The row of a rung; exits with 2 if a port is in use, with 1 if a process failed."""
+    """Run a rung and return its row; exit with 2 if a port is in use, 1 if a process failed."""
     try:
         return play_rung(scale_plan, rung, folder, print_line)
     except PortsTakenError as error:
@@ -89,7 +90,7 @@
 
 
 def write_report(path: Path | None, run_report: reports.Report) -> None:
-    """Writes the report as JSON, if a file was named."""
+    """Write the report as JSON, if a file was named."""
     if path is not None:
         path.write_bytes(msgspec.json.format(msgspec.json.encode(run_report), indent=1))
 
