--- a/starlingdeck/api/job_api.py
+++ b/starlingdeck/api/job_api.py
@@ -40,7 +40,7 @@
         if not path.startswith(api.JOBS + "/"):
             return error_response(404, "no such path")
         name, _, action = path[len(api.JOBS) + 1 :].partition("/")
-        if not api.JOB_ID.fullmatch(name):
+        if not api.JOB_ID_PATTERN.fullmatch(name):
             return error_response(404, "no such job")
         if action not in ("", api.CANCEL):
             return error_response(404, "no such path")
@@ -64,7 +64,7 @@
             return error_response(503, f"the state service can't be used now: {error}")
         except msgspec.DecodeError as error:
             record = request.name or "of a submission"
-            self.services.context.quarantine_failed("record", record, error)
+            self.services.context.quarantine_after_failure("record", record, error)
             return error_response(503, "the job's record can't be read")
         finally:
             self.in_flight -= 1
--- a/starlingdeck/controller/__init__.py
+++ b/starlingdeck/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller process: wiring of its parts, its loops, its periodic metrics."""
+"""The controller process: its wiring, request and message handlers, loops, metrics."""
