--- a/standins/agent.py
+++ b/standins/agent.py
@@ -10,9 +10,9 @@
 from starlingdeck.protocol import api
 
 FETCHING, RUNNING, EXITED = "fetching", "running", "exited"
-REPORT_TIMEOUT_S = 4.0  # until a heartbeat counts as unanswered
+REPORT_TIMEOUT_S = 4.0  # time after which a heartbeat counts as unanswered
 CONTROLLER_RETRY_S = 1.0  # wait before a worker tries the next controller
-MIN_REPORT_INTERVAL_S = 0.5  # between the starts of two heartbeats
+MIN_REPORT_INTERVAL_S = 0.5  # shortest time between the starts of two heartbeats
 
 
 @dataclass
@@ -56,14 +56,14 @@
         self.restart(now)
 
     def restart(self, now: float) -> None:
-        """Resets the state to that of a machine that has just started, without tasks."""
+        """Reset the state to that of a machine that has just started, without tasks."""
         self.tasks.clear()
         self.session = 1
         self.sequence = self.token = 0
         self.lease_renewed_at = now  # when the last answered heartbeat was sent
 
     def build_report(self) -> api.Report:
-        """Returns the next heartbeat; its sequence number is one higher than the last."""
+        """Return the next heartbeat; its sequence number is one higher than the last."""
         self.sequence += 1
         identity = self.identity
         tasks = [
@@ -76,10 +76,10 @@
         )  # fmt: skip
 
     def handle_commands(self, batch: api.Commands) -> Actions | None:
-        """Executes commands that a controller sent directly.
+        """Execute commands that a controller sent directly.
 
-        Returns None, without any effect, if their token is lower than the highest one seen or
-        their session is not the current one.
+        Return None, without any effect, if the batch's token is lower than the highest one seen or
+        its session is not the current one.
         """
         if batch.token < self.token or batch.session != self.session:
             return None
@@ -89,10 +89,10 @@
     def handle_report_reply(
         self, reply: api.ReportReply, session: int, sent: float
     ) -> Actions | None:
-        """Renews the lease and executes the commands of the reply to a heartbeat.
+        """Renew the lease and execute the commands of the reply to a heartbeat.
 
         `session` is the heartbeat's session; the lease runs from `sent`, when the heartbeat was
-        sent, in seconds. Returns None, without any effect, if that session has ended or the
+        sent, in seconds. Return None, without any effect, if that session has ended or the
         reply's token is lower than the highest one seen.
         """
         if session != self.session or reply.token < self.token:
@@ -102,10 +102,11 @@
         return self.execute(reply.commands)
 
     def execute(self, commands: list[api.Command]) -> Actions:
-        """Executes commands in order and returns the tasks to start and to stop.
+        """Execute commands in order and return the tasks to start and to stop.
 
-        A start has no effect if its attempt is known or another attempt of the task has not
-        exited; a stop or reap has none if its attempt is not the known one.
+        A start has no effect if the machine already has its attempt, or another attempt of the
+        task that has not exited. A stop or reap has no effect on an attempt that the machine does
+        not have. Only unfinished attempts are stopped and only exited ones reaped.
         """
         actions = Actions()
         for command in commands:
@@ -133,16 +134,16 @@
             self.task_ended(command.task, "full")
 
     def task_running(self, name: str) -> None:
-        """Records that a task has its image and runs."""
+        """Record that a task has its image and runs."""
         self.tasks[name].state = RUNNING
 
     def task_ended(self, name: str, exit_cause: str) -> None:
-        """Records that a task has exited, with the cause that heartbeats carry."""
+        """Record that a task has exited, with the cause that heartbeats carry."""
         task = self.tasks[name]
         task.state, task.exit_cause = EXITED, exit_cause
 
     def expire_lease(self, now: float, lease_s: float) -> list[str]:
-        """Ends the session if the lease has expired; returns the tasks that this kills."""
+        """End the session if the lease has expired; return the tasks that this kills."""
         if now - self.lease_renewed_at <= lease_s:
             return []
         killed = [name for name, task in self.tasks.items() if task.state != EXITED]
@@ -153,11 +154,12 @@
 
 
 def advance_controller(controllers: list[str], redirect_to: str | None) -> bool:
-    """Moves the controller for the next heartbeat to the front.
+    """Move the controller for the next heartbeat to the front.
 
-    Called after the controller at the front refused a heartbeat or did not answer. The next one is
-    `redirect_to`, which the refusal named, if it is another one in the list, and otherwise the
-    second. Returns whether the worker has to wait before the next heartbeat.
+    Called after the controller at the front refused a heartbeat or did not answer. `redirect_to`
+    is the controller that the refusal named; it is chosen if the list has it behind the front.
+    Otherwise the second controller is chosen, and the one at the front moves to the end. Return
+    whether the worker has to wait before the next heartbeat.
     """
     if redirect_to in controllers and redirect_to != controllers[0]:
         controllers.remove(redirect_to)
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -26,20 +26,20 @@
 MAX_MACHINES_PER_RENTAL = 50
 MAX_PAGE_ITEMS = 500
 RATE_BURST_S = 2.0  # allowed burst, in seconds' worth of requests
-FAILURE_VISIBLE_AFTER_S = 30.0  # until a dead machine is listed as failed
+FAILURE_VISIBLE_AFTER_S = 30.0  # time until a dead machine is listed as failed
 
 
 class Launcher(Protocol):
     """Starts and ends the machines of a cloud."""
 
     async def start(self, machine_type: api.MachineType, machine: api.MachineInfo) -> None:
-        """Starts a machine and sets its address."""
+        """Start a machine and set its address."""
 
     async def kill(self, name: str) -> None:
-        """Ends a machine and all its tasks."""
+        """End a machine and all its tasks."""
 
     async def isolate(self, machine: api.MachineInfo, seconds: float) -> None:
-        """Isolates a machine from the controllers."""
+        """Isolate a machine from the controllers."""
 
 
 class ProcessLauncher:
@@ -53,7 +53,7 @@
         self.http = HttpClient()
 
     async def start(self, machine_type: api.MachineType, machine: api.MachineInfo) -> None:
-        """Starts the machine's worker process on a port of its own."""
+        """Start the machine's worker process on a port of its own."""
         machine.addr = f"127.0.0.1:{self.first_port + self.started_count}"
         self.started_count += 1
         command = [
@@ -73,19 +73,19 @@
         self.processes[machine.id] = subprocess.Popen(command)
 
     async def kill(self, name: str) -> None:
-        """Kills the machine's worker process."""
+        """Kill the machine's worker process."""
         process = self.processes.pop(name, None)
         if process is not None:
             process.kill()
             process.wait()
 
     async def isolate(self, machine: api.MachineInfo, seconds: float) -> None:
-        """Makes the worker delay all traffic for `seconds`."""
+        """Make the worker delay all traffic for `seconds`."""
         body = msgspec.json.encode({"seconds": seconds})
         await self.http.call(machine.addr, "POST", "/cut", body, 2.0)
 
     async def run(self) -> None:
-        """Runs until the cloud's process ends, then kills the worker processes."""
+        """Run until the cloud's process ends, then kill the worker processes."""
         try:
             while True:
                 await curio.sleep(1.0)
@@ -105,7 +105,7 @@
         list_lag_s: float = 0.0,
         capacity: int = 0,
     ) -> None:
-        """Limits the cloud to `rps` requests per second and `capacity` machines; 0 means no limit.
+        """Limit the cloud to `rps` requests per second and `capacity` machines; 0 means no limit.
 
         `list_lag_s` is the time until a started machine is listed.
         """
@@ -121,7 +121,7 @@
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
     async def handle(self, request: Request) -> Response:
-        """Handles one request; only fault injection is exempt from the rate limit."""
+        """Handle one request; only fault injection is exempt from the rate limit."""
         post = request.method == "POST"
         if request.path in ("/kill", "/cut"):
             return await self.inject_fault(request)
@@ -141,7 +141,7 @@
         return error_response(400, "no such path")
 
     async def inject_fault(self, request: Request) -> Response:
-        """Kills or isolates the machine that the request names."""
+        """Kill or isolate the machine that the request names."""
         body = msgspec.json.decode(request.body)
         info = self.machines.get(body["host"])
         if info is None:
@@ -154,7 +154,10 @@
         return json_response()
 
     async def rent(self, request: api.RentRequest) -> Response:
-        """Rents machines. A repeated request gets the same answer and rents nothing."""
+        """Rent up to `count` machines; fewer if a limit is reached.
+
+        A request with the id of an earlier one rents nothing and returns the names rented then.
+        """
         machine_type = next((known for known in self.types if known.name == request.type), None)
         if machine_type is None or request.zone not in machine_type.zones:
             return error_response(400, "no such type there")
@@ -171,7 +174,7 @@
         return json_response(api.MachineNames(self.rented_by_request[request.request]))
 
     async def start_machine(self, machine_type: api.MachineType, zone: str, spot: bool) -> str:
-        """Starts one machine and returns its name."""
+        """Start one machine and return its name."""
         name = f"vm-{len(self.started_at) + 1:06d}"
         self.started_at[name] = time.monotonic()
         machine = api.MachineInfo(name, machine_type.name, zone, spot, api.RUNNING)
@@ -180,7 +183,7 @@
         return name
 
     def list_page(self, parameters: dict[str, str]) -> Response:
-        """Returns a page of the machine list; a machine is listed `list_lag_s` after its start."""
+        """Return a page of the machine list; a machine is listed `list_lag_s` after its start."""
         now = time.monotonic()
         for name in list(self.died_at):
             if now - self.died_at[name] > FAILURE_VISIBLE_AFTER_S and name in self.machines:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -2,7 +2,7 @@
 
 python -m standins.engine ADDRESS LOG
 Each line of the log has the Unix time in seconds, "open", "close" or "done", the task, the attempt,
-the machine, and the number of sessions open at that time.
+the machine, and the number of sessions that are open after the event.
 """
 
 import sys
@@ -22,11 +22,11 @@
         self.open_sessions = 0
 
     def log_event(self, event: str, client: str) -> None:
-        """Appends one line to the log."""
+        """Append one line to the log."""
         self.log.write(f"{time.time():.3f} {event} {client} {self.open_sessions}\n")
 
     async def serve_session(self, sock: curio.io.Socket, _: object) -> None:
-        """Serves one session, from its first line until the connection closes."""
+        """Serve one session, from its first line until the connection closes."""
         stream = sock.as_stream()
         client = (await stream.readline()).decode().strip()
         self.open_sessions += 1
--- a/standins/events.py
+++ b/standins/events.py
@@ -6,8 +6,8 @@
 class EventKind(StrEnum):
     """What happened.
 
-    Worker hosts send events of the first four kinds, whose values stand in the event lines. The
-    checker queues events of the last kind itself when a user sees a job reported as done.
+    Worker hosts send events of the first four kinds as text lines that contain these values. The
+    checker itself queues an event of the last kind when a user sees a job reported as done.
     """
 
     STARTED = "on"
--- a/standins/limits.py
+++ b/standins/limits.py
@@ -18,7 +18,7 @@
         self.refilled_at = time.monotonic()
 
     def take(self, amount: float = 1.0) -> bool:
-        """Takes `amount` tokens; if there are fewer, takes none and returns False."""
+        """Take `amount` tokens; if there are fewer, take none and return False."""
         if not self.rate_per_s:
             return True
         now = time.monotonic()
@@ -33,10 +33,10 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits of the state service, and a latency added to each request; 0 means none.
+    """Limits of the state service, and the latency added to each request; 0 means none.
 
-    `rps` counts requests and `write_rps` changes, both per second; `value_kb` limits one value and
-    `txn_ops` the changes of one transaction.
+    `rps` limits the requests and `write_rps` the changes per second; `value_kb` limits the size of
+    one value, and `txn_ops` the number of changes in one transaction.
     """
 
     rps: float = 0.0
--- a/standins/scale/checker.py
+++ b/standins/scale/checker.py
@@ -10,7 +10,7 @@
 
 # Events of different processes arrive out of order: they are held for this long and sorted by time.
 EVENT_DELAY_S = 1.0
-EPSILON = 1e-6  # excess over a limit up to this is a rounding error
+QUOTA_TOLERANCE_CPUS = 1e-6  # up to this, an excess over a team's limit is a rounding error
 
 
 class Event(NamedTuple):
@@ -56,12 +56,13 @@
     team_cpus_max: float
     running: dict[str, RunningTask] = field(default_factory=dict)
     tasks_by_machine: defaultdict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
-    # The running tasks of each team; each task uses one CPU.
+    # Number of running tasks by team; each task uses one CPU.
     used_by_team: defaultdict[int, int] = field(default_factory=lambda: defaultdict(int))
     finished: set[str] = field(default_factory=set)
     first_start: dict[str, float] = field(default_factory=dict)
     violations: list[Violation] = field(default_factory=list)
-    late_starts: list[str] = field(default_factory=list)  # starts after a confirmed cancellation
+    # Names of tasks that were started after a confirmed cancellation.
+    late_starts: list[str] = field(default_factory=list)
     cancelled: dict[str, float] = field(default_factory=dict)  # job -> time of the confirmation
     # A heap of (time, job): none of the cancelled job's tasks may run after that time.
     cancel_deadlines: list[tuple[float, str]] = field(default_factory=list)
@@ -74,7 +75,7 @@
     # --- events
 
     def receive_event(self, line: str) -> None:
-        """Queues an event line of a worker host: time in seconds, kind, task, machine."""
+        """Queue an event line of a worker host: time in seconds, kind, task, machine."""
         at, kind, task, machine = line.split()
         self.event_sequence += 1
         self.out_of_order += float(at) < self.evaluated_until
@@ -82,13 +83,13 @@
         heapq.heappush(self.pending_events, event)
 
     def report_cancelled(self, job: str, at: float) -> None:
-        """Records that a job's cancellation was confirmed to its user."""
+        """Record that a job's cancellation was confirmed to its user."""
         if job not in self.cancelled:
             self.cancelled[job] = at
             heapq.heappush(self.cancel_deadlines, (at + self.cancel_s, job))
 
     def report_done(self, job: str, tasks: int, at: float) -> None:
-        """Queues the event that a job was reported done to its user.
+        """Queue the event that a job was reported done to its user.
 
         It is evaluated in order of time, since workers' earlier events may still be on their way.
         """
@@ -100,7 +101,7 @@
     # --- evaluation
 
     def evaluate(self, up_to: float) -> None:
-        """Evaluates all events up to a time, in order of time."""
+        """Evaluate all events up to a time, in order of time."""
         while self.pending_events and self.pending_events[0].at <= up_to:
             event = heapq.heappop(self.pending_events)
             self.check_cancelled(event.at)
@@ -109,7 +110,7 @@
         self.evaluated_until = max(self.evaluated_until, up_to)
 
     def evaluate_event(self, event: Event) -> None:
-        """Applies one event and checks the rules that it can break."""
+        """Apply one event and check the rules that it can break."""
         if event.kind == EventKind.STARTED:
             self.task_started(event.at, event.task, event.machine)
         elif event.kind == EventKind.JOB_REPORTED_DONE:
@@ -123,7 +124,7 @@
             self.task_ended(event.task, event.machine)
 
     def task_started(self, at: float, task: str, machine: str) -> None:
-        """Records a started task; checks ran_twice, quota and ran_cancelled."""
+        """Record a started task; check ran_twice, quota and ran_cancelled."""
         job = task.split("/", maxsplit=1)[0]
         other = self.running.get(task)
         if other is not None and other.machine != machine:
@@ -137,7 +138,7 @@
             self.starts += 1
             team = workload.parse_job_id(job).team
             self.used_by_team[team] += 1
-            if self.used_by_team[team] > self.team_cpus_max + EPSILON:
+            if self.used_by_team[team] > self.team_cpus_max + QUOTA_TOLERANCE_CPUS:
                 self.record_violation(
                     at,
                     "quota",
@@ -154,7 +155,7 @@
                 self.record_violation(at, "ran_cancelled", task, f"starts on {machine}")
 
     def task_ended(self, task: str, machine: str) -> None:
-        """Records that a task is no longer on a machine."""
+        """Record that a task is no longer on a machine."""
         self.tasks_by_machine[machine].discard(task)
         running = self.running.get(task)
         if running is not None and running.machine == machine:
@@ -162,7 +163,7 @@
             self.used_by_team[workload.parse_job_id(task.split("/", maxsplit=1)[0]).team] -= 1
 
     def check_done(self, at: float, job: str, tasks: int) -> None:
-        """Checks that all tasks of a job that was reported done had completed (rule not_done)."""
+        """Check that all tasks of a job that was reported done had completed (rule not_done)."""
         missing = [i for i in range(tasks) if f"{job}/{i}" not in self.finished]
         if missing:
             self.record_violation(
@@ -170,7 +171,7 @@
             )
 
     def check_cancelled(self, now: float) -> None:
-        """Checks that no task of a cancelled job runs past its deadline (rule ran_cancelled)."""
+        """Check that no task of a cancelled job runs past its deadline (rule ran_cancelled)."""
         while self.cancel_deadlines and self.cancel_deadlines[0][0] < now:
             at, job = heapq.heappop(self.cancel_deadlines)
             for task, running in self.running.items():
@@ -178,5 +179,5 @@
                     self.record_violation(at, "ran_cancelled", task, f"still on {running.machine}")
 
     def record_violation(self, at: float, rule: str, task: str, detail: str) -> None:
-        """Records a broken rule."""
+        """Record a broken rule."""
         self.violations.append(Violation(at, rule, task, detail))
--- a/standins/scale/faults.py
+++ b/standins/scale/faults.py
@@ -34,8 +34,8 @@
     """The recovery from one fault.
 
     `running_before`: mean over the 10 s before the fault; `running_least`: minimum after it.
-    `again_s`: seconds until 95% of the former number of tasks run again; 0: the number never fell
-    below that; None: not before the next fault or the end of the run.
+    `again_s`: seconds until 95% of `running_before` tasks run again. It is 0 if the number never
+    fell below that, and None if it stayed below until the next fault or the end of the run.
     `gap_s`: the longest time without a start in the 20 s after the fault.
     """
 
@@ -70,65 +70,65 @@
         }
 
     async def sample_loop(self) -> None:
-        """Samples the running tasks every SAMPLE_INTERVAL_S seconds."""
+        """Sample the running tasks every SAMPLE_INTERVAL_S seconds."""
         while True:
             now = time.monotonic()
             self.samples.append(Sample(now, len(self.checker.running), self.checker.starts))
             await curio.sleep(SAMPLE_INTERVAL_S)
 
     async def run(self, fault: Fault, run_started_at: float) -> None:
-        """Waits until a fault is due and injects it."""
+        """Wait until a fault is due and inject it."""
         await curio.sleep(max(0.0, run_started_at + fault.at_s - time.monotonic()))
         self.injected.append(InjectedFault(fault, time.monotonic()))
         await self.actions[fault.kind](fault)
 
     async def kill_controller(self, fault: Fault) -> None:
-        """Kills a random controller and starts it again after `for_s` seconds."""
+        """Kill a random controller and start it again after `for_s` seconds."""
         number = self.rng.randrange(self.site.rung.controllers)
         self.site.kill_controller(number)
         await curio.sleep(fault.for_s)
         self.site.start_controller(number)
 
     async def kill_rack(self, fault: Fault) -> None:
-        """Kills the first `count` machines by name, one request after the other without a pause."""
+        """Kill the first `count` machines in order of name, one after the other without a pause."""
         for number in range(fault.count):
             body = msgspec.json.encode({"host": f"vm-{number + 1:06d}"})
             await self.site.request(self.site.cloud, "POST", "/kill", body)
 
     async def restart_workers(self, fault: Fault) -> None:
-        """Restarts random workers, `rate` a second on average, until the end of the run."""
+        """Restart random workers, `rate` a second on average, until the end of the run."""
         while True:
             await curio.sleep(self.rng.expovariate(fault.rate))
             name = f"vm-{self.rng.randrange(self.site.rung.workers) + 1:06d}"
             await self.request_all_hosts("/restart", [name])
 
     async def interrupt_state_service(self, fault: Fault) -> None:
-        """Starts an outage of the state service that lasts `for_s` seconds."""
+        """Start an outage of the state service that lasts `for_s` seconds."""
         body = msgspec.json.encode({"seconds": fault.for_s})
         await self.site.request(self.site.state, "POST", "/out", body)
 
     async def request_all_hosts(self, path: str, names: list[str]) -> None:
-        """Posts machine names to every worker host; a host ignores the names of other machines."""
+        """Post machine names to every worker host; a host ignores the names of other machines."""
         body = msgspec.json.encode(names)
         for address in self.site.hosts:
             await self.site.request(address, "POST", path, body)
 
     def recoveries(self, run_started_at: float) -> list[Recovery]:
-        """Returns the recovery from each fault except restarts; samples end at the next fault."""
+        """Return the recovery from each fault but restarts, using samples up to the next fault."""
         faults = [injected for injected in self.injected if injected.fault.kind != "restarts"]
         fault_times = [injected.at for injected in faults]
-        found = []
+        results = []
         for fault, at in faults:
             until = min((later for later in fault_times if later > at), default=float("inf"))
             samples = [sample for sample in self.samples if sample.at < until]
-            found.append(measure_recovery(fault, at, run_started_at, samples))
-        return found
+            results.append(measure_recovery(fault, at, run_started_at, samples))
+        return results
 
 
 def measure_recovery(
     fault: Fault, at: float, run_started_at: float, samples: list[Sample]
 ) -> Recovery:
-    """Returns the recovery from one fault, injected at `at`, from samples of running tasks."""
+    """Return the recovery from one fault, injected at `at`, from samples of running tasks."""
     before = [s.running for s in samples if at - BASELINE_S <= s.at < at]
     after = [s for s in samples if s.at >= at]
     baseline = sum(before) / len(before) if before else 0.0
@@ -153,7 +153,7 @@
 
 
 def longest_gap(samples: list[Sample], until: float) -> float:
-    """Returns the longest time without a task start, in seconds, from samples up to `until`."""
+    """Return the longest time without a task start, in seconds, from samples up to `until`."""
     longest, gap_started_at = 0.0, None
     for earlier, later in itertools.pairwise(samples):
         if later.at > until:
--- a/standins/scale/measure.py
+++ b/standins/scale/measure.py
@@ -26,7 +26,7 @@
 
 
 def process_usage(pid: int) -> Usage | None:
-    """Returns the resource use of a process; None when it has ended."""
+    """Return the resource use of a process; None when it has ended."""
     folder = Path(f"/proc/{pid}")
     try:
         fields = (folder / "stat").read_text().rpartition(")")[2].split()
@@ -49,7 +49,7 @@
 
 
 def port_traffic(ports: set[int]) -> dict[int, Traffic] | None:
-    """Returns the traffic by listening port, without closed connections; None without `ss`."""
+    """Return the traffic of open connections by listening port; None if there is no `ss`."""
     program = shutil.which("ss")
     if program is None:
         return None
@@ -74,5 +74,5 @@
 
 
 def _number(pattern: str, line: str) -> int:
-    found = re.search(pattern, line)
-    return int(found[1]) if found else 0
+    match = re.search(pattern, line)
+    return int(match[1]) if match else 0
--- a/standins/scale/measurement.py
+++ b/standins/scale/measurement.py
@@ -1,4 +1,4 @@
-"""Measures a rung: the increase of its counters from the end of the warm-up to the end."""
+"""Measures a rung by the increase of its counters between the ends of the warm-up and the run."""
 
 import time
 from collections.abc import Callable
@@ -47,10 +47,10 @@
         self.own_pid = int(Path("/proc/self").resolve().name)
 
     async def snapshot(self) -> CounterSnapshot:
-        """Reads every counter once."""
-        own = process_usage(self.own_pid)
+        """Read every counter once."""
+        own_usage = process_usage(self.own_pid)
         cpu = {name: self.site.cpu_s(name) for name in self.site.processes}
-        cpu["users"] = own.cpu_s if own is not None else 0.0
+        cpu["users"] = own_usage.cpu_s if own_usage is not None else 0.0
         return CounterSnapshot(
             time.monotonic(),
             cpu,
@@ -63,7 +63,7 @@
         )
 
     def row(self, first: CounterSnapshot, last: CounterSnapshot, run_started_at: float) -> Row:
-        """Returns the rung's figures between two snapshots."""
+        """Return the rung's figures between two snapshots."""
         seconds = last.at - first.at
         workers = self.site.rung.workers
 
@@ -135,9 +135,10 @@
     def bytes_at(
         self, addresses: list[str], first: CounterSnapshot, last: CounterSnapshot, divisor: int
     ) -> float | None:
-        """Returns the bytes a second at addresses, divided by `divisor`; None without `ss`.
+        """Return the bytes received and sent per second at addresses, divided by `divisor`.
 
-        It is too low when connections close between the snapshots: their bytes no longer count.
+        None if there is no `ss`. The figure is too low when connections close between the
+        snapshots: their bytes no longer count.
         """
         if first.traffic is None or last.traffic is None:
             return None
@@ -149,22 +150,22 @@
         return total / (last.at - first.at) / divisor
 
     def waits(self, since: float) -> dict[str, Waits]:
-        """Returns figures of the tasks' waits by rank: seconds from acceptance to first start.
+        """Return figures of the tasks' waits by rank: seconds from acceptance to first start.
 
-        Only jobs accepted since `since` and without a cancellation count. A task that has not
-        started counts once it has waited for more than SUBMIT_TIMEOUT_S seconds.
+        Only jobs accepted at `since` or later count, and only without a request to cancel them. A
+        task that has not started counts once it has waited more than SUBMIT_TIMEOUT_S seconds.
         """
-        found: dict[str, list[float]] = {}
+        waits_by_rank: dict[str, list[float]] = {}
         now = time.monotonic()
         for job in list(self.users.jobs.values()):
             if job.accepted_at < since or job.cancelling:
                 continue
             for number in range(job.tasks):
                 started_at = self.checker.first_start.get(f"{job.id}/{number}")
-                waited = (started_at or now) - job.accepted_at
-                if started_at is not None or waited > SUBMIT_TIMEOUT_S:
-                    found.setdefault(job.rank, []).append(waited)
+                waited_s = (started_at or now) - job.accepted_at
+                if started_at is not None or waited_s > SUBMIT_TIMEOUT_S:
+                    waits_by_rank.setdefault(job.rank, []).append(waited_s)
         return {
-            rank: Waits(len(waited), percentile(waited, 0.5), percentile(waited, 0.99))
-            for rank, waited in found.items()
+            rank: Waits(len(waits_s), percentile(waits_s, 0.5), percentile(waits_s, 0.99))
+            for rank, waits_s in waits_by_rank.items()
         }
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -18,7 +18,7 @@
 # Memory (MB) and sockets of the processes, measured on loopback. They serve only to refuse plans
 # that this machine can't run; reports have measured values.
 CONTROLLER_MB = 45.0
-CONTROLLER_MB_PER_WORKER = 0.06  # at each controller
+CONTROLLER_MB_PER_WORKER = 0.06  # every controller needs this for each of the rung's workers
 HOST_MB = 35.0
 HOST_MB_PER_WORKER = 0.12
 OTHER_PROCESSES_MB = 250.0  # state service, cloud, users and checker
@@ -27,7 +27,7 @@
 CONTROLLER_SOCKETS_PER_WORKER = 3
 SOCKET_HEADROOM = 300
 MAX_PROCESSES = 300
-MAX_MEMORY_SHARE = 0.5  # of the machine's memory
+MAX_MEMORY_SHARE = 0.5  # share of the machine's memory that a rung may need
 
 
 class UserSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -38,10 +38,10 @@
     array_tasks: PositiveCount = 40  # mean number of tasks of an array job
     run_s: Seconds = 10.0  # mean run time of a task
     one_task: Share = 0.15  # share of the task starts that belong to jobs of one task
-    urgent: Share = 0.2  # of all jobs except services
-    services: Annotated[int, Meta(ge=0, le=10_000)] = 6  # two replicas each; submitted at the start
-    cancelled: Share = 0.03  # of all jobs except services
-    repeated: Share = 0.05  # of all jobs: submitted a second time once accepted
+    urgent: Share = 0.2  # share of the jobs other than services
+    services: Annotated[int, Meta(ge=0, le=10_000)] = 6  # two replicas each, submitted first
+    cancelled: Share = 0.03  # share of the jobs other than services
+    repeated: Share = 0.05  # share of all jobs that are submitted again once accepted
     poll_s: Seconds = 5.0
 
 
@@ -102,7 +102,7 @@
     faults: list[Fault] = msgspec.field(name="troubles", default=[])
 
     def requested_starts_per_s(self, rung: Rung) -> float:
-        """Returns how many task starts a second a rung's users request."""
+        """Return the number of task starts per second that a rung's users request."""
         return rung.starts_per_s or 0.75 * self.slots * rung.workers / self.users.run_s
 
 
@@ -113,7 +113,7 @@
 
 
 def load_plan(path: Path | None) -> Plan:
-    """Returns the plan in a file, or the default plan; raises ConfigError with all errors found."""
+    """Return the plan in a file, or the default plan; raises ConfigError with all errors found."""
     if path is None:
         return DEFAULT_PLAN
     try:
@@ -136,7 +136,7 @@
 
 
 def plan_errors(plan: Plan, memory: float, socket_limit: int) -> list[str]:
-    """Returns a plan's contradictions and its needs beyond `memory` (MB) and `socket_limit`."""
+    """Return errors: contradictions, and needs of rungs beyond `memory` (MB) or `socket_limit`."""
     lines = []
     if not plan.rungs:
         lines.append("rungs: at least one")
@@ -150,13 +150,13 @@
         if fault.at_s >= plan.seconds:
             lines.append(f"troubles[{number}].at_s: less than seconds")
     for number, rung in enumerate(plan.rungs):
-        found = rung_errors(plan, rung, memory, socket_limit)
-        lines += [f"rungs[{number}]: {line}" for line in found]
+        errors = rung_errors(plan, rung, memory, socket_limit)
+        lines += [f"rungs[{number}]: {line}" for line in errors]
     return lines
 
 
 def rung_errors(plan: Plan, rung: Rung, memory: float, socket_limit: int) -> list[str]:
-    """Returns what one rung needs beyond this machine's limits, one error for each limit."""
+    """Return an error for each limit of this machine that a rung's needs exceed."""
     lines = []
     needed_mb = estimated_memory_mb(plan, rung)
     if needed_mb > memory * MAX_MEMORY_SHARE:
@@ -174,7 +174,7 @@
 
 
 def tuning_errors(plan: Plan) -> list[str]:
-    """Returns the errors in the controllers' tuning file; none if the plan names no such file."""
+    """Return the errors in the controllers' tuning file; none if the plan names no such file."""
     if not plan.tuning:
         return []
     try:
@@ -185,24 +185,27 @@
 
 
 def worker_host_count(plan: Plan, rung: Rung) -> int:
-    """Returns the number of worker host processes."""
+    """Return the number of worker host processes."""
     return -(-rung.workers // plan.per_process)
 
 
 def process_count(plan: Plan, rung: Rung) -> int:
-    """Returns a rung's number of processes, with state service, cloud, and users and checker."""
+    """Return a rung's number of processes.
+
+    There is one for the state service, one for the cloud, and one for users and checker.
+    """
     return rung.controllers + worker_host_count(plan, rung) + 3
 
 
 def estimated_memory_mb(plan: Plan, rung: Rung) -> float:
-    """Returns an estimate of the memory that a rung needs, in MB."""
+    """Return an estimate of the memory that a rung needs, in MB."""
     controllers = rung.controllers * (CONTROLLER_MB + CONTROLLER_MB_PER_WORKER * rung.workers)
     workers = worker_host_count(plan, rung) * HOST_MB + HOST_MB_PER_WORKER * rung.workers
     return controllers + workers + OTHER_PROCESSES_MB
 
 
 def machine_memory_mb() -> float:
-    """Returns the machine's memory in MB; raises OSError if /proc/meminfo lacks it."""
+    """Return the machine's memory in MB; raises OSError if /proc/meminfo lacks it."""
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemTotal:"):
             return int(line.split()[1]) / 1024
@@ -210,5 +213,5 @@
 
 
 def max_sockets() -> int:
-    """Returns how many descriptors, and so sockets, one process may open."""
+    """Return how many file descriptors one process may open; each socket uses one."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -6,8 +6,8 @@
 
 from standins.scale.faults import Recovery
 
-# A process that uses this share of a core, or changes at this share of the state service's limit,
-# limits the rung.
+# A component limits the rung if it uses more than this share of a core; the state service also if
+# the changes reach this share of its limit.
 SATURATION_SHARE = 0.9
 MAX_LATE_TICK_SHARE = 0.05  # with a higher share of late ticks, the worker hosts limit the rung
 
@@ -32,10 +32,10 @@
     reports: float
     submissions: float
     polls: float
-    running: int  # tasks at the end
+    running: int  # tasks running at the end
     controller_cores: list[float]
-    controller_mb: float  # of the controller with the most memory
-    controller_descriptors: int  # of the controller with the most
+    controller_mb: float  # memory of the controller that uses the most
+    controller_descriptors: int  # open files and sockets of the controller with the most
     state_cores: float
     host_cores: list[float]
     users_cores: float
@@ -44,7 +44,7 @@
     state_bytes: float
     state_read_bytes: float
     state_keys: int
-    state_puts: dict[str, int]  # number in the measured seconds, by the first part of the key
+    state_puts: dict[str, int]  # values written in the measured time, by first part of the key
     over_rate: int  # requests that the state service answered with 429
     malformed: int  # transactions that the state service answered with 400, over its limits
     report_bytes: float  # per worker and second: bodies of heartbeats and of their answers
@@ -53,18 +53,18 @@
     between_bytes: float | None  # per second: sent and received at all controllers' peer ports
     unanswered_reports: float
     submit_p95_s: float
-    waits: dict[str, Waits]  # by rank
+    waits: dict[str, Waits]  # key: rank
     late_ticks: float  # share of the worker hosts' ticks that were late
     late_starts: int  # task starts after a confirmed cancellation
     out_of_order: int  # events that the checker received too late to sort
-    unanswered_jobs: list[str]  # no status query answered within 75 s at the end
+    unanswered_jobs: list[str]  # jobs of which no query was answered within 75 s at the end
     broken: list[str]  # violations of the protocol's rules
     recoveries: list[Recovery]
     limited_by: list[str]  # components at their limit
 
     @property
     def changes_per_start(self) -> float:
-        """Returns the number of changes of the state service per started task."""
+        """Changes of the state service per started task; 0 if no task was started."""
         return self.state_changes / self.starts if self.starts else 0.0
 
 
@@ -77,27 +77,27 @@
 
 
 def limiting_components(row: Row, write_rps: float) -> list[str]:
-    """Returns the components at their limit in a rung.
+    """Return the components at their limit in a rung.
 
     `write_rps`: changes a second that the state service accepts.
     """
-    found = []
+    components = []
     if max(row.controller_cores) > SATURATION_SHARE:
-        found.append("controllers")
+        components.append("controllers")
     if row.over_rate or row.state_changes >= SATURATION_SHARE * write_rps:
-        found.append("changes of the state service")
+        components.append("changes of the state service")
     if row.late_ticks > MAX_LATE_TICK_SHARE or max(row.host_cores) > SATURATION_SHARE:
-        # The recorded rungs and the capacity page know the worker hosts by this name.
-        found.append("hollow workers (generator)")
+        # The recorded rungs and the capacity page use this name for the worker hosts.
+        components.append("hollow workers (generator)")
     if row.users_cores > SATURATION_SHARE:
-        found.append("users and checker (generator)")
+        components.append("users and checker (generator)")
     if row.state_cores > SATURATION_SHARE:
-        found.append("the stand-in of the state service (generator)")
-    return found
+        components.append("the stand-in of the state service (generator)")
+    return components
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the value below which a share of the values lies; 0 when there are none."""
+    """Return the value below which a share of the values lies; 0 when there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -111,7 +111,7 @@
 
 
 def format_row(row: Row) -> str:
-    """Returns a rung as one line under `ROW_HEADER`."""
+    """Return a rung as one line under `ROW_HEADER`."""
     cores = row.controller_cores
     urgent, normal = row.waits.get("urgent"), row.waits.get("normal")
     return (
@@ -125,7 +125,7 @@
 
 
 def summary(row: Row) -> list[str]:
-    """Returns a rung as lines of text for readers who are new to the service."""
+    """Return a rung as lines of text for readers who are new to the service."""
     lines = [
         f"{row.controllers} controllers, {row.workers} simulated workers,"
         f" {row.seconds:.0f} s measured:",
@@ -164,5 +164,5 @@
 
 
 def failed(row: Row) -> bool:
-    """Returns whether a rung broke a rule, left a job unanswered or sent malformed requests."""
+    """Return whether a rung broke a rule, left a job unanswered or sent malformed requests."""
     return bool(row.broken or row.unanswered_jobs or row.malformed)
--- a/standins/scale/run.py
+++ b/standins/scale/run.py
@@ -44,7 +44,7 @@
     # --- events
 
     async def receive_events(self, sock: curio.io.Socket, _address: object) -> None:
-        """Receives the events of one worker host."""
+        """Receive the events of one worker host."""
         partial_line = b""
         while data := await sock.recv(64 * 1024):
             *lines, partial_line = (partial_line + data).split(b"\n")
@@ -52,7 +52,7 @@
                 self.checker.receive_event(line.decode())
 
     async def evaluate_loop(self) -> None:
-        """Evaluates events every EVALUATION_INTERVAL_S seconds until a rule is broken.
+        """Evaluate events every EVALUATION_INTERVAL_S seconds until a rule is broken.
 
         Raises RuntimeError if a process of the site has ended by itself.
         """
@@ -64,7 +64,7 @@
     # --- the run
 
     async def run(self) -> Row:
-        """Runs the rung and returns its row."""
+        """Run the rung and return its row."""
         address = split_address(self.site.checker)
         listener = await curio.spawn(curio.tcp_server, *address, self.receive_events, daemon=True)
         tasks = [listener]
@@ -75,8 +75,8 @@
             evaluation = await curio.spawn(self.evaluate_loop)
             tasks.append(await curio.spawn(self.fault_injector.sample_loop, daemon=True))
             tasks.append(await curio.spawn(self.progress_loop, daemon=True))
-            starts = self.plan.requested_starts_per_s(self.rung)
-            tasks.append(await curio.spawn(self.users.run, starts, daemon=True))
+            starts_per_s = self.plan.requested_starts_per_s(self.rung)
+            tasks.append(await curio.spawn(self.users.run, starts_per_s, daemon=True))
             for fault in self.plan.faults:
                 tasks.append(
                     await curio.spawn(self.fault_injector.run, fault, run_started_at, daemon=True)
@@ -94,14 +94,14 @@
             self.site.stop()
 
     async def wait_until(self, evaluation: curio.Task, at: float) -> None:
-        """Waits until a time or a broken rule; raises RuntimeError if a process ended by itself."""
+        """Wait until a time or a broken rule; raises RuntimeError if a process ended by itself."""
         while time.monotonic() < at and not evaluation.terminated:
             await curio.sleep(0.1)
         if evaluation.terminated and evaluation.exception is not None:
             raise evaluation.exception
 
     async def finish(self, row: Row) -> None:
-        """Stops submitting, queries every unfinished job and evaluates the last events."""
+        """Stop submitting, query every unfinished job and evaluate the last events."""
         self.users.stopped = True
         if not self.checker.violations:
             row.unanswered_jobs = await self.users.query_unfinished(ANSWER_DEADLINE_S)
@@ -112,7 +112,7 @@
         row.malformed = (await self.site.state_stats()).malformed
 
     async def progress_loop(self) -> None:
-        """Prints the progress of the rung every PROGRESS_INTERVAL_S seconds."""
+        """Print the progress of the rung every PROGRESS_INTERVAL_S seconds."""
         started_at, starts_before = time.monotonic(), 0
         while True:
             await curio.sleep(PROGRESS_INTERVAL_S)
@@ -125,7 +125,7 @@
 
 
 def run_rung(plan: Plan, rung: Rung, keep: Path | None, print_line: Callable[[str], None]) -> Row:
-    """Runs one rung in a temporary folder, or in `keep`, and returns its row.
+    """Run one rung in a temporary folder, or in `keep`, and return its row.
 
     Raises PortsTakenError if a port is in use, RuntimeError if a process fails.
     """
--- a/standins/scale/site.py
+++ b/standins/scale/site.py
@@ -53,9 +53,9 @@
         }
 
     def taken_ports(self) -> list[int]:
-        """Returns the ports of the site that are in use already."""
+        """Return the ports of the site that are in use already."""
         addresses = (self.state, self.cloud, self.checker, *self.hosts, *self.public, *self.cluster)
-        found = []
+        taken = []
         for address in addresses:
             with socket.socket() as trial:
                 # Servers set this too: an earlier rung's closing connections don't block a port.
@@ -63,13 +63,13 @@
                 try:
                     trial.bind(split_address(address))
                 except OSError:
-                    found.append(split_address(address)[1])
-        return found
+                    taken.append(split_address(address)[1])
+        return taken
 
     # --- settings
 
     def controller_settings(self, number: int) -> dict[str, Any]:
-        """Returns the contents of one controller's settings file."""
+        """Return the contents of one controller's settings file."""
         plan, limits = self.plan, self.plan.limits
         members = [
             {"host_name": f"n-{i}", "zone": "a", "address": address}
@@ -109,13 +109,13 @@
         }
 
     def write_json(self, name: str, value: Any) -> str:
-        """Writes a JSON file into the folder and returns its path."""
+        """Write a JSON file into the folder and return its path."""
         path = self.folder / name
         path.write_bytes(msgspec.json.encode(value))
         return str(path)
 
     def host_config(self, number: int) -> HostConfig:
-        """Returns the settings of one worker host process."""
+        """Return the settings of one worker host process."""
         plan = self.plan
         return HostConfig(
             control=self.hosts[number],
@@ -131,7 +131,7 @@
         )
 
     def cloud_config(self) -> CloudConfig:
-        """Returns the settings of the cloud's process."""
+        """Return the settings of the cloud's process."""
         workers = self.rung.workers
         # The machine type keeps the name that earlier reports and logs have.
         machine_type = api.MachineType(
@@ -150,14 +150,14 @@
     # --- processes
 
     def start(self, name: str, *command: str) -> None:
-        """Starts a Python process whose output goes to a log in the folder."""
+        """Start a Python process whose output goes to a log in the folder."""
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, *command], cwd=ROOT, stdout=log, stderr=log, env=self.environment
             )
 
     async def start_all(self) -> None:
-        """Starts all processes and waits until every controller is healthy."""
+        """Start all processes and wait until every controller is healthy."""
         limits = self.plan.limits
         options = [f"--rps={limits.rps}", f"--write-rps={limits.write_rps}"]
         options += [f"--value-kb={limits.value_kb}", f"--txn-ops={limits.txn_ops}"]
@@ -176,14 +176,14 @@
             await self.wait_ready(address, api.HEALTH)
 
     def start_controller(self, number: int) -> None:
-        """Starts one controller."""
+        """Start one controller."""
         command = ["run.py", "run", "--config", str(self.folder / f"n-{number}.json")]
         if self.plan.tuning:
             command += ["--tuning", str(Path(self.plan.tuning).resolve())]
         self.start(f"n-{number}", *command)
 
     def kill_controller(self, number: int) -> None:
-        """Kills one controller with SIGKILL; its processor time so far is kept."""
+        """Kill one controller with SIGKILL; its processor time so far is kept."""
         name = f"n-{number}"
         process = self.processes[name]
         last_usage = self.usage(name)
@@ -193,7 +193,7 @@
             self.earlier_cpu_s[name] = self.earlier_cpu_s.get(name, 0.0) + last_usage.cpu_s
 
     async def wait_ready(self, address: str, path: str) -> None:
-        """Waits until an address answers 200; raises RuntimeError after READY_TIMEOUT_S seconds."""
+        """Wait until an address answers 200; raises RuntimeError after READY_TIMEOUT_S seconds."""
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             self.check_alive()
@@ -207,13 +207,13 @@
         )
 
     def check_alive(self) -> None:
-        """Raises RuntimeError if a process has ended by itself, not by SIGKILL as from a fault."""
+        """Raise RuntimeError if a process has ended other than by SIGKILL, which faults use."""
         for name, process in self.processes.items():
             if process.poll() not in (None, -signal.SIGKILL):
                 raise RuntimeError(f"{name} ended by itself; see {self.folder}/{name}.log")
 
     def stop(self) -> None:
-        """Ends every process that was started here."""
+        """Kill all processes of the site and wait until they have ended."""
         for process in self.processes.values():
             process.kill()
         for process in self.processes.values():
@@ -224,39 +224,39 @@
     async def request(
         self, address: str, method: str, path: str, body: bytes | None = None
     ) -> Reply | None:
-        """Sends one HTTP request and returns the response; None when there is none."""
+        """Send one HTTP request and return the response, or None if there is none."""
         try:
             return await self.http.call(address, method, path, body, 10.0)
         except NoResponseError:
             return None
 
     async def fetch_stats(self, address: str, kind: type[T]) -> T:
-        """Returns the statistics of a process; raises RuntimeError when it does not answer."""
+        """Return the statistics of a process; raises RuntimeError when it does not answer."""
         reply = await self.request(address, "GET", "/stats")
         if reply is None:
             raise RuntimeError(f"{address} does not answer")
         return msgspec.json.decode(reply.body, type=kind)
 
     async def state_stats(self) -> StateStats:
-        """Returns the statistics of the state service."""
+        """Return the statistics of the state service."""
         return await self.fetch_stats(self.state, StateStats)
 
     async def host_stats(self) -> list[HostStats]:
-        """Returns the statistics of each worker host."""
+        """Return the statistics of each worker host."""
         return [await self.fetch_stats(address, HostStats) for address in self.hosts]
 
     def usage(self, name: str) -> Usage | None:
-        """Returns the resource use of a process so far; None when it has ended."""
+        """Return the resource use of a process so far; None when it has ended."""
         process = self.processes.get(name)
         if process is None or process.poll() is not None:
             return None
         return process_usage(process.pid)
 
     def cpu_s(self, name: str) -> float:
-        """Returns the seconds of processor time so far of all processes under one name."""
+        """Return the seconds of processor time so far of all processes under one name."""
         current = self.usage(name)
         return self.earlier_cpu_s.get(name, 0.0) + (current.cpu_s if current is not None else 0.0)
 
     def ports(self) -> set[int]:
-        """Returns the ports whose traffic is measured."""
+        """Return the ports whose traffic is measured."""
         return {split_address(address)[1] for address in (*self.public, *self.cluster, self.state)}
--- a/standins/scale/users.py
+++ b/standins/scale/users.py
@@ -1,7 +1,7 @@
 """Simulated users of a scale run: they submit, repeat, poll and cancel jobs.
 
-Each status is checked against the earlier ones: a controller must not forget a job, nor may its
-progress go back.
+Each status of a job is checked against the earlier ones: a controller must not forget the job, and
+the job's progress must not go back.
 """
 
 import random
@@ -38,9 +38,9 @@
     rank: str
     submitted_at: float
     accepted_at: float = 0.0
-    last_answered_at: float = 0.0  # when a request about it was last answered
-    done: int = 0  # the most completed tasks that a status reported
-    state: str = ""  # of the last status
+    last_answered_at: float = 0.0  # when a request about the job was last answered
+    done: int = 0  # largest number of completed tasks in a status
+    state: str = ""  # state in the last status
     cancelling: bool = False
 
 
@@ -63,7 +63,7 @@
         self.stopped = False
 
     async def run(self, starts_per_s: float) -> None:
-        """Submits jobs at a rate of task starts a second until `stopped` is set."""
+        """Submit services, then jobs with `starts_per_s` tasks a second until `stopped` is set."""
         for _ in range(self.settings.services):
             await self.spawn_for_job(self.submit, self.random_job(workload.SERVICE))
         owed_starts, last_at = 0.0, time.monotonic()
@@ -79,14 +79,17 @@
                 await self.spawn_for_job(self.submit, job)
 
     def one_task_job_share(self) -> float:
-        """Returns the share of jobs with one task that gives them their share of the starts."""
+        """Return the share of jobs that have one task.
+
+        It makes these jobs' share of the task starts equal to the setting `one_task`.
+        """
         one_task_jobs = self.settings.one_task
         arrays = (1 - one_task_jobs) / self.settings.array_tasks
         jobs = one_task_jobs + arrays
         return one_task_jobs / jobs if jobs else 0.0
 
     def random_job(self, kind: int) -> SubmittedJob:
-        """Returns a new random job of a kind."""
+        """Return a new random job of a kind."""
         self.job_sequence += 1
         rng, settings = self.rng, self.settings
         tasks = 1 if kind == workload.ONE_TASK else SERVICE_REPLICAS
@@ -99,7 +102,7 @@
         return SubmittedJob(job_id, kind, tasks, rank, time.monotonic())
 
     def submission_body(self, job: SubmittedJob) -> bytes:
-        """Returns the body of the request that submits a job."""
+        """Return the body of the request that submits a job."""
         description = workload.parse_job_id(job.id)
         service = description.service
         return msgspec.json.encode(
@@ -117,13 +120,13 @@
     async def spawn_for_job(
         self, function: Callable[[SubmittedJob], object], job: SubmittedJob
     ) -> None:
-        """Spawns a coroutine for one job."""
+        """Spawn a coroutine for one job."""
         await curio.spawn(function, job, daemon=True)
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> Reply | None:
-        """Sends one request to a random controller; returns None when there is no response."""
+        """Send one request to a random controller; return None when there is no response."""
         try:
             address = self.rng.choice(self.addresses)
             reply = await self.http.call(address, method, path, body, timeout_s)
@@ -134,7 +137,10 @@
         return reply
 
     async def submit(self, job: SubmittedJob) -> None:
-        """Submits a job, some jobs once more, and polls it to its end; cancels some jobs."""
+        """Submit a job and poll it until it ends.
+
+        A random part of the jobs is submitted again once accepted, and a random part is cancelled.
+        """
         body = self.submission_body(job)
         if not await self.submit_until_accepted(job, body):
             return
@@ -146,9 +152,9 @@
         await self.follow(job, cancel_at)
 
     async def submit_until_accepted(self, job: SubmittedJob, body: bytes) -> bool:
-        """Submits a job until it is accepted.
+        """Submit a job until it is accepted.
 
-        Returns False if it was refused for good or the run stopped before.
+        Return False if the job was refused for good or the run stopped first.
         """
         while not self.stopped:
             self.submissions += 1
@@ -165,7 +171,7 @@
         return False
 
     async def follow(self, job: SubmittedJob, cancel_at: float) -> None:
-        """Polls a job until it has ended, and cancels it at `cancel_at` unless that is 0."""
+        """Poll a job until it has ended, and cancel it at `cancel_at` unless that is 0."""
         while job.state not in TERMINAL_STATES and not self.stopped:
             wait = self.settings.poll_s * self.rng.uniform(0.8, 1.2)
             if cancel_at and not job.cancelling:
@@ -181,14 +187,14 @@
                 await self.poll(job)
 
     async def poll(self, job: SubmittedJob) -> None:
-        """Queries the job's status once."""
+        """Query the job's status once."""
         self.polls += 1
         self.check_status(
             job, await self.request("GET", f"{api.JOBS}/{job.id}", None, POLL_TIMEOUT_S)
         )
 
     def check_status(self, job: SubmittedJob, reply: Reply | None) -> None:
-        """Checks a status against the earlier ones and records a job's end."""
+        """Check a status against the earlier ones and record a job's end."""
         now = time.monotonic()
         if reply is None or reply.status in (429, 503):
             if now - job.last_answered_at > ANSWER_DEADLINE_S:
@@ -215,14 +221,14 @@
         job.state = status.state
 
     def record_violation(self, rule: str, job: SubmittedJob, reply: Reply | None) -> None:
-        """Records a broken rule with the answer that shows it."""
+        """Record a broken rule with the answer that shows it."""
         detail = f"answered {reply.status} {reply.body[:120]!r}" if reply else "no answer"
         self.checker.record_violation(time.monotonic(), rule, job.id, detail)
 
     async def query_unfinished(self, seconds: float) -> list[str]:
-        """Polls each unfinished job until it is answered or `seconds` have passed.
+        """Poll each unfinished job until it is answered or `seconds` have passed.
 
-        Returns the ids of the jobs without an answer.
+        Return the ids of the jobs without an answer.
         """
         deadline = time.monotonic() + seconds
         unanswered = {job.id: job for job in self.unfinished.values()}
--- a/standins/simulated_cloud.py
+++ b/standins/simulated_cloud.py
@@ -39,7 +39,7 @@
         self.http = HttpClient()
 
     async def start(self, machine_type: api.MachineType, machine: api.MachineInfo) -> None:
-        """Starts the machine in the next host process."""
+        """Start the machine in the next host process."""
         host = self.hosts[self.started_count % len(self.hosts)]
         self.started_count += 1
         self.host_by_machine[machine.id] = host
@@ -52,18 +52,18 @@
         machine.addr = msgspec.json.decode(reply.body, type=list[str])[0]
 
     async def kill(self, name: str) -> None:
-        """Kills the machine in its host process."""
+        """Kill the machine in its host process."""
         host = self.host_by_machine.get(name)
         if host is not None:
             await self.http.call(host, "POST", "/kill", msgspec.json.encode([name]), CALL_TIMEOUT_S)
 
     async def isolate(self, machine: api.MachineInfo, seconds: float) -> None:
-        """Raises NotImplementedError: simulated workers can't be isolated."""
+        """Raise NotImplementedError: simulated workers can't be isolated."""
         raise NotImplementedError("simulated workers can be killed or restarted, not isolated")
 
 
 def main() -> None:
-    """Runs a cloud with the configuration file that the command line names."""
+    """Run a cloud with the configuration file that the command line names."""
     config = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=CloudConfig)
     launcher = SimulatedWorkerLauncher(config.hosts)
     cloud = Cloud(config.types, launcher, config.rps, config.list_lag_s, config.capacity)
--- a/standins/simulated_workers.py
+++ b/standins/simulated_workers.py
@@ -2,8 +2,8 @@
 
 python -m standins.simulated_workers CONFIG.json. Each machine listens on a loopback address of its
 own and keeps one connection to the controller that it reports to. Starts and ends of tasks are sent
-to the checker, one line each. Tasks are timers: a real worker would fetch what a task runs; a
-simulated one reads from the job's id how long it runs (standins.workload).
+to the checker, one line each. A real worker would fetch and run a program; for a simulated one, a
+task is a timer whose length is encoded in the job's id (standins.workload).
 """
 
 import heapq
@@ -37,9 +37,9 @@
 from starlingdeck.transport.server import HttpServer, Request, Response
 
 TICK_INTERVAL_S = 0.02
-LEASE_CHECK_INTERVAL_S = 0.25  # between two checks of all leases
+LEASE_CHECK_INTERVAL_S = 0.25  # interval between checks of all leases
 MAX_REDIRECT_DELAY_S = 0.5  # maximum of the random delay between a redirect and the next heartbeat
-MACHINES_PER_SUBNET = 250  # machines whose addresses have the same third byte
+MACHINES_PER_SUBNET = 250  # number of machines with addresses 127.NETWORK.SUBNET.x
 LATE_TICK_THRESHOLD_S = 0.1  # a tick delayed by more shows that the process is overloaded
 
 
@@ -103,11 +103,11 @@
         self.last_report_at = 0.0
 
     def fits(self, _task: str, live: int) -> bool:
-        """Returns whether one more task fits beside `live` unfinished ones."""
+        """Return whether one more task fits beside `live` unfinished ones."""
         return live < self.slots
 
     async def handle(self, request: Request) -> Response:
-        """Handles a direct command or a status query."""
+        """Handle a direct command or a status query."""
         while self.powered_off:
             await curio.sleep(1.0)  # a powered-off machine does not answer
         stats = self.host.stats
@@ -122,7 +122,7 @@
         return json_response(self.agent.build_report())
 
     def apply_actions(self, actions: Actions) -> None:
-        """Records the stopped tasks and starts to fetch the images of the new ones."""
+        """Record the stopped tasks and start to fetch the images of the new ones."""
         for task in actions.to_stop:
             self.host.record_event(EventKind.STOPPED, task, self)
         now = time.monotonic()
@@ -134,7 +134,7 @@
             self.report_soon(now)
 
     def image_fetched(self, name: str) -> None:
-        """Sets a task running, if it still waits for its image, and schedules its completion.
+        """Mark a task as running, if it still waits for its image, and schedule its completion.
 
         Services never complete; a task that was completed earlier on any machine of this process
         completes at once.
@@ -154,7 +154,7 @@
         self.report_soon(now)
 
     def task_completed(self, name: str, attempt: int) -> None:
-        """Completes a task, unless this attempt has ended or the machine was powered off."""
+        """Complete a task, unless this attempt has ended or the machine was powered off."""
         task = self.agent.tasks.get(name)
         if self.powered_off or task is None or task.attempt != attempt or task.state != RUNNING:
             return
@@ -164,24 +164,24 @@
         self.report_soon(time.monotonic())
 
     def report_soon(self, now: float) -> None:
-        """Schedules a heartbeat after a change, as soon as the protocol allows."""
+        """Schedule a heartbeat after a change, as soon as the protocol allows."""
         self.change_pending = True
         if not self.heartbeat_in_flight:
             self.schedule_report(max(now, self.last_report_at + MIN_REPORT_INTERVAL_S))
 
     def schedule_report(self, due: float) -> None:
-        """Schedules the next heartbeat."""
+        """Schedule the next heartbeat."""
         self.next_report_at = due
         self.host.schedule(due, lambda: self.start_report(due))
 
     def start_report(self, due: float) -> None:
-        """Sends a heartbeat if `due` is still the time set for it and none is in flight."""
+        """Send a heartbeat if `due` is still the time set for it and none is in flight."""
         if not self.powered_off and not self.heartbeat_in_flight and self.next_report_at == due:
             self.heartbeat_in_flight, self.change_pending = True, False
             self.host.schedule_coroutine(self.send_heartbeat)
 
     async def send_heartbeat(self) -> None:
-        """Sends one heartbeat and executes the commands of its answer."""
+        """Send one heartbeat and execute the commands of its answer."""
         config, stats = self.host.config, self.host.stats
         sent = self.last_report_at = time.monotonic()
         body, session = msgspec.json.encode(self.agent.build_report()), self.agent.session
@@ -213,33 +213,33 @@
         )
 
     def handle_refusal(self, status: int, body: bytes) -> float:
-        """Chooses the next controller after a refused heartbeat.
+        """Choose the next controller after a refused heartbeat.
 
-        Returns the time until the next heartbeat in seconds.
+        Return the time until the next heartbeat in seconds.
         """
-        named = None
+        redirect_to = None
         if status == 421:
-            named = msgspec.json.decode(body, type=api.Redirect).report_to
+            redirect_to = msgspec.json.decode(body, type=api.Redirect).report_to
             self.host.stats.redirected += 1
         else:
             self.host.stats.refused += 1
-        must_wait = advance_controller(self.controller_order, named)
+        must_wait = advance_controller(self.controller_order, redirect_to)
         return CONTROLLER_RETRY_S if must_wait else self.host.rng.uniform(0.0, MAX_REDIRECT_DELAY_S)
 
     def expire_lease(self, now: float) -> None:
-        """Ends the session if its lease has expired."""
+        """End the session if its lease has expired."""
         for task in self.agent.expire_lease(now, self.host.config.lease_s):
             self.host.record_event(EventKind.STOPPED, task, self)
             self.report_soon(now)
 
     def power_off(self) -> None:
-        """Ends all tasks; the machine no longer answers or sends heartbeats."""
+        """End all tasks; the machine no longer answers or sends heartbeats."""
         if not self.powered_off:
             self.powered_off = True
             self.host.record_event(EventKind.MACHINE_GONE, "-", self)
 
     def restart(self) -> None:
-        """Restarts the machine at once, without its tasks; no effect on a powered-off one."""
+        """Restart the machine at once, without its tasks; no effect on a powered-off one."""
         if self.powered_off:
             return
         self.host.record_event(EventKind.MACHINE_GONE, "-", self)
@@ -255,7 +255,7 @@
         self.config = config
         self.rng = random.Random(config.seed)
         self.machines: dict[str, SimulatedWorker] = {}
-        self.completed: set[str] = set()  # tasks; results are kept outside the machines
+        self.completed: set[str] = set()  # names of tasks; their results outlive machines
         self.stats = HostStats()
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.timer_sequence = 0
@@ -265,16 +265,16 @@
     # --- timers
 
     def schedule(self, due: float, callback: Callable[[], None]) -> None:
-        """Schedules a callback for a time of the monotonic clock, in seconds."""
+        """Schedule a callback for a time of the monotonic clock, in seconds."""
         self.timer_sequence += 1
         heapq.heappush(self.timers, (due, self.timer_sequence, callback))
 
     def schedule_coroutine(self, function: Callable[[], Awaitable[None]]) -> None:
-        """Queues a coroutine function that is to be spawned at the end of the tick."""
+        """Queue a coroutine function that is to be spawned at the end of the tick."""
         self.pending_coroutines.append(function)
 
     async def tick_loop(self) -> None:
-        """Runs due timers, expires leases and spawns coroutines, every TICK_INTERVAL_S."""
+        """Run due timers, expire leases and spawn queued coroutines, every TICK_INTERVAL_S."""
         leases_checked_at = 0.0
         while True:
             began = time.monotonic()
@@ -297,18 +297,18 @@
     # --- events for the checker
 
     def record_event(self, kind: EventKind, task: str, machine: SimulatedWorker) -> None:
-        """Queues one event for the checker."""
+        """Queue one event for the checker."""
         self.event_lines.append(f"{time.monotonic():.6f} {kind} {task} {machine.name}\n")
 
     def task_started(self, task: str, machine: SimulatedWorker) -> None:
-        """Records a started task; a host configured as broken reports a second machine too."""
+        """Record a started task; a host configured as broken reports a second machine too."""
         self.record_event(EventKind.STARTED, task, machine)
         if self.config.broken and len(self.machines) > 1:
             other = next(known for known in self.machines.values() if known is not machine)
             self.record_event(EventKind.STARTED, task, other)
 
     async def send_events_loop(self) -> None:
-        """Sends queued events to the checker."""
+        """Send queued events to the checker."""
         sock = await curio.open_connection(*split_address(self.config.checker))
         while True:
             await curio.sleep(0.05)
@@ -319,7 +319,7 @@
     # --- control
 
     async def handle(self, request: Request) -> Response:
-        """Handles a control request: statistics, start, kill or restart."""
+        """Handle a control request: statistics, start, kill or restart."""
         if request.path == "/stats":
             self.stats.machines = sum(not machine.powered_off for machine in self.machines.values())
             return json_response(self.stats)
@@ -327,19 +327,19 @@
             starts = msgspec.json.decode(request.body, type=list[StartRequest])
             return json_response([await self.start_machine(start) for start in starts])
         names = msgspec.json.decode(request.body, type=list[str])
-        known = [self.machines[name] for name in names if name in self.machines]
+        machines = [self.machines[name] for name in names if name in self.machines]
         if request.path == "/kill":
-            for machine in known:
+            for machine in machines:
                 machine.power_off()
-            return json_response(len(known))
+            return json_response(len(machines))
         if request.path == "/restart":
-            for machine in known:
+            for machine in machines:
                 machine.restart()
-            return json_response(len(known))
+            return json_response(len(machines))
         return error_response(400, "no such path")
 
     async def start_machine(self, request: StartRequest) -> str:
-        """Starts a machine and returns its address."""
+        """Start a machine and return its address."""
         number = len(self.machines)
         subnet, host = divmod(number, MACHINES_PER_SUBNET)
         address = f"127.{self.config.network}.{subnet}.{host + 1}"
--- a/standins/state.py
+++ b/standins/state.py
@@ -19,15 +19,15 @@
 from starlingdeck.protocol import api
 from starlingdeck.transport.server import Request, Response
 
-RETAINED_CHANGES = 10_000  # kept for watches; a watch from before them is answered 410
+RETAINED_CHANGES = 10_000  # latest changes, kept for watches; a watch from an earlier one gets 410
 MAX_PAGE_ITEMS = 1000
 MAX_PAGE_BYTES = 512 * 1024  # keys and values together
 MAX_TRANSACTION_BYTES = 64 * 1024
-CONDITIONS_PER_CHANGE = 4  # conditions in a transaction per change that `txn_ops` allows
+CONDITIONS_PER_CHANGE = 4  # a transaction may have this many times `txn_ops` conditions
 
 
 class StateStats(msgspec.Struct):
-    """Counters since the start of the service, but for `keys`, the number of keys now.
+    """Counters since the start of the service, except `keys`, the current number of keys.
 
     `bytes` counts the values written, `read_bytes` the keys and values that were listed. `writes`
     counts the transactions with changes, whether or not their conditions held.
@@ -75,7 +75,7 @@
         return time.monotonic() < self.outage_until
 
     async def handle(self, request: Request) -> Response:
-        """Handles one request; outages and the rate limit affect all but /out and /stats."""
+        """Handle one request; outages and the rate limit affect all but /out and /stats."""
         path, post = request.path, request.method == "POST"
         if path == "/out" and post:
             self.begin_outage(msgspec.json.decode(request.body)["seconds"])
@@ -94,14 +94,14 @@
         return await self.route(request, path, post)
 
     async def route(self, request: Request, path: str, post: bool) -> Response:
-        """Handles a request that neither an outage nor the rate limit has refused."""
+        """Handle a request that neither an outage nor the rate limit has refused."""
         if path == api.TXN and post:
             return await self.execute_transaction(request.body)
         if path == api.KV:
             return self.list_page(query_parameters(request))
         if path.startswith(api.KV + "/"):
-            found = self.entries.get(path[len(api.KV) + 1 :])
-            return json_response(found) if found else json_response({"epoch": self.revision}, 404)
+            entry = self.entries.get(path[len(api.KV) + 1 :])
+            return json_response(entry) if entry else json_response({"epoch": self.revision}, 404)
         if path == api.WATCH:
             return await self.watch(query_parameters(request))
         if path == api.LEASES and post:
@@ -111,7 +111,7 @@
         return error_response(400, "no such path")
 
     def begin_outage(self, seconds: float) -> None:
-        """Starts an outage: for `seconds`, requests are answered with 503 and open watches wait."""
+        """Start an outage: for `seconds`, requests are answered with 503 and open watches wait."""
         self.outage_until = time.monotonic() + seconds
         # After an outage every lease has its full length again.
         self.leases = {
@@ -120,14 +120,14 @@
         }
 
     def grant_lease(self, request: api.LeaseRequest) -> Response:
-        """Grants a lease."""
+        """Grant a lease."""
         ttl_s = request.ttl_ms / 1000
         lease_id = max(self.leases, default=0) + 1 + self.revision
         self.leases[lease_id] = Lease(time.monotonic() + ttl_s, ttl_s)
         return json_response(api.LeaseGrant(lease_id))
 
     def renew_or_end_lease(self, lease_id: int, post: bool) -> Response:
-        """Renews a lease for its full length; with `post` false, lets it expire at once."""
+        """Renew a lease for its full length or, if `post` is false, make it expire at once."""
         if lease_id not in self.leases:
             return error_response(404, "no such lease")
         ttl_s = self.leases[lease_id].ttl_s if post else 0.0
@@ -135,7 +135,7 @@
         return json_response()
 
     def transaction_error(self, body: bytes, txn: api.Transaction) -> str:
-        """Returns which limit of the protocol a transaction exceeds; empty if none."""
+        """Return a text on the limit that a transaction exceeds, or an empty string."""
         limits = self.limits
         if len(body) > MAX_TRANSACTION_BYTES:
             return "transaction too large"
@@ -151,7 +151,7 @@
         return ""
 
     async def execute_transaction(self, body: bytes) -> Response:
-        """Executes a transaction if it is within the limits and all its conditions hold."""
+        """Execute a transaction if it is within the limits and all its conditions hold."""
         txn = msgspec.json.decode(body, type=api.Transaction)
         limit_error = self.transaction_error(body, txn)
         if limit_error:
@@ -173,12 +173,12 @@
         return json_response(api.TransactionResult(self.revision))
 
     def key_version(self, key: str) -> int:
-        """Returns the revision of a key's last change; 0 if the key does not exist."""
-        found = self.entries.get(key)
-        return found.version if found is not None else 0
+        """Return the revision of a key's last change; 0 if the key does not exist."""
+        entry = self.entries.get(key)
+        return entry.version if entry is not None else 0
 
     async def apply_changes(self, changes: list[api.Change]) -> None:
-        """Applies changes under one new revision and wakes the watches."""
+        """Apply changes under one new revision and wake the watches."""
         self.revision += 1
         for change in changes:
             if change.put is not None:
@@ -190,7 +190,7 @@
         await event.set()
 
     def put_key(self, change: api.Change) -> None:
-        """Sets a key and its lease, and counts the value as written."""
+        """Set a key and its lease, and count the value as written."""
         key = change.put or ""
         value = msgspec.Raw(msgspec.json.encode(change.value))
         self.stats.bytes += len(bytes(value))
@@ -205,7 +205,7 @@
         self.change_log.append(api.Event(self.revision, key, value))
 
     def delete_key(self, key: str) -> None:
-        """Deletes a key if it exists."""
+        """Delete a key if it exists."""
         if self.entries.pop(key, None) is None:
             return
         del self.sorted_keys[bisect.bisect_left(self.sorted_keys, key)]
@@ -213,30 +213,30 @@
         self.change_log.append(api.Event(self.revision, delete=key))
 
     def list_page(self, parameters: dict[str, str]) -> Response:
-        """Returns one page of the keys with a prefix, in key order."""
+        """Return one page of the keys with a prefix, in key order."""
         prefix, after = parameters.get("prefix", ""), parameters.get("after", "")
         limit = min(MAX_PAGE_ITEMS, int(parameters.get("limit", MAX_PAGE_ITEMS)))
-        found: list[api.Entry] = []
+        entries: list[api.Entry] = []
         size, more = 0, False
         first = max(
             bisect.bisect_left(self.sorted_keys, prefix),
             bisect.bisect_right(self.sorted_keys, after),
         )
-        for name in self.sorted_keys[first:]:
-            if not name.startswith(prefix):
+        for key in self.sorted_keys[first:]:
+            if not key.startswith(prefix):
                 break
-            size += len(bytes(self.entries[name].value)) + len(name)
-            if len(found) >= limit or (found and size > MAX_PAGE_BYTES):
+            size += len(bytes(self.entries[key].value)) + len(key)
+            if len(entries) >= limit or (entries and size > MAX_PAGE_BYTES):
                 more = True
                 break
-            found.append(self.entries[name])
+            entries.append(self.entries[key])
         self.stats.read_bytes += size
-        return json_response(api.Entries(found, self.revision, more))
+        return json_response(api.Entries(entries, self.revision, more))
 
     async def watch(self, parameters: dict[str, str]) -> Response:
-        """Returns the changes of keys with a prefix after a revision.
+        """Return the changes of keys with a prefix after a revision.
 
-        Waits up to `block_ms` for a change, and also until the end of an outage. Answers 410 when
+        Wait up to `block_ms` for a change, and also until the end of an outage. Answer 410 when
         changes after the revision are no longer retained.
         """
         prefix, after = parameters.get("prefix", ""), int(parameters.get("after", 0))
@@ -249,21 +249,21 @@
             ):
                 return error_response(410, "too old")
             first = bisect.bisect_right(self.change_log, after, key=lambda event: event.version)
-            found = [
+            events = [
                 event
                 for event in self.change_log[first:]
                 if (event.put or event.delete or "").startswith(prefix)
             ]
             remaining_s = deadline - time.monotonic()
-            if not self.in_outage and (found or remaining_s <= 0):
-                return json_response(api.Events(found, self.revision))
-            if not found:
-                after = max(after, self.revision)  # no change up to here has the prefix
+            if not self.in_outage and (events or remaining_s <= 0):
+                return json_response(api.Events(events, self.revision))
+            if not events:
+                after = max(after, self.revision)  # no change up to this revision matches
             async with curio.ignore_after(max(0.05, remaining_s)):
                 await self.change_event.wait()
 
     async def expire_leases(self) -> None:
-        """Ends expired leases and deletes the keys attached to them."""
+        """End expired leases and delete the keys attached to them."""
         while True:
             await curio.sleep(0.02)
             if self.in_outage:
@@ -280,7 +280,7 @@
 
 
 def main() -> None:
-    """Runs the state service with the command line's address and limits."""
+    """Run the state service with the address and limits from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("address")
     for name in ("rps", "write-rps", "value-kb", "latency-ms"):
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -3,8 +3,8 @@
 python -m standins.worker NAME ADDRESS TYPE ZONE CPUS MEMORY_GB
     --controllers NAME=ADDRESS,... --engine ADDRESS --session-s S --results FOLDER
     --report-s S --lease-s S [--task-cpus N]
-A completed task leaves a file in the results folder, which stands for storage outside the machine.
-If the task is started again, on any machine, it exits at once.
+A completed task leaves a file in the results folder, which simulates storage outside the machines.
+If such a task is started again, on any machine, it exits at once.
 """
 
 import argparse
@@ -48,7 +48,7 @@
         self.http = HttpClient()
 
     def fits(self, _task: str, live: int) -> bool:
-        """Returns whether one more task fits beside `live` unfinished ones."""
+        """Return whether one more task fits beside `live` unfinished ones."""
         return bool((live + 1) * self.args.task_cpus <= self.args.cpus)
 
     @property
@@ -57,7 +57,7 @@
         return time.monotonic() < self.isolated_until
 
     async def handle(self, request: Request) -> Response:
-        """Handles a direct command, a status query or a request to be isolated."""
+        """Handle a direct command, a status query or a request to be isolated."""
         if request.path == "/cut":
             self.isolated_until = time.monotonic() + msgspec.json.decode(request.body)["seconds"]
             return json_response()
@@ -72,7 +72,7 @@
         return json_response(self.agent.build_report())
 
     async def apply_actions(self, actions: Actions) -> None:
-        """Starts and stops the tasks that the commands named."""
+        """Start and stop the tasks that the commands named."""
         for name in actions.to_start:
             self.running_tasks[name] = await curio.spawn(self.run_task, name, daemon=True)
         for name in actions.to_stop:
@@ -81,13 +81,16 @@
             await self.report_due.set()
 
     async def stop_task(self, name: str) -> None:
-        """Cancels a running task."""
+        """Cancel a running task."""
         run = self.running_tasks.pop(name, None)
         if run is not None:
             await run.cancel()
 
     async def run_task(self, name: str) -> None:
-        """Keeps a session to the engine open; sends `done` when the work is complete."""
+        """Keep a session to the engine open for `session_s` seconds, then send `done` and exit.
+
+        A task that has a result already exits at once, without a session.
+        """
         result = Path(self.args.results) / name.replace("/", "_")
         exit_cause = "done"
         if not result.exists():
@@ -109,7 +112,7 @@
         await self.report_due.set()
 
     async def heartbeat_loop(self) -> None:
-        """Sends heartbeats periodically and after every change."""
+        """Send heartbeats periodically and after every change."""
         last_sent_at = 0.0
         while True:
             wait = random.uniform(0.75, 1.25) * self.args.report_s
@@ -123,7 +126,7 @@
             await self.send_heartbeat(last_sent_at)
 
     async def send_heartbeat(self, sent: float) -> None:
-        """Sends one heartbeat and executes the commands of its answer."""
+        """Send one heartbeat and execute the commands of its answer."""
         body, session = msgspec.json.encode(self.agent.build_report()), self.agent.session
         name = self.controller_order[0]
         try:
@@ -139,15 +142,15 @@
             if actions is not None:
                 await self.apply_actions(actions)
             return
-        named = None
+        redirect_to = None
         if reply.status == 421:
-            named = msgspec.json.decode(reply.body, type=api.Redirect).report_to
-        if advance_controller(self.controller_order, named):
+            redirect_to = msgspec.json.decode(reply.body, type=api.Redirect).report_to
+        if advance_controller(self.controller_order, redirect_to):
             await curio.sleep(CONTROLLER_RETRY_S)
         await self.report_due.set()
 
     async def lease_loop(self) -> None:
-        """Stops all tasks when the lease expires."""
+        """Stop all tasks when the lease expires."""
         while True:
             await curio.sleep(0.05)
             for name in self.agent.expire_lease(time.monotonic(), self.args.lease_s):
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -1,13 +1,13 @@
-"""Job ids that encode how long a job's tasks run; real workers would fetch what there is to run.
+"""Job ids that encode how long a job's tasks run, since simulated workers fetch no program to run.
 
-An id is j- and 16 digits: kind (1), team (3), run time in tenths of a second (5), number (7).
+An id is `j-` and 16 digits: kind (1), team (3), run time in tenths of a second (5), number (7).
 """
 
 import random
 from typing import NamedTuple
 
 ARRAY, SERVICE, ONE_TASK = 1, 2, 3
-UNLIMITED_RUN_DS = 99_999  # in tenths of a second; stands for a task that runs until it is stopped
+UNLIMITED_RUN_DS = 99_999  # tenths of a second; marks a task that runs until it is stopped
 RUN_TIME_SPREAD = 0.3  # a task runs up to this share shorter or longer than its job's run time
 
 
@@ -25,7 +25,7 @@
 
 
 def job_id(kind: int, team: int, run_s: float, number: int) -> str:
-    """Returns the id of a job; `run_s`, in seconds, is not used for a service."""
+    """Return the id of a job; `run_s`, in seconds, is not used for a service."""
     run_ds = (
         UNLIMITED_RUN_DS
         if kind == SERVICE
@@ -35,7 +35,7 @@
 
 
 def parse_job_id(job: str) -> JobDescription:
-    """Returns the properties that an id encodes; raises ValueError if it can't be parsed."""
+    """Return the properties that an id encodes; raises ValueError if it can't be parsed."""
     digits = job.removeprefix("j-")
     if len(digits) != 16:
         raise ValueError(f"{job}: expected j- and 16 digits, as job_id makes them")
@@ -43,7 +43,7 @@
 
 
 def task_run_s(task: str) -> float:
-    """Returns the run time of one task in seconds, which is the same for every start."""
+    """Return a task's run time in seconds; every attempt of the task has the same run time."""
     description = parse_job_id(task.split("/", maxsplit=1)[0])
     return (
         description.run_ds
