--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -30,9 +30,9 @@
 DAY_S, TWO_YEARS_DAYS = 86_400, 730
 
 # Assumptions in addition to the target; the page lists them.
-ORDINARY_LOAD_SHARE = 0.25  # of the peak's starts; the target gives only the peak
+ORDINARY_LOAD_SHARE = 0.25  # share of the peak's starts; the target gives only the peak
 PEAK_JOB_FACTOR = 10.0  # jobs at the peak, as a multiple of their mean rate
-CONTROLLERS = 3  # in each region
+CONTROLLERS = 3  # number of controllers in each region
 
 # Today's largest site: its size, and the limits in its settings, of which sockets, memory and cores
 # are those of one controller.
@@ -42,7 +42,7 @@
 # A job's terminal state with its key: {"state":"done","tasks":N} under f/SHARD/JOB.
 TERMINAL_STATE_BYTES = 60
 JOB_NAME_BYTES = 170  # a job's name and index in a controller's memory (docs/design.md)
-BASE_STARTS_PER_S = 30.0  # in the rungs from which the costs of a worker are derived
+BASE_STARTS_PER_S = 30.0  # starts in the rungs that give the costs of a worker
 # State changes for a job's acceptance and end, without those for its tasks' starts and ends.
 STATE_CHANGES_PER_JOB = 3
 
@@ -89,9 +89,9 @@
 class Measurements:
     """The recorded rungs, and linear fits through them.
 
-    `memory_mb` and `sockets` of a controller depend on the number of workers, `peer_bytes` (a
-    second, between controllers) on the starts a second. Fits by starts use rungs with group commit,
-    except `cores_by_starts_ungrouped`.
+    `memory_mb` and `sockets` are those of one controller by the number of workers. `peer_bytes` are
+    the bytes per second between controllers by the starts per second. Fits by starts use rungs with
+    group commit, except `cores_by_starts_ungrouped`.
     """
 
     def __init__(self, runs: dict[str, list[Row]]) -> None:
@@ -123,7 +123,7 @@
         return idle + self.cores_by_starts.slope * starts_per_s
 
     def commits_per_s(self) -> float:
-        """Return commits of the log a second in the region's rung with the most starts."""
+        """Return the log's commits per second in the region's rung with the most starts."""
         return float(self.busiest_rung["state_puts"]["w"] / self.busiest_rung["seconds"])
 
     def reports_at(self, workers: float, starts_per_s: float) -> float:
@@ -136,7 +136,7 @@
 
 
 def peak_jobs_per_s() -> float:
-    """Return the jobs a second of one region at the peak."""
+    """Return the number of jobs per second in one region at the peak."""
     return PEAK_JOB_FACTOR * JOBS_PER_DAY / DAY_S / REGIONS
 
 
@@ -396,7 +396,7 @@
 
 
 def controllers_table(measured: Measurements) -> list[str]:
-    """Return the table of costs with more controllers at the same load."""
+    """Return the table of costs by number of controllers, at a constant load."""
     first = measured.controllers_rungs[0]
     rows = [
         (
@@ -502,8 +502,8 @@
 
 def load() -> dict[str, list[Row]]:
     """Return the recorded rungs of every run, by the run's name."""
-    found: dict[str, list[Row]] = json.loads(RUNGS.read_text())
-    return found
+    runs: dict[str, list[Row]] = json.loads(RUNGS.read_text())
+    return runs
 
 
 def record(report: Path, run: str) -> None:
--- a/scripts/costs.py
+++ b/scripts/costs.py
@@ -22,7 +22,7 @@
 SHARD_ACQUIRED = re.compile(r"shard acquired: shard=(\d+)\b")
 JOBS_LOADED = re.compile(r"shard jobs loaded: shard=(\d+) unfinished_jobs=(\d+)")
 MACHINES_RELEASED = "machines released: machines="
-MAX_TASK_KINDS_PER_MINUTE = 10  # shown, those with the most run time
+MAX_TASK_KINDS_PER_MINUTE = 10  # number of kinds shown, those with the most run time
 
 
 @dataclass
--- a/scripts/counts_proof.py
+++ b/scripts/counts_proof.py
@@ -34,7 +34,7 @@
 RESOURCE = "tariff-engine"
 FAULT_KINDS = ("controllers", "workers", "state", "ceiling")
 REPORT_S, LEASE_S, CANCEL_S = 1.0, 6.0, 30.0
-ZONES = ("a", "b", "a")  # of the controllers
+ZONES = ("a", "b", "a")  # zones of the three controllers
 MACHINE_TYPE = {"sku": "small", "cores": 4.0, "ram_gb": 16.0, "roosts": ["a", "b"], "boot_s": 1.0}
 
 
@@ -44,8 +44,8 @@
     def __init__(self, folder: Path, port: int, session_s: float, ceiling: int) -> None:
         self.folder, self.session_s, self.ceiling = folder, session_s, ceiling
         addresses = [f"127.0.0.1:{port + i}" for i in range(9)]
-        self.engine, self.state, self.cloud, *rest = addresses
-        self.public, self.cluster = rest[:3], rest[3:6]
+        self.engine, self.state, self.cloud, *controller_addresses = addresses
+        self.public, self.cluster = controller_addresses[:3], controller_addresses[3:6]
         self.workers_port = port + 20
         self.results = folder / "results"
         self.results.mkdir()
@@ -130,7 +130,7 @@
     ) -> Any:
         """Repeat a request until it is answered with a status in `accepted`; return the body.
 
-        Each attempt goes to `address`, or without one to a random controller. Raises SystemExit
+        Each attempt goes to `address`, or to a random controller if it is empty. Raises SystemExit
         after 90 s.
         """
         deadline = time.monotonic() + 90
@@ -237,10 +237,10 @@
             self.fault_counts["times set to 1 and back"] += 1
 
     async def set_ceiling(self, ceiling: int) -> int:
-        """Set the ceiling, and return the units held when it was written.
+        """Set the ceiling, and return the number of units held when it was written.
 
-        Return the full ceiling if that is unknown: an earlier attempt without a response, or with
-        another status, had already set it.
+        If an attempt that got no response or another status has already set it, that number is
+        unknown; then return the full ceiling.
         """
         while True:
             entry = await self.site.request_until({200}, "GET", f"{api.COUNTS}/{RESOURCE}")
@@ -335,12 +335,12 @@
     }
 
 
-async def play(
+async def run_jobs(
     site: Site, jobs: int, kinds: set[str], seed: int, limit_s: float, counted: bool
 ) -> dict[str, Any]:
     """Submit the jobs, inject faults until all are done, and return the figures.
 
-    Stops waiting for jobs after `limit_s` seconds.
+    Stop waiting for jobs after `limit_s` seconds.
     """
     injector = FaultInjector(site, kinds, seed)
     for number in range(jobs):
@@ -394,7 +394,7 @@
         site = Site(folder, port, session_s, ceiling)
         try:
             site.start_all()
-            figures = curio.run(play, site, jobs, kinds, seed, limit_s, counted)
+            figures = curio.run(run_jobs, site, jobs, kinds, seed, limit_s, counted)
         finally:
             site.stop_all()
     click.echo(json.dumps(figures, indent=1))
--- a/scripts/counts_size.py
+++ b/scripts/counts_size.py
@@ -1,8 +1,8 @@
 """Measure a scheduling cycle with many counted resources and waiting tasks, on one controller.
 
 python scripts/counts_size.py [--counts 1000] [--jobs 5000] [--tasks 20] [--machines 600]
-With --counts 0 the same jobs need no units; that also runs with versions of the code that have no
-counted resources.
+With --counts 0 the jobs need no units but are otherwise equal; in that mode the script also works
+with earlier versions of the code, which have no counted resources.
 """
 
 import random
@@ -165,9 +165,10 @@
 
 
 def measure_changes(controller: Controller, shard: JobShard) -> Iterator[tuple[str, int, int]]:
-    """Yield a label, and the starts and state changes of up to 3 tasks per job.
+    """Yield a label, the number of starts and the number of state changes for each of two rounds.
 
-    First all tasks are new, then they replace the started ones, which have ended.
+    Each round starts up to 3 tasks per job. In the second, the tasks of the first have ended and
+    are replaced by new ones.
     """
     state = CountingState(random.Random(1))
     writer, plugin = controller.writers[0], controller.admission.durable
--- a/scripts/fuzz_counts.py
+++ b/scripts/fuzz_counts.py
@@ -2,8 +2,8 @@
 
 pip install -r requirements-fuzz.txt
 python scripts/fuzz_counts.py -runs=200000 tests/corpus/counts
-Further arguments are passed to libFuzzer. It writes new inputs to the first folder: name one of
-your own before the corpus to keep them apart.
+Further arguments are passed to libFuzzer. It writes new inputs to the first folder: to keep them
+apart from the corpus, name another folder before it.
 """
 
 import sys
--- a/scripts/scale.py
+++ b/scripts/scale.py
@@ -44,7 +44,7 @@
         for error_line in error.lines:
             click.echo(error_line, err=True)
         sys.exit(2)
-    # curio warns whenever a wait ends in the same instant as its timeout.
+    # Hide curio's warnings about waits that end at the moment when their timeout expires.
     logging.getLogger("curio").setLevel(logging.ERROR)
     # SIGTERM raises SystemExit, so that the processes of the current rung are ended as well.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
@@ -60,7 +60,7 @@
         folder = keep / f"rung-{number + 1}" if keep is not None else None
         if keep is not None:
             keep.mkdir(exist_ok=True)
-        row = play_rung_or_exit(scale_plan, rung, folder)
+        row = run_rung_or_exit(scale_plan, rung, folder)
         run_report.rows.append(row)
         write_report(report, run_report)
         for line in reports.summary(row):
@@ -77,7 +77,7 @@
     sys.exit(1 if any(reports.failed(row) for row in run_report.rows) else 0)
 
 
-def play_rung_or_exit(scale_plan: Plan, rung: Rung, folder: Path | None) -> reports.Row:
+def run_rung_or_exit(scale_plan: Plan, rung: Rung, folder: Path | None) -> reports.Row:
     """Run a rung and return its row; exit with 2 if a port is in use, 1 if a process failed."""
     try:
         return run_rung(scale_plan, rung, folder, print_line)
