--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -47,10 +47,10 @@
     state_puts: dict[str, int]  # values written in the measured time, by first part of the key
     over_rate: int  # requests that the state service answered with 429
     malformed: int  # transactions that the state service answered with 400, over its limits
-    report_bytes: float  # per worker and second: bodies of heartbeats and of their answers
-    command_bytes: float  # per worker and second: bodies of direct commands
-    worker_bytes: float | None  # per worker and second: sent and received at the controllers' API
-    between_bytes: float | None  # per second: sent and received at all controllers' peer ports
+    report_bytes: float  # bodies of heartbeats and their answers, per worker and second
+    command_bytes: float  # bodies of direct commands, per worker and second
+    worker_bytes: float | None  # traffic at the controllers' API, both ways, per worker and second
+    between_bytes: float | None  # traffic at all controllers' peer ports, both ways, per second
     unanswered_reports: float
     submit_p95_s: float
     waits: dict[str, Waits]  # key: rank
