--- a/starlingdeck/api/heartbeat_redirect.py
+++ b/starlingdeck/api/heartbeat_redirect.py
@@ -60,10 +60,10 @@
         self.max_return_s = SILENT_CONTROLLER_DELAY_S * (context.shard_count - 1) + RETURN_MARGIN_S
         self.trials: dict[int, RedirectTrial] = {}  # owner's node -> its latest trial
         self.ownerships: dict[int, ObservedOwnership] = {}  # by shard
-        # By machine, the time:
-        self.redirected_at: dict[int, float] = {}  # of its last redirect
-        self.misrouted_since: dict[int, float] = {}  # from which it counts as misrouted
-        self.newcomers: dict[int, float] = {}  # of its last heartbeat while not misrouted
+        self.redirected_at: dict[int, float] = {}  # machine -> time of its last redirect
+        self.misrouted_since: dict[int, float] = {}  # machine -> since when it is misrouted
+        # machine -> time of its last heartbeat here while it did not count as misrouted
+        self.last_heartbeat_at: dict[int, float] = {}
 
     def reachable_owner_name(self, shard: int) -> str | None:
         """Return the name of a shard's owner; None if unknown, unreachable or this controller.
@@ -105,8 +105,8 @@
         else:
             # The first heartbeat is forwarded, which renews the lease, so that a worker has its
             # whole lease left when it is redirected.
-            redirect = now - self.newcomers.get(machine, NEVER) < MISROUTED_RETENTION_S
-            self.newcomers[machine] = now
+            redirect = now - self.last_heartbeat_at.get(machine, NEVER) < MISROUTED_RETENTION_S
+            self.last_heartbeat_at[machine] = now
         if redirect:
             self.misrouted_since.pop(machine, None)
             self.redirected_at[machine] = now
--- a/starlingdeck/interning.py
+++ b/starlingdeck/interning.py
@@ -25,14 +25,14 @@
         return self.names[index]
 
 
-MAX_TASKS_PER_JOB = 131_072
+TASK_KEYS_PER_JOB = 131_072  # number of task keys reserved for each job
 
 
 def task_key(job: int, task: int) -> int:
     """Return one integer that encodes a job's interned id and a task's number."""
-    return job * MAX_TASKS_PER_JOB + task
+    return job * TASK_KEYS_PER_JOB + task
 
 
 def split_key(key: int) -> tuple[int, int]:
     """Return the job's interned id and the task's number that a task key encodes."""
-    return divmod(key, MAX_TASKS_PER_JOB)
+    return divmod(key, TASK_KEYS_PER_JOB)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -40,7 +40,9 @@
     body = Request("POST", api.REPORT, report("vm-1", "b"))
 
     node.peers.last_heard_at[1] = clock.at
-    node.heartbeat_api.redirector.newcomers[node.context.machine_names.intern("vm-1")] = clock.at
+    node.heartbeat_api.redirector.last_heartbeat_at[node.context.machine_names.intern("vm-1")] = (
+        clock.at
+    )
     reachable = curio.run(node.serve, body)
     assert (reachable.status, msgspec.json.decode(reachable.body)) == (421, {"answer_to": "n-1"})
 
