--- a/starlingdeck/cluster/failover.py
+++ b/starlingdeck/cluster/failover.py
@@ -1,4 +1,4 @@
-"""When a controller may take over a shard, and how long its former owners may still act."""
+"""Failover of shards: when a controller may take one over, and how long former owners may act."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,7 @@
 
 
 def takeover_delay_s(context: ControllerContext, shard: int, live_nodes: Iterable[int]) -> float:
-    """Return how long a shard must have been unowned before this controller takes it over."""
+    """Return the seconds that a shard must have been unowned before this controller may take it."""
     if shard == context.node:
         return 0.0
     candidates = sorted({*live_nodes, context.node})
@@ -26,8 +26,8 @@
 
     `value` is the shard key's value that a former process of this controller wrote. That process
     has ended and renews no leases. But it may have taken the shard over shortly before from a
-    controller that is cut off and still renews them. A controller that restarts within a fraction
-    of a second must therefore not declare a silent machine lost yet.
+    controller that is cut off from the state service and still renews them. A controller that
+    restarts within a fraction of a second must therefore not declare a silent machine lost yet.
     """
     if not value.former_leases_end_ms:
         return 0.0
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 WATCH_TIMEOUT_S = 3.0
-# Delay after a failed watch. A random delay of up to the same length is added.
+# Delay before a failed watch is retried. A random delay of up to WATCH_RETRY_S is added.
 WATCH_RETRY_S = 0.3
 RECONCILE_INTERVAL_S = 0.1
 
@@ -50,13 +50,16 @@
         self.revision = 0  # the state service's revision up to which changes have been handled
 
     def lease_is_valid(self) -> bool:
-        """Return whether no other controller can have taken over a shard of this one."""
+        """Return whether the state lease certainly still exists.
+
+        While it exists, no other controller can have taken over a shard of this one.
+        """
         return self.lease.is_valid()
 
     def may_renew_worker_leases(self) -> bool:
         """Return whether workers' leases may be renewed.
 
-        During an outage of the state service they may, for a bounded time.
+        During an outage of the state service they may be renewed for a bounded time.
         """
         return self.lease.may_renew_worker_leases()
 
@@ -112,7 +115,10 @@
         return 0.0
 
     async def _read_all(self) -> None:
-        """Read every cluster key. Shards without one are unowned, controllers without one gone."""
+        """Read every cluster key.
+
+        Shards without a shard key are unowned, and controllers without a node key are not live.
+        """
         entries, revision = await self.state.read(records.CLUSTER_PREFIX)
         keys = {entry.key for entry in entries}
         for shard in range(self.context.shard_count):
--- a/starlingdeck/cluster/ownership.py
+++ b/starlingdeck/cluster/ownership.py
@@ -26,7 +26,7 @@
 HAND_BACK_DELAY_S = 2.0
 # A shard that its home controller did not take is handed back again only after this time.
 HAND_BACK_RETRY_S = 10.0
-NEVER = -1e9  # a time before any other
+NEVER = -1e9  # earlier than any time of the steady clock
 EPOCH_BITS = 60
 
 
@@ -61,8 +61,8 @@
         self.hooks = hooks
         self.owners: dict[int, ShardOwner] = {}  # the latest known owner of each shard
         self.owned: dict[int, ShardOwner] = {}  # the shards that this process owns
-        self.shard_keys: dict[int, ShardKey] = {}  # for shards that this process doesn't own
-        self.unowned_since: dict[int, float] = {}  # for shards without a key
+        self.shard_keys: dict[int, ShardKey] = {}  # last seen; only of shards not owned here
+        self.unowned_since: dict[int, float] = {}  # shard without a key -> since when
         self.handed_back_at: dict[int, float] = {}
         # The version of each shard's takeover key, which every takeover rewrites.
         self.takeover_versions: dict[int, int] = {}
@@ -87,9 +87,9 @@
         return known is None or known.epoch != owner.epoch
 
     async def observe_owner(self, shard: int, owner: ShardOwner) -> None:
-        """Handle a peer's message about a shard's owner, which may have replaced this process."""
-        mine = self.owned.get(shard)
-        if mine is not None and owner.token > mine.token and owner.epoch != mine.epoch:
+        """Record the owner named by a peer; release the shard if this process was replaced."""
+        current = self.owned.get(shard)
+        if current is not None and owner.token > current.token and owner.epoch != current.epoch:
             await self.release(shard)
         self.record_owner(shard, owner)
 
@@ -108,19 +108,19 @@
             await self._on_shard_key_deleted(shard, event.version)
 
     async def _on_shard_key_deleted(self, shard: int, version: int) -> None:
-        mine = self.owned.get(shard)
-        if mine is not None and version > mine.token:
+        current = self.owned.get(shard)
+        if current is not None and version > current.token:
             await self.release(shard)
         if shard not in self.owned:
             self.shard_keys.pop(shard, None)
             self.unowned_since.setdefault(shard, self.context.now())
 
     async def _on_shard_key_put(self, shard: int, version: int, value: ShardValue) -> None:
-        mine = self.owned.get(shard)
-        if mine is not None:
-            if version <= mine.token:
+        current = self.owned.get(shard)
+        if current is not None:
+            if version <= current.token:
                 return
-            if value.epoch == mine.epoch:
+            if value.epoch == current.epoch:
                 # This controller's own request to raise the token was executed; its response
                 # was lost or has not arrived yet.
                 await self._apply_raised_token(shard, version)
@@ -152,8 +152,8 @@
 
     async def _take_over_unowned(self, shard: int, live_nodes: Iterable[int]) -> None:
         now = self.context.now()
-        since = self.unowned_since.setdefault(shard, now)
-        if now - since >= takeover_delay_s(self.context, shard, live_nodes):
+        unowned_since = self.unowned_since.setdefault(shard, now)
+        if now - unowned_since >= takeover_delay_s(self.context, shard, live_nodes):
             await self.acquire(shard, 0, self.context.outage_renewal_s)
 
     def _hand_back_due(self, shard: int, live_nodes: Mapping[int, float]) -> bool:
@@ -175,8 +175,8 @@
 
         `key_version` is the version that the key must have now, 0 if it must not exist. Former
         owners may renew workers' leases for another `renewal_s` seconds. Raises
-        TransactionConflictError when another controller was first, and the other errors of
-        StateClient.transact.
+        TransactionConflictError when another controller has written the key first, and the other
+        errors of StateClient.transact.
         """
         epoch = self.context.rng.getrandbits(EPOCH_BITS)
         key, takeover_key = records.shard_key(shard), records.takeover_key(shard)
@@ -207,37 +207,37 @@
 
         Raises the errors of StateClient.transact.
         """
-        mine = self.owned.get(shard)
-        if mine is None:
+        current = self.owned.get(shard)
+        if current is None:
             return
         key = records.shard_key(shard)
         end_ms = self.former_renewals_end_ms.get(shard, 0)
-        value = ShardValue(mine.node, mine.epoch, end_ms, self.writes_log(shard))
+        value = ShardValue(current.node, current.epoch, end_ms, self.writes_log(shard))
         change = put_change(key, value, self.lease.lease_id)
-        token = await self.state.transact({key: mine.token}, [change], True)
+        token = await self.state.transact({key: current.token}, [change], True)
         await self._apply_raised_token(shard, token)
 
     async def _apply_raised_token(self, shard: int, token: int) -> None:
-        mine = self.owned.get(shard)
-        if mine is not None and token > mine.token:
-            self.owned[shard] = self.owners[shard] = ShardOwner(mine.node, token, mine.epoch)
+        current = self.owned.get(shard)
+        if current is not None and token > current.token:
+            self.owned[shard] = self.owners[shard] = ShardOwner(current.node, token, current.epoch)
             log.info("shard token raised: shard=%d token=%d", shard, token)
             await self.hooks.on_token_raised(shard, token)
 
     async def _hand_back(self, shard: int) -> None:
         """Stop serving a shard and delete its key, for its home controller to take it over."""
-        mine = self.owned[shard]
-        log.info("shard handed back: shard=%d token=%d", shard, mine.token)
+        current = self.owned[shard]
+        log.info("shard handed back: shard=%d token=%d", shard, current.token)
         await self.release(shard)
         self.unowned_since[shard] = self.handed_back_at[shard] = self.context.now()
         key = records.shard_key(shard)
-        await self.state.transact({key: mine.token}, [delete_change(key)], True)
+        await self.state.transact({key: current.token}, [delete_change(key)], True)
 
     async def release(self, shard: int) -> None:
         """Stop serving a shard, if this process owns it. Its key is left unchanged."""
-        mine = self.owned.pop(shard, None)
-        if mine is not None:
-            log.info("shard released: shard=%d token=%d", shard, mine.token)
+        current = self.owned.pop(shard, None)
+        if current is not None:
+            log.info("shard released: shard=%d token=%d", shard, current.token)
             await self.hooks.on_shard_lost(shard)
 
     async def release_all(self) -> None:
--- a/starlingdeck/cluster/peers.py
+++ b/starlingdeck/cluster/peers.py
@@ -17,19 +17,18 @@
 log = logging.getLogger(__name__)
 
 GOSSIP_INTERVAL_S = 0.5
-# Delay before a link that has ended is dialled again. A random delay of up to the same length is
-# added.
+# Delay before a link that has ended is dialled again. A random delay of up to REDIAL_S is added.
 REDIAL_S = 0.3
-NEVER = -1e9  # a time before any other
-# Messages whose reply may take long: they are handled concurrently with the next ones on their
-# link.
+NEVER = -1e9  # earlier than any time of the steady clock
+# Messages whose replies may take long. They are handled concurrently with the messages that follow
+# on the same link.
 CONCURRENT_MESSAGES = ("reserve_request", "forward_request")
 
 MessageHandler = Callable[[pb.Envelope], Awaitable[pb.Envelope | None]]
 
 
 class PeerUnavailableError(Exception):
-    """The peer can't be called now, or did not reply in time."""
+    """There is no usable link to the peer, or it did not reply in time."""
 
 
 class PeerBusyError(PeerUnavailableError):
@@ -62,13 +61,14 @@
         self.links: dict[int, FrameLink] = {}
         self.started_at = context.now()
         self.last_heard_at: dict[int, float] = {}
-        self.calls: dict[int, PendingCall] = {}  # by the call number in their messages
+        self.calls: dict[int, PendingCall] = {}  # key: call number
         self.next_call = 1
 
     def is_reachable(self, node: int) -> bool:
-        """Return whether a controller has replied lately on a link that still exists.
+        """Return whether there is a link to a controller and it has replied recently.
 
-        Lately is within `reply_wait_s` of the tuning; this controller itself is always reachable.
+        Recently means within `reply_wait_s` of the tuning. This controller itself is always
+        reachable.
         """
         if node == self.context.node:
             return True
@@ -158,10 +158,10 @@
             call.reply = envelope
             await call.done.set()
 
-    # --- links that others dialled
+    # --- links that other controllers dialled
 
     async def serve(self, link: FrameLink) -> None:
-        """Handle the messages on a link that a peer dialled; a malformed one ends only the link."""
+        """Handle the messages on a link that a peer dialled, until the link ends or one fails."""
         try:
             while True:
                 envelope = pb.Envelope.FromString(await link.receive())
@@ -172,12 +172,12 @@
         except (OSError, DecodeError, curio.TaskTimeout) as error:
             log.debug("link from peer failed: error=%r", error)
         except Exception:
-            # A message must not end the controller. It ends the link, and on the next one the peer
-            # sends its state in full.
+            # A message that can't be handled must not stop the controller. It ends only this link,
+            # and on the next link the peer sends its state in full.
             log.exception("message from peer not handled")
 
     async def _handle(self, link: FrameLink, envelope: pb.Envelope) -> None:
-        """Handle a message and send its reply, if it has one or is a call or gossip."""
+        """Handle a message and send its reply. Calls and gossip get an empty one if it has none."""
         try:
             reply = await self.handle_message(envelope)
             if reply is None:
--- a/starlingdeck/cluster/sharding.py
+++ b/starlingdeck/cluster/sharding.py
@@ -10,9 +10,9 @@
 
 
 def shard_of_machine(machine: str, zone: str, zones: Sequence[str]) -> int:
-    """Return the shard of a machine, where `zones[i]` is the zone of shard i's home controller.
+    """Return the shard of a machine. `zones[i]` is the zone of shard i's home controller.
 
-    It is one with a home controller in the machine's zone if there is any, so that a partition
+    Shards whose home controller is in the machine's zone are preferred, so that a partition
     between zones doesn't separate a machine from its controller.
     """
     same_zone = [shard for shard, home_zone in enumerate(zones) if home_zone == zone]
--- a/starlingdeck/cluster/state_lease.py
+++ b/starlingdeck/cluster/state_lease.py
@@ -19,15 +19,15 @@
 # Subtracted from the lease's time to live when this controller decides whether it still holds it.
 SAFETY_MARGIN_S = 0.2
 RENEWALS_PER_TTL = 4
-# Delay after a failed renewal. A random delay of up to the same length is added.
-RETRY_S = 0.2
+# Delay before a failed renewal is retried. A random delay of up to RENEWAL_RETRY_S is added.
+RENEWAL_RETRY_S = 0.2
 
 
 class StateLease:
     """Obtains and renews the lease, and writes this controller's node key, attached to it.
 
     Times are on the controller's steady clock, in seconds. A renewal counts from the time when it
-    was sent, because the state service counts it from a later one.
+    was sent. The state service counts it from when it arrives, so the lease ends there later.
     """
 
     def __init__(self, context: ControllerContext, state: StateClient) -> None:
@@ -43,15 +43,15 @@
     def is_valid(self) -> bool:
         """Return whether the lease certainly still exists.
 
-        As long as it does, no other controller can have taken over a shard of this one.
+        While it exists, no other controller can have taken over a shard of this one.
         """
         return self.lease_id > 0 and self.context.now() < self.renewed_at + self._safe_ttl_s()
 
     def may_renew_worker_leases(self) -> bool:
         """Return whether workers' leases may be renewed.
 
-        During an outage of the state service they may be for a bounded time, also after the state
-        lease has ended.
+        During an outage of the state service they may be renewed for a bounded time, even after
+        the state lease has ended.
         """
         allowed_s = max(self._safe_ttl_s(), self.context.outage_renewal_s)
         return self.lease_id > 0 and self.context.now() < self.renewed_at + allowed_s
@@ -76,7 +76,7 @@
             if self.reachable:
                 log.info("state lease renewal failed: error=%r", error)
             self.reachable = False
-            return RETRY_S + RETRY_S * self.context.rng.random()
+            return RENEWAL_RETRY_S + RENEWAL_RETRY_S * self.context.rng.random()
         if not self.reachable:
             log.info("state lease renewal recovered: lease=%d", self.lease_id)
         self.reachable = True
@@ -102,8 +102,8 @@
     def on_node_key_deleted(self) -> None:
         """Have the next renewal write the node key again.
 
-        The deleted key may be one that a former process wrote late, or the first write may have
-        got no response. A controller without a node key never gets its shards back.
+        The deleted key may be one that a former process wrote late, or one that this process wrote
+        without receiving a response. A controller without a node key never gets its shards back.
         """
         if self.lease_id:
             log.info("node key deleted: node=%d", self.context.node)
--- a/starlingdeck/controller/autoscaling_loop.py
+++ b/starlingdeck/controller/autoscaling_loop.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-AUTOSCALING_SHARD = 0  # its owner rents and returns machines
+AUTOSCALING_SHARD = 0  # the owner of this shard rents and releases machines
 AUTOSCALING_INTERVAL_S = 0.5
 
 
--- a/starlingdeck/controller/controller.py
+++ b/starlingdeck/controller/controller.py
@@ -45,9 +45,9 @@
 
 MIN_OPEN_CONNECTIONS = 16
 CLIENT_CONNECTION_DIVISOR = 4  # the HTTP client may open a quarter of the machine's connections
-SERVER_CONNECTION_SHARE = 0.6  # of the machine's connections, for the HTTP server
-MAX_IDLE_CONNECTIONS = 4  # of the HTTP client to each address
-CLOUD_RATE_SHARE = 0.8  # of the cloud's request rate limit
+SERVER_CONNECTION_SHARE = 0.6  # share of the machine's connections for the HTTP server
+MAX_IDLE_CONNECTIONS_PER_ADDRESS = 4
+CLOUD_RATE_SHARE = 0.8  # share of the cloud's request rate limit that is used
 CLOUD_BURST_S = 1.5
 LINKS_PER_CONTROLLER = 4
 
@@ -67,8 +67,8 @@
         self.context = context
         self.wake = curio.Event()  # set when the reconciler and the planner have something to do
         self.flush = curio.Event()  # set when records are to be written
-        self.writers: dict[int, RecordWriter] = {}  # by owned shard
-        self.machines: dict[int, MachineShard] = {}  # by owned shard
+        self.writers: dict[int, RecordWriter] = {}  # key: owned shard
+        self.machines: dict[int, MachineShard] = {}  # key: owned shard
         self._build_clients()
         self._build_cluster_parts()
         self._build_job_parts()
@@ -83,7 +83,7 @@
         deployment, external = context.settings.settings, context.settings.external
         max_connections = deployment.machine_limits.max_connections
         max_open = max(MIN_OPEN_CONNECTIONS, max_connections // CLIENT_CONNECTION_DIVISOR)
-        self.http = HttpClient(max_idle=MAX_IDLE_CONNECTIONS, max_open=max_open)
+        self.http = HttpClient(max_idle=MAX_IDLE_CONNECTIONS_PER_ADDRESS, max_open=max_open)
         self.request_budget = RequestBudget(
             deployment.state.rps, deployment.state.write_rps, context.shard_count, context.now
         )
@@ -144,7 +144,7 @@
         )
 
     def _build_fleet_parts(self) -> None:
-        """Create what handles machines: heartbeats, calls to workers, types and autoscaling."""
+        """Create the heartbeat API, the caller of workers, machine type storage and autoscaling."""
         self.heartbeat_api = HeartbeatApi(self.context, self.membership, self.peers, self.machines)
         self.worker_caller = WorkerCaller(
             context=self.context, http=self.http, machines=self.machines, wake=self.wake
@@ -326,8 +326,8 @@
         """Use the new token of a shard that this controller continues to own."""
         writer, machines = self.writers.get(shard), self.machines.get(shard)
         if writer is not None:
-            # A write that ran into the raised key before the new token was known here has marked
-            # the ownership as lost.
+            # A write that conflicted with the rewritten key before the new token was known here
+            # has marked the ownership as lost.
             writer.shard.token, writer.ownership_lost = token, False
         if machines is not None:
             machines.token = token
@@ -335,8 +335,8 @@
     def may_hand_back(self, shard: int) -> bool:
         """Return whether a shard may be returned to its home controller, which is live again.
 
-        It may be even if this controller can't reach the home controller: the shard's machines may
-        be cut off from this controller, too.
+        This controller need not be able to reach the home controller: if it can't, it may be cut
+        off from the shard's machines too.
         """
         writer = self.writers.get(shard)
         return self.membership.lease_is_valid() and writer is not None and writer.shard.loaded
--- a/starlingdeck/controller/deleted_machines.py
+++ b/starlingdeck/controller/deleted_machines.py
@@ -12,8 +12,8 @@
     """The names of deleted machines, with the times when this controller learned of them.
 
     A name is kept for longer than all controllers together announce it. Otherwise a controller
-    that had dropped a name would take it as new from one that still announces it, and the name
-    would circulate for ever.
+    that had dropped a name would record it again when another one still announces it, and the name
+    would be announced indefinitely.
     """
 
     def __init__(self, context: ControllerContext, machines: Mapping[int, MachineShard]) -> None:
@@ -28,7 +28,7 @@
         return name in self.deleted_at
 
     def record(self, names: Iterable[str]) -> None:
-        """Mark machines as deleted in all owned shards, and drop names that are old enough."""
+        """Mark machines as deleted in all owned shards, and drop expired names."""
         now = self.context.now()
         retention_s = ANNOUNCE_S * (self.context.shard_count + 1)
         for name in names:
@@ -40,9 +40,9 @@
 
     def record_announced(self, names: Iterable[str]) -> None:
         """Record the machines that a peer announces and that are not known here yet."""
-        fresh = [name for name in names if name not in self.deleted_at]
-        if fresh:
-            self.record(fresh)
+        new_names = [name for name in names if name not in self.deleted_at]
+        if new_names:
+            self.record(new_names)
 
     def announced(self) -> Iterator[str]:
         """Return the names to announce to peers now."""
--- a/starlingdeck/controller/http_router.py
+++ b/starlingdeck/controller/http_router.py
@@ -86,7 +86,8 @@
 
         A controller that reaches neither the state service nor a peer has to refuse every user's
         request. It reports itself unhealthy although it may still renew workers' leases, so that
-        users are sent to other controllers. It also does while it knows no machine types.
+        users are sent to other controllers. A controller that knows no machine types yet reports
+        itself unhealthy, too.
         """
         peer_reachable = any(
             self.peers.is_reachable(node)
--- a/starlingdeck/controller/machine_type_store.py
+++ b/starlingdeck/controller/machine_type_store.py
@@ -1,4 +1,4 @@
-"""Storage of the machine types in the state service, for starts while the cloud is unreachable."""
+"""Stored machine types, which a controller uses if it starts while the cloud is unreachable."""
 
 import logging
 from collections.abc import Container
--- a/starlingdeck/controller/metrics_report.py
+++ b/starlingdeck/controller/metrics_report.py
@@ -19,7 +19,7 @@
 
 METRICS_INTERVAL_S = 60.0
 LARGEST_JOBS_DIVISOR = 10  # the largest tenth of the jobs of each class is checked for starvation
-MIN_CPUS = 1e-9  # sizes jobs that request no CPUs by their number of tasks
+MIN_CPUS = 1e-9  # makes jobs that request no CPUs comparable by their number of tasks
 
 
 class MetricsReporter(Struct, kw_only=True, eq=False, dict=True):
@@ -43,7 +43,7 @@
                     log.debug("%s", line)
 
     def lines(self) -> Iterator[str]:
-        """Yield the lines for the interval since the last call; resets latencies and counters."""
+        """Yield the lines for the interval since the last call; reset latencies and counters."""
         yield from self.context.latencies.lines()
         yield from self.context.counters.lines(waiting_tasks(self.context, self.writers))
         if self.admission.durable is not None:
@@ -59,7 +59,7 @@
     """Return the line with the HTTP server's open connections.
 
     Connections refused, evicted, or closed with the response because of the connection limit are
-    counted since the start.
+    counted since the process started.
     """
     connections = server.connections
     return (
@@ -88,10 +88,10 @@
 def starvation_lines(
     context: ControllerContext, writers: Mapping[int, RecordWriter], admission: AdmissionController
 ) -> Iterator[str]:
-    """Yield a line for each team and class with its oldest large job that has not started, and why.
+    """Yield a line for each team and class that has a large job that has not started.
 
-    Large jobs are the largest tenth by requested CPUs. There is no line if all of them have
-    started.
+    It shows the oldest such job and why that job waits. Large jobs are the largest tenth by
+    requested CPUs.
     """
     jobs_by_class: dict[tuple[str, str], list[Job]] = {}
     for writer in writers.values():
--- a/starlingdeck/controller/reconciler.py
+++ b/starlingdeck/controller/reconciler.py
@@ -63,9 +63,9 @@
             await self.flush.set()
         self.state_sync.drop_expired(now)
         if lease_valid:
-            # Only a controller that certainly owns a job shard may send its desired state. A former
-            # owner's was the first to reach a new owner of machines, and restarted a task that had
-            # been cancelled long before.
+            # Only a controller that certainly owns a job shard may send its desired state. When a
+            # former owner also sent it, its message was the first to reach the new owner of a
+            # machine shard, and restarted a task that had been cancelled long before.
             await self.state_sync.send_desired_state(now)
             for node, text in self.state_sync.build_relay_texts(now, self.build_gossip):
                 await curio.spawn(self.state_sync.write_relay, node, text, daemon=True)
--- a/starlingdeck/controller/record_flusher.py
+++ b/starlingdeck/controller/record_flusher.py
@@ -27,7 +27,7 @@
     flush: curio.Event
 
     async def run(self) -> None:
-        """Flush when woken by `flush`, and when the shortest idle wait of a writer is over."""
+        """Flush when woken by `flush`, at the latest after the writers' shortest idle wait."""
         while True:
             idle_s = min((w.idle_wait_s for w in self.writers.values()), default=IDLE_WAIT_S)
             async with curio.ignore_after(idle_s):
--- a/starlingdeck/controller/supervision.py
+++ b/starlingdeck/controller/supervision.py
@@ -15,7 +15,7 @@
 
 
 async def supervise(loop: Loop, rng: random.Random) -> None:
-    """Run a loop for ever: when it fails, log the error and restart it after a delay."""
+    """Run a loop until cancelled. When it fails, log the error and restart it after a delay."""
     name = loop.__qualname__
     (await curio.current_task()).name = name
     while True:
--- a/starlingdeck/controller/worker_caller.py
+++ b/starlingdeck/controller/worker_caller.py
@@ -13,8 +13,8 @@
 from starlingdeck.transport.client import ConnectionFailedError, HttpClient, NoResponseError
 
 RESERVED_CONNECTIONS = 16  # connections of the HTTP client left to the state service and the cloud
-MIN_CALLS = 8  # lower bound of the limit of calls in flight
-CONNECTION_WAIT_S = 0.1
+MIN_CALLS_IN_FLIGHT = 8  # lower bound for the limit of calls in flight
+CONNECTION_POLL_S = 0.1  # interval between checks whether another call may be made
 LAUNCH_RETRY_S = 0.3  # delay before a start that the worker has not reported yet is sent again
 
 
@@ -22,7 +22,7 @@
     """Calls workers, with a limited number of calls in flight.
 
     The limit leaves RESERVED_CONNECTIONS of the HTTP client's connections to others, but is at
-    least MIN_CALLS.
+    least MIN_CALLS_IN_FLIGHT.
     """
 
     context: ControllerContext
@@ -33,7 +33,7 @@
     in_flight: int = 0
 
     def __post_init__(self) -> None:
-        self.max_in_flight = max(MIN_CALLS, self.http.max_open - RESERVED_CONNECTIONS)
+        self.max_in_flight = max(MIN_CALLS_IN_FLIGHT, self.http.max_open - RESERVED_CONNECTIONS)
 
     async def send_due_commands(self, machines: MachineShard, lease_valid: bool) -> None:
         """Reconcile a shard and call the workers that have something to do.
@@ -71,11 +71,11 @@
     async def _announce_token(self, machines: MachineShard, waiting: list[pb.MachineState]) -> None:
         """Announce the token to machines taken from `waiting`, while the shard is owned here.
 
-        Several tasks run this on the same list until it is empty.
+        Several tasks run this method concurrently and share the list, until it is empty.
         """
         while waiting and self.machines.get(machines.shard) is machines:
             if self.in_flight >= self.max_in_flight:
-                await curio.sleep(CONNECTION_WAIT_S)
+                await curio.sleep(CONNECTION_POLL_S)
                 continue
             entry = waiting.pop()
             commands = api.Commands(machines.token, entry.session, [])
@@ -85,7 +85,7 @@
     async def _call(
         self, machines: MachineShard, machine: Machine | None, address: str, commands: api.Commands
     ) -> None:
-        """Make a call that the caller has counted as in flight; uncount it when it has ended."""
+        """Make a call that was counted in `in_flight`, and decrease the count when it ends."""
         try:
             await self.send_commands(machines, machine, address, commands)
         finally:
