--- a/starlingdeck/api/heartbeat_api.py
+++ b/starlingdeck/api/heartbeat_api.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_WATERMARK_WAIT_S = 1.5  # a worker waits 4 s for the response to its heartbeat
+FIRST_WATERMARK_WAIT_S = 1.5  # less than the 4 s that a worker waits for a response
 WATERMARK_POLL_S = 0.1
 
 
@@ -41,11 +41,11 @@
         self.membership = membership
         self.machines = machines
         self.redirector = HeartbeatRedirector(context, membership, peers)
-        # A heartbeat has made work for the reconciler; reset by HttpRouter.
+        # Whether a heartbeat has made work for the reconciler. HttpRouter resets it.
         self.has_updates = False
 
     async def handle(self, body: bytes, forwarded: bool = False) -> Response:
-        """Answer one heartbeat; one that a peer has forwarded is not forwarded again.
+        """Answer one heartbeat. If a peer has forwarded it, it is not forwarded again.
 
         Only a response with status 200 renews the worker's lease.
         """
@@ -76,7 +76,8 @@
     ) -> Response:
         """Return the response that renews the worker's lease, with the commands that are due."""
         lease_valid = self.membership.lease_is_valid()
-        is_newest = machine.position() == (report.session, report.seq)  # no later one was applied
+        # Whether no later report was applied in the meantime.
+        is_newest = machine.position() == (report.session, report.seq)
         if machines.to_reconcile or machines.changed:
             self.has_updates = True
         commands = machines.pending_commands(machine, lease_valid) if is_newest else []
--- a/starlingdeck/api/heartbeat_redirect.py
+++ b/starlingdeck/api/heartbeat_redirect.py
@@ -19,12 +19,13 @@
 log = logging.getLogger(__name__)
 
 REPORT_METHOD = "REPORT"  # `ForwardRequest.method` of a forwarded heartbeat
-# What a worker loses at a controller that does not answer: it waits 4 s for the response, and 1 s
-# more before it tries the next controller.
+# Time that a worker loses at a controller that does not answer: it waits 4 s for the response, and
+# 1 s more before it tries the next controller.
 SILENT_CONTROLLER_DELAY_S = 5.0
 RETURN_MARGIN_S = 3.0
-OWNERSHIP_SETTLED_S = 10.0  # until a new owner has announced its token to all its workers
-MISROUTED_RETENTION_S = 15.0  # a misrouted worker is served by forwarding before a trial
+OWNERSHIP_SETTLED_S = 10.0  # time in which a new owner announces its token to all its workers
+# Time for which a misrouted worker's heartbeats are forwarded before it may be redirected again.
+MISROUTED_RETENTION_S = 15.0
 FORWARD_TIMEOUT_S = 1.5
 NO_MACHINE = -1
 NEVER = -1e9  # earlier than any time of the steady clock
@@ -33,8 +34,8 @@
 class RedirectTrial(Struct):
     """The redirect of one misrouted worker, which shows whether workers reach the owner again."""
 
-    machine: int  # NO_MACHINE: a redirected worker came back
-    started_at: float  # for NO_MACHINE: the time from which MISROUTED_RETENTION_S counts
+    machine: int  # the worker's machine; NO_MACHINE if a redirected worker came back
+    started_at: float  # if NO_MACHINE: the time from which MISROUTED_RETENTION_S counts
 
 
 class ObservedOwnership(NamedTuple):
@@ -59,7 +60,7 @@
         # controller before it reports here again.
         self.max_return_s = SILENT_CONTROLLER_DELAY_S * (context.shard_count - 1) + RETURN_MARGIN_S
         self.trials: dict[int, RedirectTrial] = {}  # owner's node -> its latest trial
-        self.ownerships: dict[int, ObservedOwnership] = {}  # by shard
+        self.ownerships: dict[int, ObservedOwnership] = {}  # key: shard
         self.redirected_at: dict[int, float] = {}  # machine -> time of its last redirect
         self.misrouted_since: dict[int, float] = {}  # machine -> since when it is misrouted
         # machine -> time of its last heartbeat here while it did not count as misrouted
@@ -69,7 +70,7 @@
         """Return the name of a shard's owner; None if unknown, unreachable or this controller.
 
         A worker that is redirected to a controller that does not answer loses
-        SILENT_CONTROLLER_DELAY_S. If it loses that twice, its lease expires.
+        SILENT_CONTROLLER_DELAY_S. If this happens twice, its lease expires.
         """
         owner = self.membership.owners.get(shard)
         if (
@@ -83,16 +84,17 @@
     async def redirect_or_forward(self, report: api.Report, shard: int, body: bytes) -> Response:
         """Redirect a worker to its owner, or forward its heartbeat if it can't reach the owner.
 
-        If this controller can't reach the owner, the worker is told to try other controllers.
+        If this controller can't reach the owner, its response makes the worker try the other
+        controllers.
 
         A worker may be unable to reach an owner that this controller can reach. Each attempt
         costs it 5 s of its lease, and it may have made one already. So its first heartbeat is
         forwarded, and only the next one is redirected. A worker counts as misrouted if it is back
         soon after a redirect, or reports here although the owner has served it. Its heartbeats
         are forwarded for MISROUTED_RETENTION_S; then one of the owner's misrouted workers is
-        redirected as a trial. The time within which a worker counts as back allows for other
-        silent controllers: with one more of them, workers came back later than expected, 96 of
-        them were redirected each time, and three leases were lost.
+        redirected as a trial. `max_return_s`, the time within which a worker counts as back, allows
+        for other silent controllers. Before it did, one more silent controller made workers come
+        back later than expected: 96 of them were redirected each time, and three leases were lost.
         """
         owner_name = self.reachable_owner_name(shard)
         now = self.context.now()
--- a/starlingdeck/api/job_request.py
+++ b/starlingdeck/api/job_request.py
@@ -15,7 +15,7 @@
 
 
 class Operation(StrEnum):
-    """What a request asks for; the values are those of `ForwardRequest.method`."""
+    """The operation that a user requests. Its value is sent as `ForwardRequest.method`."""
 
     SUBMIT = "SUBMIT"
     STATUS = "GET"
@@ -30,11 +30,11 @@
 
     operation: str
     name: str
-    body: bytes = b""  # of a submission: the job's JSON
+    body: bytes = b""  # the JSON of the submitted job; empty for other operations
 
 
 class JobApiServices(Struct, kw_only=True, eq=False, dict=True):
-    """The parts of the controller that the handlers of job requests use."""
+    """The components of the controller that the handlers of job requests use."""
 
     context: ControllerContext
     state: StateClient
--- a/starlingdeck/api/job_router.py
+++ b/starlingdeck/api/job_router.py
@@ -13,8 +13,8 @@
 
 FORWARD_TIMEOUT_S = 1.0
 NOT_OWNER_STATUS = 421
-# With these a peer answers a forwarded request that it has not handled: it does not own the shard
-# any more, or can't use the state service.
+# Statuses of a peer's replies to forwarded requests that it has not handled, because it no longer
+# owns the shard or can't use the state service.
 NOT_HANDLED_STATUSES = (NOT_OWNER_STATUS, 503)
 
 
@@ -29,8 +29,8 @@
     async def route(self, request: JobRequest) -> Response:
         """Have the owner of the job's shard handle a request, or handle it without the owner.
 
-        Without a response of the owner the request is handled through the state service, by this
-        controller or, if this one can't use the state service, by a peer.
+        If the owner gives no response, the request is handled through the state service: by this
+        controller or, if this controller can't use the state service, by a peer.
         Raises StateError if neither this controller nor a peer can use the state service.
         """
         shard = shard_of_job(request.name, self.services.context.shard_count)
@@ -105,7 +105,11 @@
         return reply.forward_reply
 
     async def handle_forwarded(self, forwarded: pb.ForwardRequest) -> pb.ForwardReply:
-        """Handle a forwarded request as the owner, or `without_owner` through the state service."""
+        """Handle a request that a peer has forwarded.
+
+        It is handled as the shard's owner or, if it is marked `without_owner` and this controller
+        is not the owner, through the state service.
+        """
         request = JobRequest(forwarded.method, forwarded.path, forwarded.body)
         shard = shard_of_job(request.name, self.services.context.shard_count)
         writer = self.services.writers.get(shard)
--- a/starlingdeck/api/owner_handler.py
+++ b/starlingdeck/api/owner_handler.py
@@ -70,7 +70,7 @@
         return json_response(200, terminal_status(name, state, completed))
 
     async def _reload(self, writer: RecordWriter, name: str) -> None:
-        """Read a job from the state service that is not known here, unfinished or finished."""
+        """Read from the state service a job that is not known here, unfinished or finished."""
         async with writer.lock:
             await writer.reload(name)
 
@@ -91,9 +91,9 @@
             await self._reload(writer, spec.id)
             return self._existing_status(shard, spec.id)
         if spec.id in shard.terminal_states:
-            # Another request had the job read, cancelled and ended before the response to the write
-            # arrived. If the job were added now, it would be reported as queued after its user had
-            # been told that it is cancelled.
+            # Before the response to the write arrived, other requests had the job read, cancelled
+            # and ended. If the job were added now, it would be reported as queued after its
+            # cancellation was confirmed to its user.
             return self._existing_status(shard, spec.id)
         job.key_versions[0] = revision
         shard.jobs.setdefault(job.index, job)
--- a/starlingdeck/api/stored_status.py
+++ b/starlingdeck/api/stored_status.py
@@ -14,7 +14,7 @@
 from starlingdeck.storage.records import FinalRecord, JobRecord, ShardValue
 from starlingdeck.transport.server import Response
 
-ACKNOWLEDGEMENT_TIMEOUT_S = 0.8  # for the owner to take the mailbox entry of a cancellation
+ACKNOWLEDGEMENT_TIMEOUT_S = 0.8  # wait for the owner to take a cancellation's mailbox entry
 ACKNOWLEDGEMENT_POLL_S = 0.1
 CANCELLATION_UNACKNOWLEDGED = "the job's holder has not heard of its cancellation yet"
 
@@ -71,10 +71,10 @@
     async def _completed_tasks(
         self, shard: int, record: JobRecord, changes: list[LoggedChange], owned: Job | None
     ) -> int:
-        """Return how many tasks of a job have completed, by its record and the commit log.
+        """Return how many tasks of a job have completed, from its record and the commit log.
 
-        All chunks of the record count: by the first chunk alone, an array's count fell whenever
-        its owner couldn't be reached. The owner reads only the chunks that may have more
+        All chunks of the record are counted: when only the first one was, an array's count fell
+        whenever its owner couldn't be reached. The owner reads only the chunks that may have more
         completed tasks in the record than it knows of.
         """
         chunks = await self._encoded_completed_bits(shard, record, owned)
@@ -90,7 +90,10 @@
     async def _encoded_completed_bits(
         self, shard: int, record: JobRecord, owned: Job | None
     ) -> dict[int, str]:
-        """Return the encoded bits of completed tasks by chunk; with `owned` of uncertain chunks."""
+        """Return the encoded bits of completed tasks by chunk.
+
+        With `owned`, only those of the first chunk and of the uncertain chunks.
+        """
         state, name = self.services.state, record.spec.id
         chunks = {0: record.chunk.completed_bits}
         if record.spec.tasks > records.TASKS_PER_CHUNK and owned is None:
@@ -105,10 +108,10 @@
         return chunks
 
     async def owner_acknowledged(self, shard: int, name: str) -> bool:
-        """Return whether no owner can report a job's state from before a change any more.
+        """Return whether no owner can still report a job's state from before a change.
 
-        That is certain once the owner has taken the change's mailbox entry, or no longer owns the
-        shard: a later owner reads the record first. Waits up to ACKNOWLEDGEMENT_TIMEOUT_S for it.
+        This is certain once the owner has taken the change's mailbox entry, or no longer owns the
+        shard: a later owner reads the record first. Waits up to ACKNOWLEDGEMENT_TIMEOUT_S.
         Without this, an owner that had just come through an outage answered that a job was
         running, although another controller had confirmed its cancellation to its user.
         """
--- a/starlingdeck/api/submission.py
+++ b/starlingdeck/api/submission.py
@@ -5,7 +5,8 @@
 from starlingdeck.context import ControllerContext, fits, machine_capacity, requested_resources
 from starlingdeck.protocol.api import JobSpec
 
-# Of the largest value that the state service stores; the rest is for the states of the tasks.
+# Maximum size of a job's description, as a share of the largest value that the state service
+# stores. The rest is left for the states of the tasks.
 MAX_SPEC_SHARE = 0.25
 
 
--- a/starlingdeck/sync/desired_state_sync.py
+++ b/starlingdeck/sync/desired_state_sync.py
@@ -82,9 +82,9 @@
     def watermark_ms(self, jobs: JobShard, machine_shard: int, epoch: int) -> int:
         """Return the cancellation watermark of the next message to a machine shard.
 
-        The message lacks no cancellation up to this time. It is the latest time on the clock of
-        the machine shard's owner that arrived here before the first of those cancellations was
-        sent whose outcome is still unknown. 0 if there is none.
+        No cancellation up to this time is missing from the message. The time is on the clock of
+        the machine shard's owner: the latest timestamp that arrived here before the first
+        cancellation with a still unknown outcome was sent. 0 if there is none.
         """
         snapshot = self.snapshots.get(machine_shard)
         if snapshot is None or snapshot.epoch != epoch:
--- a/starlingdeck/sync/message_batch.py
+++ b/starlingdeck/sync/message_batch.py
@@ -1,4 +1,4 @@
-"""Encoding of several messages between controllers as one text, to relay them through the store.
+"""Encoding of several messages between controllers as one text, for relays by the state service.
 
 Each message is preceded by its length in four bytes (big-endian) and encoded in protobuf. The
 concatenation is compressed by zlib and encoded in base64.
--- a/starlingdeck/sync/relay.py
+++ b/starlingdeck/sync/relay.py
@@ -30,12 +30,12 @@
 
 log = logging.getLogger(__name__)
 
-RELAY_AFTER_S = 1.5  # a peer must have been unreachable for this long
+RELAY_AFTER_S = 1.5  # time that a peer must have been unreachable before it is sent a text
 RELAY_INTERVAL_S = 2.0  # minimum time between the starts of two texts to a peer
-# Total size of the fragments in one transaction, which may have 64 KiB in all.
+# Limit of the total size of the fragments in one transaction; a transaction may have 64 KiB in all.
 MAX_TEXT_BYTES_PER_TRANSACTION = 48_000
-RESERVED_BYTES_PER_VALUE = 200  # for the fields around a fragment
-NEVER = -1e9  # a time before any other
+RESERVED_BYTES_PER_VALUE = 200  # space for the fields around a fragment
+NEVER = -1e9  # earlier than any time of the steady clock
 
 
 class RelayText(NamedTuple):
@@ -80,7 +80,7 @@
         self.last_started_at: dict[int, float] = {}  # node -> start of the last text to it
         self.last_sequences: dict[int, int] = {}  # node -> number of the last text to it
         self.writing: set[int] = set()  # nodes to which a text is being written
-        self.incoming: dict[int, IncomingText] = {}  # by sender
+        self.incoming: dict[int, IncomingText] = {}  # sender -> its newest text
 
     def build_due_texts(self, now: float, build_gossip: Callable[[], pb.Gossip]) -> list[RelayText]:
         """Build the texts that are due. The caller has to write each of them with `write`."""
@@ -104,8 +104,8 @@
     def _is_due(self, node: int, now: float) -> bool:
         """Return whether a new text to a controller is due.
 
-        None is while the last one is still being written: if it were replaced every
-        RELAY_INTERVAL_S, a text that takes longer than that would never arrive.
+        None is due while the previous text is still being written. If that were replaced every
+        RELAY_INTERVAL_S, a text that takes longer to write would never arrive.
         """
         if node == self.context.node or self.peers.is_reachable(node) or node in self.writing:
             return False
@@ -116,7 +116,10 @@
         return now - self.last_started_at.get(node, NEVER) >= RELAY_INTERVAL_S
 
     async def write(self, node: int, text: str) -> None:
-        """Write a text to a controller. The next one may begin when this ends, even if it fails."""
+        """Write a text to a controller.
+
+        When this ends, even by an error, another text to the controller may become due.
+        """
         try:
             await self._write_parts(node, text)
         except (StateError, TransactionConflictError, LeaseLostError) as error:
--- a/starlingdeck/sync/snapshot_sync.py
+++ b/starlingdeck/sync/snapshot_sync.py
@@ -1,7 +1,7 @@
-"""Snapshots of machine shards: publishing those of owned shards to peers, and applying peers' ones.
+"""Snapshots of machine shards: publishing those of owned shards, and applying those of peers.
 
-A link carries messages in order. The first snapshot on a link is full, the others are differences
-to the one before. A receiver that missed one requests a full one.
+A link carries messages in order. The first snapshot on a link is full, and each later one contains
+the changes since the one before it. A receiver that missed a snapshot requests a full one.
 """
 
 from collections.abc import Iterator
@@ -18,9 +18,9 @@
 from starlingdeck.sync.owned_shards import OwnedShards
 from starlingdeck.transport.frames import FrameLink
 
-SNAPSHOT_INTERVAL_S = 0.08  # between snapshots of a shard that has changed
-RESEND_INTERVAL_S = 1.0  # between snapshots of a shard that has not changed
-# Between evaluations of all attempts on a shard's machines, including unchanged machines.
+SNAPSHOT_INTERVAL_S = 0.08  # minimum time between snapshots of a shard that has changed
+RESEND_INTERVAL_S = 1.0  # interval between snapshots of a shard that has not changed
+# Interval between evaluations of all attempts on a shard's machines, including unchanged machines.
 REEVALUATE_INTERVAL_S = 2.0
 
 
@@ -107,7 +107,7 @@
         return SnapshotResult.UNCHANGED
 
     def _evaluate(self, snapshot: ShardSnapshot, changed_machines: set[int]) -> bool:
-        """Evaluate the attempts on changed machines, every REEVALUATE_INTERVAL_S on all machines.
+        """Evaluate the attempts on changed machines; every REEVALUATE_INTERVAL_S on all machines.
 
         Returns whether any attempt changed.
         """
