--- a/starlingdeck/autoscaling/autoscaler.py
+++ b/starlingdeck/autoscaling/autoscaler.py
@@ -15,12 +15,13 @@
 MIN_LIST_INTERVAL_S = 2.0
 LIST_RETENTION_MARGIN_S = 5  # added to two list lags: a machine unlisted for longer is forgotten
 MAX_SETTLING_S = 2.0  # wait after a takeover for machines rented before it to be listed
-MAX_MACHINES_PER_RELEASE = 100  # in one request
-RELEASE_RETRY_S = 60  # after which a machine that is still listed is released again
+MAX_MACHINES_PER_RELEASE_REQUEST = 100
+RELEASE_RETRY_S = 60  # time after which a machine that is still listed is released again
 UNLISTED_RENTAL_S = 60.0  # how long a new machine counts as listed, even if the list lacks it
-INITIAL_BACKOFF_S = 2.0  # of a kind of machine without capacity, before the first increase
+# Backoff of a kind of machine without capacity, before its first increase by BACKOFF_FACTOR.
+INITIAL_BACKOFF_S = 2.0
 BACKOFF_FACTOR = 1.5
-MIN_RETRY_S = 4.0
+MIN_MAX_RETRY_S = 4.0  # lower bound for the result of `_max_retry_s`
 RETRY_SHARE_DIVISOR = 3.0  # at the longest wait, retries of all kinds take 1/3 of the requests
 
 
@@ -100,7 +101,7 @@
         unreleased = [
             name for name in dict.fromkeys(self._releasable(now)) if name not in self.released
         ]
-        names = unreleased[:MAX_MACHINES_PER_RELEASE]
+        names = unreleased[:MAX_MACHINES_PER_RELEASE_REQUEST]
         if not names:
             return
         await self.cloud.release(names)
@@ -170,13 +171,14 @@
             2 * len(machine_type.zones) for machine_type in self.context.machine_types.values()
         )
         return max(
-            MIN_RETRY_S, RETRY_SHARE_DIVISOR * kinds / self.context.settings.settings.cloud.rps
+            MIN_MAX_RETRY_S, RETRY_SHARE_DIVISOR * kinds / self.context.settings.settings.cloud.rps
         )
 
     async def _request(self, request: RentalRequest) -> None:
-        """Send a rental request. Without an answer it is kept and sent again in the next step.
+        """Send a rental request, and remove it from the state once it is answered.
 
-        It is then sent under the same name, since the cloud may have executed it already.
+        The next step sends an unanswered request again under the same name, because the cloud may
+        have executed it already and must not rent the machines twice.
         """
         context, state, now = self.context, self.state, self.context.now()
         type_name, kind = context.type_names[request.type], request.kind
--- a/starlingdeck/autoscaling/boots.py
+++ b/starlingdeck/autoscaling/boots.py
@@ -4,31 +4,31 @@
 from starlingdeck.context import ControllerContext
 from starlingdeck.protocol import api
 
-DEFAULT_BOOT_S = 60.0  # of a machine whose type isn't known
-MIN_BOOT_SAMPLES = 5  # needed for the observed boot times to replace the nominal one
-MAX_BOOT_SAMPLES = 30  # kept for each machine type
-DEFAULT_BOOT_FACTOR = 1.8  # times the nominal boot time, when there are too few samples
+DEFAULT_BOOT_S = 60.0  # boot time of a machine whose type isn't known
+MIN_BOOT_SAMPLES = 5  # with fewer samples the nominal boot time is used
+MAX_BOOT_SAMPLES_PER_TYPE = 30
+DEFAULT_BOOT_FACTOR = 1.8  # multiple of the nominal boot time, while there are too few samples
 MIN_BOOT_FACTOR = 1.2
-MAX_BOOT_FACTOR = 4.0  # times the nominal boot time, after which a boot is stuck
+MAX_BOOT_FACTOR = 4.0  # multiple of the nominal boot time after which a boot is stuck
 BOOT_QUANTILE = 0.9
 BOOT_QUANTILE_MARGIN = 1.3
 BOOT_TIMEOUT_MARGIN_S = 10
 STUCK_BOOT_MARGIN_S = 30
 MIN_WATCHED_BOOT_S = 30  # how long this controller watches a boot before it counts as stuck
-MAX_SILENCE_S = 90  # without reports from a machine that the cloud lists as running
+MAX_SILENCE_S = 90  # longest silence allowed to a machine that the cloud lists as running
 
 
 def nominal_boot_s(context: ControllerContext, machine: ListedMachine) -> float:
-    """Return the nominal boot time of a machine's type."""
+    """Return the nominal boot time of a machine's type, in seconds."""
     machine_type = context.machine_types.get(machine.type)
     return machine_type.boot_s if machine_type else DEFAULT_BOOT_S
 
 
 def boot_timeout_s(context: ControllerContext, state: FleetState, machine: ListedMachine) -> float:
-    """Return how long after its rental a machine is still expected to come up.
+    """Return how many seconds after its rental a machine is still expected to come up.
 
-    The timeout follows the recent boots of the machine's type. By the nominal time alone, a wave
-    of machines that booted late was rented twice.
+    The time-out follows the recent boots of the machine's type. When it followed the nominal time
+    alone, a wave of machines that booted late was rented twice.
     """
     samples = sorted(state.boot_ratios.get(machine.type, ()))
     factor = DEFAULT_BOOT_FACTOR
@@ -47,7 +47,7 @@
         machine.booting = False
         samples = state.boot_ratios.setdefault(machine.type, [])
         samples.append((now - machine.rented_at) / machine_type.boot_s)
-        del samples[:-MAX_BOOT_SAMPLES]
+        del samples[:-MAX_BOOT_SAMPLES_PER_TYPE]
 
 
 def pending_machines(
--- a/starlingdeck/autoscaling/cloud_client.py
+++ b/starlingdeck/autoscaling/cloud_client.py
@@ -9,7 +9,7 @@
 from starlingdeck.transport.client import HttpClient, NoResponseError, Reply
 
 REQUEST_TIMEOUT_S = 5.0
-PAGE_LIMIT = 500  # machines in one page of the list
+MACHINES_PER_PAGE = 500
 STATUS_OK = 200
 STATUS_UNAVAILABLE = 503
 NO_CAPACITY = b"no capacity"
@@ -25,7 +25,7 @@
 
 
 class NoCapacityError(CloudError):
-    """The cloud has no machine of the requested type, zone and kind."""
+    """The cloud has no machine of the requested type and zone, spot or on demand as requested."""
 
 
 class CloudClient:
@@ -62,7 +62,7 @@
         after = ""
         while True:
             start = f"after={after}&" if after else ""
-            reply = await self._request("GET", f"{api.MACHINES}?{start}limit={PAGE_LIMIT}")
+            reply = await self._request("GET", f"{api.MACHINES}?{start}limit={MACHINES_PER_PAGE}")
             page = _decode(reply, api.MachineList)
             machines += page.machines
             if not page.more or not page.machines:
@@ -72,7 +72,8 @@
     async def rent(self, request: api.RentRequest) -> list[str]:
         """Rent machines and return the names of those granted, possibly fewer than requested.
 
-        Idempotent by the request's name. Raises NoCapacityError when none are available.
+        Repeating a request with the same name rents no further machines. Raises NoCapacityError
+        when none are available.
         """
         reply = await self._request("POST", api.MACHINES, request, urgent=True)
         return _decode(reply, api.MachineNames).machines
--- a/starlingdeck/autoscaling/fleet.py
+++ b/starlingdeck/autoscaling/fleet.py
@@ -10,10 +10,10 @@
 
 
 class Demand(Struct):
-    """Tasks with the same requirements that could not be placed."""
+    """A group of tasks that could not be placed and have the same requirements."""
 
-    size: Resources  # of one task
-    count: int  # of tasks
+    size: Resources  # resources of one task
+    count: int  # number of tasks
     types: tuple[str, ...]  # allowed machine types; empty: any
     zone: str  # empty: any
     spot: bool  # spot machines are allowed too
@@ -46,7 +46,7 @@
     spot: bool
     state: str
     rented_at: float
-    last_seen_at: float  # in the cloud's list
+    last_seen_at: float  # when it was last in the cloud's list
     last_up_at: float = -1e9
     booting: bool = False  # booting when first seen; cleared when its boot time is recorded
 
@@ -55,9 +55,11 @@
     """The state of an autoscaler. A successor starts with an empty one."""
 
     listed: dict[str, ListedMachine] = field(default_factory=dict)
-    requests: list[RentalRequest] = field(default_factory=list)  # without an answer yet
-    no_capacity: dict[MachineKind, float] = field(default_factory=dict)  # not requested until then
-    backoff: dict[MachineKind, float] = field(default_factory=dict)  # last wait in seconds
-    # By interned type: the latest boot times, as multiples of the nominal one.
+    requests: list[RentalRequest] = field(default_factory=list)  # those not answered yet
+    # Kind -> time until which it is not requested, because the cloud had no capacity.
+    no_capacity: dict[MachineKind, float] = field(default_factory=dict)
+    # Kind -> the latest backoff in seconds.
+    backoff: dict[MachineKind, float] = field(default_factory=dict)
+    # Interned type -> the latest boot times, as multiples of the nominal one.
     boot_ratios: dict[int, list[float]] = field(default_factory=dict)
-    request_count: int = 0  # of rental requests, for their names
+    request_count: int = 0  # number of rental requests so far; part of their names
--- a/starlingdeck/autoscaling/releases.py
+++ b/starlingdeck/autoscaling/releases.py
@@ -6,9 +6,9 @@
 from starlingdeck.machines.reachability import releasable_count
 from starlingdeck.machines.scoring import Candidate
 
-LOST_RELEASE_S = 30  # of silence, after which a lost machine is released
+LOST_RELEASE_S = 30  # silence after which a lost machine is released
 UNREACHABLE_RELEASE_S = 60.0  # a one-way partition may heal within this time
-MIN_FREE_SHARE = 0.5  # of all CPUs; releases of idle machines leave at least this free
+MIN_FREE_SHARE = 0.5  # least share of all CPUs that releases of idle machines leave free
 
 
 def lost_machines(
--- a/starlingdeck/autoscaling/rentals.py
+++ b/starlingdeck/autoscaling/rentals.py
@@ -47,7 +47,7 @@
     rentals: dict[MachineKind, int] = {}
     for need in sorted(needs, key=lambda demand: (-demand.rank, -demand.size[0])):
         if not math.isfinite(sum(need.size)) or need.count < 1:
-            continue  # malformed, from a peer
+            continue  # a malformed demand from a peer
         remaining = need.count - _pack(context, need, need.count, bins)
         while remaining > 0 and sum(rentals.values()) < MAX_MACHINES_PER_PLAN:
             kind = cheapest_kind(context, state, structs.replace(need, count=remaining), now)
@@ -85,8 +85,9 @@
 def merge_demands(demands: Sequence[Demand]) -> list[Demand]:
     """Merge demands that differ only in their count.
 
-    Each demand is packed into every pending machine, and most jobs of a class have the same
-    requirements. Unmerged, fifty of them took up to 70 ms of processor time, twice a second.
+    Each demand is packed into every pending machine, so merging them saves time: most jobs of a
+    class have the same requirements. Fifty demands that were not merged took up to 70 ms of
+    processor time, twice a second.
     """
     merged: dict[object, Demand] = {}
     for demand in demands:
@@ -103,9 +104,10 @@
 ) -> list[Demand]:
     """Return demand for the capacity that is to be kept free for failures and for the next jobs.
 
-    `spare_share` of the on-demand machines' CPUs is kept free on those machines, and the same
-    share of all machines' CPUs on any. When only on-demand machines were counted, spot machines
-    reclaimed in a calm minute were replaced only in the next busy one, one boot time too late.
+    Two shares are kept free: `spare_share` of the on-demand machines' CPUs, on on-demand machines,
+    and `spare_share` of all machines' CPUs, on machines of either kind. When only on-demand
+    machines were counted, spot machines reclaimed in a minute of low load were replaced only when
+    the load rose again, one boot time too late.
     """
     demands = []
     for spot in (False, True):
--- a/starlingdeck/metrics/counters.py
+++ b/starlingdeck/metrics/counters.py
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.counts: dict[tuple[str, str], list[int]] = {}
-        self.totals = [0] * len(EVENT_NAMES)  # since the process started
+        self.totals = [0] * len(EVENT_NAMES)  # counts since the process started
 
     def increment(self, team: str, cls: str, event: int, count: int = 1) -> None:
         """Add to the count of an event, which is one of this module's event constants."""
--- a/starlingdeck/transport/client.py
+++ b/starlingdeck/transport/client.py
@@ -77,7 +77,7 @@
             raise
 
     async def _release(self, address: str, connection: "_Connection") -> None:
-        """Keep a connection whose response was received for the next request, or close it."""
+        """Keep a connection for the next request, or close it. Its response has been received."""
         if connection.start_next_cycle():
             pool = self.idle.setdefault(address, [])
             if len(pool) < self.max_idle:
@@ -91,9 +91,9 @@
         connection.sock._socket.close()
 
     def _discard_idle(self) -> bool:
-        """Close an idle connection of the address known longest; False when none is idle.
+        """Close an idle connection of the address known longest; return False when none is idle.
 
-        Without this, idle connections to machines that no longer exist would fill the limit, and
+        Without this, idle connections to machines that no longer exist would use up the limit, and
         then not even the state service could be called.
         """
         for pool in self.idle.values():
@@ -118,7 +118,7 @@
         return await self._receive_reply()
 
     def start_next_cycle(self) -> bool:
-        """Prepare for another request; False when the connection can't be reused."""
+        """Prepare for another request; return False when the connection can't be reused."""
         if self.protocol.our_state is not h11.DONE or self.protocol.their_state is not h11.DONE:
             return False
         self.protocol.start_next_cycle()
--- a/starlingdeck/transport/connections.py
+++ b/starlingdeck/transport/connections.py
@@ -19,12 +19,13 @@
     def __init__(self, sock: curio.io.Socket) -> None:
         self.socket = sock
         self.task: curio.Task | None = None
-        self.from_worker = False  # by its last request; a new connection counts as a user's
+        # Whether a worker sent its last request. A new connection counts as a user's.
+        self.from_worker = False
         self.evicted = False
         self.idle_sequence = 0  # a lower number means idle for longer
 
     def has_unread_data(self) -> bool:
-        """Whether a request has arrived that the connection's task has not read yet."""
+        """Return whether a request has arrived that the connection's task has not read yet."""
         try:
             return bool(self.socket._socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
@@ -72,15 +73,15 @@
         self._idle(connection).pop(connection, None)
 
     def is_full(self) -> bool:
-        """Whether another connection must be evicted before a new one can be added."""
+        """Return whether a connection must be evicted before a new one can be added."""
         return self.open >= self.limit
 
     def is_above_high_water(self) -> bool:
-        """Whether workers' connections are closed after each response."""
+        """Return whether workers' connections are to be closed after each response."""
         return self.open > self.high_water
 
     def pop_victim(self) -> Connection | None:
-        """Return an idle connection to evict, no longer marked idle; None when there is none.
+        """Return an idle connection to evict and mark it busy; None when there is none.
 
         While workers hold more than their share, their connections are chosen first; among equals,
         the one that has been idle longest. Connections with unread data are passed over.
--- a/starlingdeck/transport/frames.py
+++ b/starlingdeck/transport/frames.py
@@ -18,7 +18,7 @@
 # a task, 4.6 MB for 32 tasks each) and the updates that follow while both are being sent.
 MAX_BACKLOG_BYTES = 2 * MAX_FRAME_BYTES
 READ_BYTES = 64 * 1024
-WRITE_BYTES = 64 * 1024  # sent under one time-out
+WRITE_BYTES = 64 * 1024  # size of the pieces that are sent, each with its own time-out
 CLOSE_POLL_INTERVAL_S = 0.02
 LENGTH_PREFIX = struct.Struct("!I")
 
@@ -112,8 +112,8 @@
     async def close(self) -> None:
         """Close the socket after all senders have ended. The reading task must have ended before.
 
-        curio keeps a socket registered when it is closed while a task waits for it, and the next
-        socket with the same file descriptor then crashes the whole process.
+        If a socket is closed while a task waits for it, curio keeps it registered. The next socket
+        that gets the same file descriptor then crashes the whole process.
         """
         self.closed = True
         while self.active_senders:  # each ends within its time-out
--- a/starlingdeck/transport/listener.py
+++ b/starlingdeck/transport/listener.py
@@ -5,8 +5,8 @@
 import curio.io
 from curio import socket
 
-# Connections that may wait to be accepted: enough for 4,000 workers that connect at the same time
-# after a controller's restart. Linux limits this to net.core.somaxconn, 4,096 by default.
+# Number of connections that may wait to be accepted. It is enough for 4,000 workers that connect at
+# once after a controller's restart. Linux limits it to net.core.somaxconn, 4,096 by default.
 ACCEPT_BACKLOG = 4_096
 
 
--- a/starlingdeck/transport/server.py
+++ b/starlingdeck/transport/server.py
@@ -96,13 +96,13 @@
         connection.task = await curio.spawn(self._serve_connection, connection, daemon=True)
 
     async def _evict_idle(self) -> bool:
-        """Evict an idle connection and wait until it is closed; False when none is idle."""
+        """Evict an idle connection and wait until it is closed; return False when none is idle."""
         victim = self.connections.pop_victim()
         if victim is None or victim.task is None:
             return False
         self.evicted += 1
-        # Wake the task with a shutdown, without cancelling it: it then closes its socket itself. A
-        # socket that is closed while a task waits for it stays registered in curio.
+        # Shut the socket down rather than cancel the task: the task wakes and closes the socket
+        # itself. A socket that is closed while a task waits for it stays registered in curio.
         victim.evicted = True
         with contextlib.suppress(OSError):  # the client may have closed it already
             await victim.socket.shutdown(socket.SHUT_RDWR)
@@ -145,7 +145,7 @@
             protocol.start_next_cycle()
 
     def _closes_after_response(self, connection: Connection) -> bool:
-        """Whether to close a connection after its response to leave capacity for others.
+        """Return whether to close a connection after its response, to leave capacity for others.
 
         A worker that is evicted between its reports treats that as a failure and reports to another
         controller; one that receives `Connection: close` connects to this controller again.
@@ -192,7 +192,7 @@
     async def _receive_more(self, protocol: h11.Connection, client: curio.io.Socket) -> bytes:
         """Receive more of a request that has begun.
 
-        The time-out prevents an incomplete request from holding a socket for ever.
+        The time-out prevents an incomplete request from occupying a connection indefinitely.
         """
         async with curio.timeout_after(self.stall_timeout_s):
             if protocol.they_are_waiting_for_100_continue:
