--- a/starlingdeck/cli.py
+++ b/starlingdeck/cli.py
@@ -101,7 +101,7 @@
 
 
 def start() -> None:
-    """Entry point of run.py: the same as `starlingdeck run`, unless a command is named."""
+    """Run the command line for run.py; `--config` as the first argument stands for `run`."""
     arguments = sys.argv[1:]
     if arguments[:1] == ["--config"]:
         arguments = ["run", *arguments]
@@ -115,7 +115,7 @@
         level=LOG_LEVELS.get(level, logging.INFO),
         format="%(levelname).1s %(name)s: %(message)s",
     )
-    # curio warns whenever a wait ends in the same instant as its timeout.
+    # Hides curio's warnings: it logs one whenever a wait ends at the moment of its time-out.
     logging.getLogger("curio").setLevel(logging.ERROR)
 
 
--- a/starlingdeck/cli_counts.py
+++ b/starlingdeck/cli_counts.py
@@ -85,8 +85,8 @@
 
 
 def _all_counts(server: str) -> list[dict[str, Any]]:
-    found: list[dict[str, Any]] = msgspec.json.decode(request(server, "GET", api.COUNTS))["counts"]
-    return found
+    listed: list[dict[str, Any]] = msgspec.json.decode(request(server, "GET", api.COUNTS))["counts"]
+    return listed
 
 
 def _change(server: str, name: str, revision: int | None, change: dict[str, Any]) -> None:
--- a/starlingdeck/context.py
+++ b/starlingdeck/context.py
@@ -13,14 +13,15 @@
 from starlingdeck.quarantine import Quarantine
 
 Resources = tuple[float, float, float]  # processors, GPUs, memory in GB
-UNBOUNDED = 1_000_000  # stands for any number of tasks: no job has as many
+UNBOUNDED = 1_000_000  # stands for an unlimited number of tasks; no job has so many
 # Maximum ratio of the rates of two steady clocks. Each drifts by at most 0.05%; the rest is margin.
 CLOCK_DRIFT = 1.002
 # Minimum time between the end of the last lease renewed under a cancellation watermark and the
-# time when a task cancelled after that watermark must be gone.
+# deadline by which a task cancelled after that watermark must have stopped.
 WATERMARK_MARGIN_S = 2.0
-# Minimum time between the end of the last lease renewed in an outage and the time when a cancelled
-# task must be gone: the larger of MIN_OUTAGE_MARGIN_S and a share of `cancel_s`.
+# Minimum time between the end of the last lease renewed in an outage and the deadline by which a
+# cancelled task must have stopped: MIN_OUTAGE_MARGIN_S or OUTAGE_MARGIN_SHARE of `cancel_s`,
+# whichever is larger.
 MIN_OUTAGE_MARGIN_S = 4.0
 OUTAGE_MARGIN_SHARE = 0.15
 LEASE_EXPIRY_MARGIN_S = 0.3
@@ -67,7 +68,7 @@
         self.quarantine.add(kind, name, error, self.now())
 
     def is_quarantined(self, kind: str, name: str) -> bool:
-        """Return whether something must not be processed yet after a failure."""
+        """Return whether a job, machine or record must not be processed yet after a failure."""
         return self.quarantine.is_quarantined(kind, name, self.now())
 
     def update_machine_types(self, types: list[MachineType]) -> None:
@@ -88,8 +89,8 @@
     def outage_renewal_s(self) -> float:
         """Time for which an owner may renew workers' leases without the state service, in seconds.
 
-        This time, followed by one lease, must be over before a cancelled task must be gone, because
-        the cancelling controller may be unable to reach this one.
+        This time and one worker lease after it must end before the deadline by which a cancelled
+        task must have stopped, because the cancelling controller may be unable to reach this one.
         """
         workers = self.settings.settings.workers
         margin_s = max(MIN_OUTAGE_MARGIN_S, OUTAGE_MARGIN_SHARE * workers.cancel_s)
@@ -99,8 +100,9 @@
     def watermark_lifetime_s(self) -> float:
         """Time for which a task's lease is renewed under one cancellation watermark, in seconds.
 
-        A cancellation acknowledged after the watermark may be unknown here. This time, followed by
-        one lease, must therefore be over before the cancelled task must be gone.
+        A cancellation acknowledged after the watermark may be unknown here. This time and one
+        worker lease after it must therefore end before the deadline by which the cancelled task
+        must have stopped.
         """
         workers = self.settings.settings.workers
         cancel_s = workers.cancel_s / CLOCK_DRIFT
@@ -115,7 +117,7 @@
 def fits(size: Sequence[float], available: Sequence[float]) -> bool:
     """Return whether requested resources fit into the available ones, up to rounding errors."""
     # Not written as a loop over the resources: it is called hundreds of thousands of times a
-    # minute, and was the costliest line.
+    # minute, and the loop was the costliest line.
     cpus, gpus, memory_gb = size
     return (
         cpus <= available[0] + 1e-9
@@ -125,9 +127,9 @@
 
 
 def fit_count(size: Resources, available: Sequence[float]) -> int:
-    """Return how many tasks of a size fit.
+    """Return how many tasks of a size fit, at most UNBOUNDED.
 
-    The result is at most UNBOUNDED, which it is for a size of zero.
+    The result for a size of zero is UNBOUNDED.
     """
     counts = (
         min(UNBOUNDED, (amount + FIT_TOLERANCE) / requested)
--- a/starlingdeck/interning.py
+++ b/starlingdeck/interning.py
@@ -10,11 +10,11 @@
 
     def intern(self, name: str) -> int:
         """Return the id of a name, and assign one if it has none yet."""
-        found = self.ids.get(name)
-        if found is None:
-            found = self.ids[name] = len(self.names)
+        index = self.ids.get(name)
+        if index is None:
+            index = self.ids[name] = len(self.names)
             self.names.append(name)
-        return found
+        return index
 
     def find(self, name: str) -> int | None:
         """Return the id of a name, or None if it has none."""
--- a/starlingdeck/protocol/bounds.py
+++ b/starlingdeck/protocol/bounds.py
@@ -12,9 +12,9 @@
 MAX_NAME_LENGTH = 120
 MAX_MACHINE_TYPES_PER_JOB = 64
 MAX_TASKS_PER_JOB = 100_000
-MAX_TASK_DIGITS = 6  # of a task's number within its job
+MAX_TASK_DIGITS = 6  # digits of a task's number within its job
 MAX_COUNTED_RESOURCES_PER_JOB = 16
-MAX_UNITS = 1_000_000  # of one counted resource
+MAX_UNITS = 1_000_000  # units of one counted resource
 
 JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,18}")
 # The name of a counted resource.
--- a/starlingdeck/protocol/cloud.py
+++ b/starlingdeck/protocol/cloud.py
@@ -32,7 +32,7 @@
 
 
 class RentRequest(msgspec.Struct):
-    """A request to rent machines; repeated under the same name, it rents them only once."""
+    """A request to rent machines. Repeating it with the same `request` rents no further ones."""
 
     request: str = field(name="ask")
     type: str = field(name="build")
--- a/starlingdeck/protocol/config.py
+++ b/starlingdeck/protocol/config.py
@@ -116,9 +116,9 @@
     settings: Deployment
 
     def members(self) -> list[Member]:
-        """Return all controllers, sorted, so that every controller has them in the same order."""
-        own = Member(self.name, self.zone, self.cluster_listen)
-        return sorted([own] + [Member(p.name, p.zone, p.address) for p in self.peers])
+        """Return all controllers sorted by name, an order on which all controllers agree."""
+        this_member = Member(self.name, self.zone, self.cluster_listen)
+        return sorted([this_member] + [Member(p.name, p.zone, p.address) for p in self.peers])
 
 
 class DeclaredCount(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -135,12 +135,13 @@
     """Section `counts`: counted resources (docs/counts.md)."""
 
     declare: dict[ResourceName, DeclaredCount] = {}
-    # How long free units are left to tasks of other shards that go before those of this shard.
+    # How long free units are left to tasks of other shards that have precedence over the tasks of
+    # this shard.
     patience_s: PositiveFloat = 1.0
     # How long at a time free units are reserved for a task that needs several.
     reserve_s: PositiveFloat = 30.0
-    # Between tasks of equal guarantee and rank at different shards, the one submitted earlier goes
-    # first only if it was submitted earlier by more than this.
+    # Between tasks of equal guarantee and rank at different shards, the one submitted earlier has
+    # precedence only if it was submitted earlier by more than this.
     turn_s: PositiveFloat = 2.0
     # How long a shard keeps units that it does not use and no other shard waits for.
     idle_s: PositiveFloat = 0.3
@@ -158,7 +159,7 @@
     churn: Annotated[float, Meta(ge=0, le=1)] = 1.0
     # How long a machine accumulates released capacity for a large task.
     gather_s: PositiveFloat = 20.0
-    # At most so many machines accumulate capacity at the same time for the jobs of a controller.
+    # Maximum number of machines that accumulate capacity at the same time for a controller's jobs.
     gathers: Amount = 8
 
 
@@ -167,7 +168,7 @@
 
     # How long a job's change may wait for others to be committed with it.
     interval_s: PositiveFloat = 0.5
-    # The same for changes of a job of the two highest ranks that has a start to be written.
+    # The same time for changes of a job of the two highest ranks that has a start to be written.
     urgent_s: PositiveFloat = 0.1
 
 
@@ -179,19 +180,21 @@
     # Time-out of messages to peers and workers. A peer that has not replied for this long counts
     # as unreachable (DESIGN, timers).
     reply_wait_s: PositiveFloat = 2.0
-    # A shard's snapshot or demand is ignored when it was received longer ago (DESIGN, timers).
+    # A shard's snapshot or demand is ignored when it was received longer ago than this (DESIGN,
+    # timers).
     expiry_s: PositiveFloat = 20.0
-    # A shard's snapshot is deleted when it was received longer ago (DESIGN, timers).
+    # A shard's snapshot is deleted when it was received longer ago than this (DESIGN, timers).
     offline_drop_s: PositiveFloat = 30.0
     # The cluster's limit on moves of running tasks (DESIGN 5).
     moves_per_s: Amount = 2.0
-    # At most so many machines are scored for a task (DESIGN 2).
+    # Maximum number of machines that are scored for a task (DESIGN 2).
     score_machines: PositiveInt = 200
-    # Machines that are scored, and best ones that are considered, for a task that moves (DESIGN 4).
+    # For a task that is moved: maximum number of machines that are scored, and of the best ones
+    # among them that are considered (DESIGN 4).
     refit_machines: PositiveInt = 2000
     refit_candidates: PositiveInt = 15
-    # Tabu search for the tasks to deschedule: restarts, steps of each, and steps without an
-    # improvement that end one (DESIGN 3).
+    # Tabu search for the tasks to deschedule: number of restarts, steps of each restart, and steps
+    # without an improvement after which a restart ends (DESIGN 3).
     tabu_restarts: PositiveInt = 25
     tabu_steps: PositiveInt = 5
     tabu_patience: PositiveInt = 6
@@ -199,7 +202,7 @@
     reserve_s: PositiveFloat = 6.0
     # The share of the machines' processors to keep free for failures and for the next jobs.
     spare_share: Amount = 0.3
-    # A machine that has been idle for longer may be returned to the cloud.
+    # A machine that has been idle for longer than this may be released to the cloud.
     idle_s: PositiveFloat = 300.0
     # Failed tasks without a success after which a machine is marked faulty.
     sick_errors: PositiveInt = 3
--- a/starlingdeck/protocol/struct_validation.py
+++ b/starlingdeck/protocol/struct_validation.py
@@ -51,8 +51,8 @@
 def _struct_of(kind: Any) -> type[msgspec.Struct] | None:
     """Return the struct if a field's type is a struct or an optional struct, else None."""
     kinds = get_args(kind) if isinstance(kind, types.UnionType) else (kind,)
-    found = [k for k in kinds if isinstance(k, type) and issubclass(k, msgspec.Struct)]
-    return found[0] if found else None
+    structs = [k for k in kinds if isinstance(k, type) and issubclass(k, msgspec.Struct)]
+    return structs[0] if structs else None
 
 
 def _struct_of_values(kind: Any) -> type[msgspec.Struct] | None:
--- a/starlingdeck/protocol/users.py
+++ b/starlingdeck/protocol/users.py
@@ -13,7 +13,7 @@
 COUNTS = "/ops/counts"
 
 ARRAY, SERVICE = "sweep", "daemon"  # kinds of jobs
-RANKS = {"prod": 3, "urgent": 2, "normal": 1, "idle": 0}  # by priority
+RANKS = {"prod": 3, "urgent": 2, "normal": 1, "idle": 0}  # key: priority
 QUEUED, RUNNING, DONE, CANCELLED = "queued", "running", "done", "cancelled"  # states of jobs
 
 
@@ -67,9 +67,8 @@
     done: int | None = None
     running: int | None = None
     fault: str | None = None  # why the job is quarantined; an extension of the protocol
-    waits: list[str] | None = (
-        None  # reasons why units of counted resources are missing; an extension
-    )
+    # Reasons why units of counted resources are missing; an extension of the protocol.
+    waits: list[str] | None = None
 
 
 class ErrorBody(msgspec.Struct):
--- a/starlingdeck/protocol/validation.py
+++ b/starlingdeck/protocol/validation.py
@@ -106,7 +106,7 @@
 
 
 def is_valid_machine_type(machine_type: MachineType) -> bool:
-    """Whether a machine type can be used in calculations.
+    """Return whether a machine type can be used in calculations.
 
     Its sizes must be within their bounds and one of them over 0, the other amounts neither
     negative nor over MAX_AMOUNT.
--- a/starlingdeck/protocol/workers.py
+++ b/starlingdeck/protocol/workers.py
@@ -70,9 +70,8 @@
     seq: Counter = field(name="tally")
     token: Counter = field(name="baton")
     spot: bool = field(name="loaners", default=False)
-    notice_s: float | None = field(
-        name="warning_s", default=None
-    )  # until the machine is terminated
+    # Time until the machine is terminated, if it has a termination notice.
+    notice_s: float | None = field(name="warning_s", default=None)
     tasks: list[ReportTask] = field(name="chores", default_factory=list)
 
 
--- a/starlingdeck/quarantine.py
+++ b/starlingdeck/quarantine.py
@@ -1,6 +1,6 @@
 """Quarantine of jobs, machines and records whose processing failed.
 
-A quarantined one is skipped for some time, so that the others are still processed.
+A quarantined item is skipped for RETRY_AFTER_S, so that the others are still processed.
 """
 
 import logging
