--- a/starlingdeck/api/heartbeat_api.py
+++ b/starlingdeck/api/heartbeat_api.py
@@ -90,7 +90,7 @@
     ) -> bool:
         """Return whether the owners of the jobs on a machine have confirmed its tasks recently.
 
-        Waits up to FIRST_WATERMARK_WAIT_S for the first cancellation watermark of an owner. After
+        Wait up to FIRST_WATERMARK_WAIT_S for the first cancellation watermark of an owner. After
         a takeover it arrives with the owner's first desired state, within some tenths of a
         second. If the worker were redirected instead, it would lose a second and be sent back.
         """
--- a/starlingdeck/api/owner_handler.py
+++ b/starlingdeck/api/owner_handler.py
@@ -27,7 +27,7 @@
         self.stored_status = stored_status
 
     async def handle(self, writer: RecordWriter, request: JobRequest) -> Response:
-        """Handle a request; raises StateError if the state service can't be used."""
+        """Handle a request. Raises StateError if the state service can't be used."""
         shard, name = writer.shard, request.name
         job = self._find_job(shard, name)
         if job is None and name not in shard.terminal_states:
--- a/starlingdeck/api/store_handler.py
+++ b/starlingdeck/api/store_handler.py
@@ -28,7 +28,7 @@
         self.stored_status = stored_status
 
     async def handle(self, request: JobRequest, shard: int) -> Response:
-        """Handle a request; raises StateError if the state service can't be used."""
+        """Handle a request. Raises StateError if the state service can't be used."""
         if request.operation == Operation.SUBMIT:
             return await self._submit(request, shard)
         if request.operation == Operation.STATUS:
@@ -70,7 +70,7 @@
             except TransactionConflictError:
                 return error_response(503, "the job is changing")
             log.info("job cancelled without owner: job=%s shard=%d", name, shard)
-        # The cancellation is durable, but is not reported to anybody before the owner knows of it.
+        # The cancellation is durable, but is not reported to any user before the owner knows of it.
         if not await self.stored_status.owner_acknowledged(shard, name):
             return error_response(503, CANCELLATION_UNACKNOWLEDGED)
         return json_response(200, api.JobStatus(name, api.CANCELLED))
--- a/starlingdeck/api/stored_status.py
+++ b/starlingdeck/api/stored_status.py
@@ -111,7 +111,7 @@
         """Return whether no owner can still report a job's state from before a change.
 
         This is certain once the owner has taken the change's mailbox entry, or no longer owns the
-        shard: a later owner reads the record first. Waits up to ACKNOWLEDGEMENT_TIMEOUT_S.
+        shard: a later owner reads the record first. Wait up to ACKNOWLEDGEMENT_TIMEOUT_S.
         Without this, an owner that had just come through an outage answered that a job was
         running, although another controller had confirmed its cancellation to its user.
         """
--- a/starlingdeck/autoscaling/rentals.py
+++ b/starlingdeck/autoscaling/rentals.py
@@ -157,7 +157,7 @@
 ) -> MachineKind | None:
     """Return the cheapest kind of machine per task, of those that may have capacity.
 
-    Returns None when no kind is left.
+    Return None when no kind is left.
     """
     best, best_price = None, math.inf
     for index, machine_type in context.machine_types.items():
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -97,7 +97,7 @@
     async def watch(self) -> float:
         """Wait for changes of the cluster's keys and handle them.
 
-        Returns the seconds until the next call.
+        Return the seconds until the next call.
         """
         try:
             if not self.synced:
--- a/starlingdeck/cluster/ownership.py
+++ b/starlingdeck/cluster/ownership.py
@@ -73,8 +73,8 @@
     def record_owner(self, shard: int, owner: ShardOwner) -> bool:
         """Record an owner named by a key or a peer; the highest token wins.
 
-        Returns True if the owner was recorded and is the shard's first known one or has a new
-        epoch.
+        Return whether the owner was recorded and either is the first known owner of the shard or
+        has a new epoch.
         """
         known = self.owners.get(shard)
         shards = self.context.shard_count
--- a/starlingdeck/cluster/peers.py
+++ b/starlingdeck/cluster/peers.py
@@ -177,7 +177,10 @@
             log.exception("message from peer not handled")
 
     async def _handle(self, link: FrameLink, envelope: pb.Envelope) -> None:
-        """Handle a message and send its reply. Calls and gossip get an empty one if it has none."""
+        """Handle a message and send its reply.
+
+        Calls and gossip that have no reply are answered with an empty message.
+        """
         try:
             reply = await self.handle_message(envelope)
             if reply is None:
--- a/starlingdeck/context.py
+++ b/starlingdeck/context.py
@@ -13,7 +13,7 @@
 from starlingdeck.quarantine import Quarantine
 
 Resources = tuple[float, float, float]  # processors, GPUs, memory in GB
-UNBOUNDED = 1_000_000  # stands for an unlimited number of tasks; no job has so many
+UNBOUNDED = 1_000_000  # stands for an unlimited number of tasks; no job has that many
 # Maximum ratio of the rates of two steady clocks. Each drifts by at most 0.05%; the rest is margin.
 CLOCK_DRIFT = 1.002
 # Minimum time between the end of the last lease renewed under a cancellation watermark and the
--- a/starlingdeck/controller/peer_messages.py
+++ b/starlingdeck/controller/peer_messages.py
@@ -28,7 +28,7 @@
     flush: curio.Event
 
     async def handle(self, envelope: pb.Envelope) -> pb.Envelope | None:
-        """Handle a message. Returns its reply, or None if it has none."""
+        """Handle a message. Return its reply, or None if it has none."""
         kind = envelope.WhichOneof("body")
         if kind == "gossip":
             await self.gossip.apply(envelope.sender, envelope.gossip)
--- a/starlingdeck/metrics/counters.py
+++ b/starlingdeck/metrics/counters.py
@@ -58,7 +58,7 @@
     def lines(self, waiting: Iterable[WaitingTasks]) -> list[str]:
         """Return log lines of the tasks now waiting and the counts since the last call.
 
-        Resets the counts.
+        Reset the counts.
         """
         totals = self._waiting_totals(waiting)
         counts, self.counts = self.counts, {}
--- a/starlingdeck/protocol/config.py
+++ b/starlingdeck/protocol/config.py
@@ -224,7 +224,7 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read the platform's settings file; raises ConfigError with all errors found."""
+    """Read the platform's settings file. Raises ConfigError with all errors found."""
     try:
         raw = msgspec.json.decode(path.read_bytes())
     except (OSError, msgspec.DecodeError) as error:
@@ -265,7 +265,7 @@
 
 
 def load_tuning(path: Path | None) -> Tuning:
-    """Read the operators' tuning file, if one is given; raises ConfigError with all errors."""
+    """Read the operators' tuning file, if one is given. Raises ConfigError with all errors."""
     if path is None:
         return Tuning()
     try:
--- a/starlingdeck/protocol/validation.py
+++ b/starlingdeck/protocol/validation.py
@@ -26,7 +26,7 @@
 
 
 def decode_job(body: bytes) -> JobSpec:
-    """Decode the body of a submission; raises ValidationError."""
+    """Decode the body of a submission. Raises ValidationError."""
     try:
         spec = msgspec.json.decode(body, type=JobSpec)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -95,7 +95,7 @@
 
 
 def decode_report(body: bytes) -> Report:
-    """Decode a report, a worker's heartbeat or answer to commands; raises ValidationError."""
+    """Decode a report, a worker's heartbeat or answer to commands. Raises ValidationError."""
     try:
         report = msgspec.json.decode(body, type=Report)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/starlingdeck/sync/relay.py
+++ b/starlingdeck/sync/relay.py
@@ -158,7 +158,7 @@
     ) -> bool:
         """Handle one part; when its text is complete, pass the messages to `on_message`.
 
-        Returns whether messages were passed on. Raises ValueError for a malformed key or text, and
+        Return whether it was complete. Raises ValueError for a malformed key or text, and
         msgspec.DecodeError for a malformed value.
         """
         sender, to, index = records.parse_relay_key(key)
--- a/starlingdeck/sync/snapshot_sync.py
+++ b/starlingdeck/sync/snapshot_sync.py
@@ -56,7 +56,7 @@
     async def publish(self, lease_valid: bool, now: float) -> bool:
         """Send the snapshots that are due to all peers, and apply them here.
 
-        Returns whether recorded attempts changed.
+        Return whether recorded attempts changed.
         """
         attempts_changed = False
         for shard, machines in list(self.owned.machines.items()):
@@ -109,7 +109,7 @@
     def _evaluate(self, snapshot: ShardSnapshot, changed_machines: set[int]) -> bool:
         """Evaluate the attempts on changed machines; every REEVALUATE_INTERVAL_S on all machines.
 
-        Returns whether any attempt changed.
+        Return whether any attempt changed.
         """
         now = self.context.now()
         machines: set[int] | None = changed_machines
--- a/starlingdeck/sync/state_sync.py
+++ b/starlingdeck/sync/state_sync.py
@@ -43,7 +43,7 @@
     async def publish_snapshots(self, lease_valid: bool, now: float) -> bool:
         """Send the snapshots that are due to all peers, and apply them here.
 
-        Returns whether recorded attempts changed.
+        Return whether recorded attempts changed.
         """
         return await self.snapshot_sync.publish(lease_valid, now)
 
@@ -89,7 +89,7 @@
     ) -> bool:
         """Handle a change of a relay key.
 
-        Returns whether it completed a text, whose messages were passed to `on_message`. Raises
+        Return whether it completed a text. If so, its messages were passed to `on_message`. Raises
         ValueError for a malformed key or text, and msgspec.DecodeError for a malformed value.
         """
         return await self.relay.receive(key, value, on_message)
--- a/starlingdeck/transport/connections.py
+++ b/starlingdeck/transport/connections.py
@@ -52,7 +52,7 @@
         self.workers += connection.from_worker
 
     def remove(self, connection: Connection) -> None:
-        """Forget a connection that was closed."""
+        """Stop counting a connection that was closed."""
         self.mark_busy(connection)
         self.open -= 1
         self.workers -= connection.from_worker
@@ -84,7 +84,7 @@
         """Return an idle connection to evict and mark it busy; None when there is none.
 
         While workers hold more than their share, their connections are chosen first; among equals,
-        the one that has been idle longest. Connections with unread data are passed over.
+        the one that has been idle longest. Connections with unread data are skipped.
         """
         while (victim := self._idle_longest()) is not None:
             self.mark_busy(victim)
--- a/starlingdeck/transport/frames.py
+++ b/starlingdeck/transport/frames.py
@@ -41,7 +41,7 @@
     async def enqueue(self, payload: bytes) -> None:
         """Queue a frame for `drain`.
 
-        Marks the link as closed when more than MAX_BACKLOG_BYTES would be queued.
+        Mark the link as closed when more than MAX_BACKLOG_BYTES would be queued.
         """
         if len(self.backlog) + LENGTH_PREFIX.size + len(payload) > MAX_BACKLOG_BYTES:
             self.closed = True
