--- a/starlingdeck/api/stored_status.py
+++ b/starlingdeck/api/stored_status.py
@@ -64,7 +64,7 @@
 
     async def _log_changes(self, shard: int, name: str) -> list[LoggedChange]:
         """Return a job's changes in the commit log; empty if the shard's records are complete."""
-        if not self.services.membership.writes_log(shard):
+        if not self.services.membership.may_have_commit_log(shard):
             return []
         return (await self.log_reader.read(self.services.state, shard)).changes_of(name)
 
--- a/starlingdeck/autoscaling/autoscaler.py
+++ b/starlingdeck/autoscaling/autoscaler.py
@@ -51,7 +51,7 @@
         self.released: dict[str, float] = {}  # machine -> when its release was requested
         self.next_list_at = 0.0
         self.listed_once = False
-        self.started = context.now()
+        self.started_at = context.now()
 
     async def step(self) -> None:
         """Read the cloud's list when it is due, then release and rent machines.
@@ -124,11 +124,11 @@
         names = [
             machine.name for machine in self.state.listed.values() if machine.state == api.FAILED
         ]
-        names += boots.stuck_machines(context, self.state, up, self.started, now)
+        names += boots.stuck_machines(context, self.state, up, self.started_at, now)
         names += releases.lost_machines(context, candidates, now)
         names += releases.drained_machines(context, candidates)
         names += releases.unreachable_machines(context, candidates, now)
-        if not self.demands() and now - self.started >= context.tuning.idle_s:
+        if not self.demands() and now - self.started_at >= context.tuning.idle_s:
             names += releases.idle_machines(context, candidates, now)
         return names
 
@@ -137,7 +137,7 @@
     async def _rent(self) -> None:
         context, now = self.context, self.context.now()
         settling_s = min(MAX_SETTLING_S, context.settings.settings.cloud.list_lag_s)
-        settled = now - self.started > settling_s
+        settled = now - self.started_at > settling_s
         if not self.listed_once or not context.machine_types or not settled:
             return
         candidates = self.candidates()
--- a/starlingdeck/autoscaling/boots.py
+++ b/starlingdeck/autoscaling/boots.py
@@ -64,15 +64,14 @@
 
 
 def stuck_machines(
-    context: ControllerContext, state: FleetState, up: set[str], started: float, now: float
+    context: ControllerContext, state: FleetState, up: set[str], started_at: float, now: float
 ) -> list[str]:
     """Return the names of machines that did not come up, or that run but whose worker is silent.
 
-    `started` is when this controller began to watch the fleet. A controller that has just started
-    has received no report yet, so every machine looks stuck and the whole fleet would be released.
-    The same holds for the machines of a shard whose owner has just changed. Silence is therefore
-    measured from `started` at the earliest, and from when this controller last knew the machine
-    to be up.
+    `started_at` is when this controller began to watch the fleet. Just after that it has received
+    no report yet, so every machine would look stuck and the whole fleet would be released. The same
+    holds for the machines of a shard whose owner has just changed. Silence is therefore measured
+    from `started_at` at the earliest, and from when this controller last knew the machine to be up.
     """
     names = []
     for machine in state.listed.values():
@@ -80,7 +79,7 @@
             record_boot(context, state, machine, now)
             machine.last_up_at = now
             continue
-        watched_s = now - max(started, machine.rented_at, machine.last_up_at)
+        watched_s = now - max(started_at, machine.rented_at, machine.last_up_at)
         if machine.state == api.BOOTING:
             limit_s = nominal_boot_s(context, machine) * MAX_BOOT_FACTOR + STUCK_BOOT_MARGIN_S
             stuck = now - machine.rented_at > limit_s and watched_s > MIN_WATCHED_BOOT_S
--- a/starlingdeck/cluster/membership.py
+++ b/starlingdeck/cluster/membership.py
@@ -63,9 +63,9 @@
         """
         return self.lease.may_renew_worker_leases()
 
-    def writes_log(self, shard: int) -> bool:
+    def may_have_commit_log(self, shard: int) -> bool:
         """Return whether a shard's records may be behind its commit log."""
-        return self.ownership.writes_log(shard)
+        return self.ownership.may_have_commit_log(shard)
 
     async def raise_token(self, shard: int) -> None:
         """Raise an owned shard's fencing token. Raises the errors of StateClient.transact."""
--- a/starlingdeck/cluster/ownership.py
+++ b/starlingdeck/cluster/ownership.py
@@ -184,7 +184,7 @@
         # Without the condition on the takeover key, a request executed late, after another
         # owner's takeover, would record an `end_ms` that was computed before that takeover.
         conditions = {key: key_version, takeover_key: self.takeover_versions.get(shard, 0)}
-        value = ShardValue(self.context.node, epoch, end_ms, self.writes_log(shard))
+        value = ShardValue(self.context.node, epoch, end_ms, self.may_have_commit_log(shard))
         changes = [
             put_change(key, value, self.lease.lease_id),
             put_change(takeover_key, self.context.node),
@@ -198,7 +198,7 @@
         log.info("shard acquired: shard=%d token=%d", shard, token)
         await self.hooks.on_shard_acquired(shard, token, epoch, renewal_s)
 
-    def writes_log(self, shard: int) -> bool:
+    def may_have_commit_log(self, shard: int) -> bool:
         """Return whether a shard's records may be behind its commit log."""
         return self.context.tuning.group_commit is not None or shard in self.logged_shards
 
@@ -212,7 +212,7 @@
             return
         key = records.shard_key(shard)
         end_ms = self.former_renewals_end_ms.get(shard, 0)
-        value = ShardValue(current.node, current.epoch, end_ms, self.writes_log(shard))
+        value = ShardValue(current.node, current.epoch, end_ms, self.may_have_commit_log(shard))
         change = put_change(key, value, self.lease.lease_id)
         token = await self.state.transact({key: current.token}, [change], True)
         await self._apply_raised_token(shard, token)
