--- a/starlingdeck/interning.py
+++ b/starlingdeck/interning.py
@@ -10,11 +10,11 @@
 
     def intern(self, name: str) -> int:
         """Return the id of a name, and assign one if it has none yet."""
-        found = self.ids.get(name)
-        if found is None:
-            found = self.ids[name] = len(self.names)
+        index = self.ids.get(name)
+        if index is None:
+            index = self.ids[name] = len(self.names)
             self.names.append(name)
-        return found
+        return index
 
     def find(self, name: str) -> int | None:
         """Return the id of a name, or None if it has none."""
@@ -25,14 +25,14 @@
         return self.names[index]
 
 
-MAX_TASKS_PER_JOB = 131_072
+TASK_KEYS_PER_JOB = 131_072  # number of task keys reserved for each job
 
 
 def task_key(job: int, task: int) -> int:
     """Return one integer that encodes a job's interned id and a task's number."""
-    return job * MAX_TASKS_PER_JOB + task
+    return job * TASK_KEYS_PER_JOB + task
 
 
 def split_key(key: int) -> tuple[int, int]:
     """Return the job's interned id and the task's number that a task key encodes."""
-    return divmod(key, MAX_TASKS_PER_JOB)
+    return divmod(key, TASK_KEYS_PER_JOB)
