--- a/starlingdeck/machines/commands.py
+++ b/starlingdeck/machines/commands.py
@@ -11,7 +11,8 @@
 
 # Consecutive unanswered commands after which starts are sent only in the answers to reports.
 MAX_UNANSWERED_COMMANDS = 2
-UNANSWERED_BACKOFF_S = 0.5  # for each consecutive command without an answer
+# Delay before the next command, for each consecutive command that the machine left unanswered.
+UNANSWERED_BACKOFF_S = 0.5
 MAX_UNANSWERED_BACKOFF_S = 3.0
 REJECTED_BACKOFF_S = 0.3
 
@@ -32,22 +33,22 @@
         reconciled = True
         for key, observed in machine.tasks.items():
             desired = find_desired(machine.index, key)
-            wanted = desired is not None and desired.attempt == observed.attempt
+            is_desired = desired is not None and desired.attempt == observed.attempt
             stopping = desired is not None and desired.stop
             exited = observed.state == api.TASK_EXITED
-            reconciled = reconciled and wanted and not exited and not stopping
+            reconciled = reconciled and is_desired and not exited and not stopping
             operation, grace_s = None, None
             if exited:
-                # Reap only what the job's record no longer has here, and only when no
-                # start of this attempt can still arrive.
-                if reaps and not wanted and is_synced(key) and self.state.is_fenced(machine):
+                # Reap only an attempt that the job's record no longer has on this machine,
+                # and only when no start of it can still arrive.
+                if reaps and not is_desired and is_synced(key) and self.state.is_fenced(machine):
                     operation = api.REAP
-            elif wanted and desired is not None and desired.stop:
+            elif is_desired and desired is not None and desired.stop:
                 operation, grace_s = api.STOP, desired.grace_s
             elif key in machine.evictions:
                 if observed.state != api.TASK_SAVING:
                     operation, grace_s = api.STOP, machine.evictions[key]
-            elif not wanted and is_synced(key):
+            elif not is_desired and is_synced(key):
                 operation, grace_s = api.STOP, 0.0
             if operation is not None:
                 name = self.state.task_name(key)
@@ -58,9 +59,9 @@
     def piggybacked_starts(self, machine: Machine) -> list[api.Command]:
         """Return the starts to send in the answer to a report, counting them as delivered.
 
-        Used for a worker that reports but doesn't answer commands. A worker executes answers in
-        order and drops late ones, and reaps are sent the same way, so no start can follow its own
-        reap.
+        Used for a worker that reports but doesn't answer commands. A worker executes the answers to
+        its reports in order and drops late ones. Reaps are sent in these answers too, so a start
+        can't be executed after the reap of the same attempt.
         """
         if (
             machine.unanswered_commands < MAX_UNANSWERED_COMMANDS
@@ -115,7 +116,10 @@
         return desired is not None and not desired.stop and self.desired.is_confirmed(key)
 
     def on_unanswered(self, machine: Machine, sent: api.Commands, maybe_sent: bool) -> None:
-        """Record that commands got no answer; if they were sent, they may act at any later time."""
+        """Record that commands got no answer.
+
+        If they may have been sent, the worker may execute them at any later time.
+        """
         state = self.state
         starts = any(c.op == api.START for c in sent.commands)
         if maybe_sent and starts and sent.session == machine.session - machine.prior_sessions:
--- a/starlingdeck/machines/descheduling.py
+++ b/starlingdeck/machines/descheduling.py
@@ -57,7 +57,7 @@
     def _ending_too_late(
         self, machine: Machine, live: dict[int, ObservedTask], termination_at: float, now: float
     ) -> set[int]:
-        """Return the tasks that won't end before the machine is taken away.
+        """Return the tasks that won't end before the cloud terminates the machine.
 
         Those that must save now are also marked for eviction.
         """
@@ -72,7 +72,7 @@
                 chosen.add(key)
             last_save_s = info.save_s + LAST_SAVE_MARGIN_S + LAST_SAVE_TIME_LEFT_SHARE * time_left_s
             if info.checkpoint_s > 0 and time_left_s < last_save_s:
-                # It was not placed elsewhere in time: evict it so that it saves its progress.
+                # The task was not placed elsewhere in time: evict it so that it saves its progress.
                 machine.evictions.setdefault(key, info.save_s + SAVE_MARGIN_S)
                 self.state.schedule_reconcile(machine.index)
         return chosen
@@ -80,7 +80,7 @@
     def _overcommitted(self, machine: Machine, live: dict[int, ObservedTask]) -> set[int]:
         """Return tasks whose removal makes the others fit on an overcommitted machine.
 
-        Only tasks in its report count, not pending launches or reservations.
+        Only reported tasks are counted, not pending launches or reservations.
         """
         total = self.state.capacity(machine)
         if total is None or machine.lost:
--- a/starlingdeck/machines/desired_state.py
+++ b/starlingdeck/machines/desired_state.py
@@ -21,12 +21,13 @@
         self.state = state
         self.faults = faults
         self.desired_tasks: dict[int, dict[int, dict[int, DesiredTask]]] = {}
-        self.protected_tasks: set[int] = set()  # not to be preempted
+        self.protected_tasks: set[int] = set()  # tasks that must not be preempted
         self.received_seqs: dict[int, tuple[int, int]] = {}  # job shard -> last version
-        # The last versions whose every task has been reconciled. Only these are acknowledged: a
-        # task that has not been considered yet would be taken for refused.
+        # Job shard -> last version of which all tasks have been reconciled. Only these versions are
+        # acknowledged: a task that has not been considered yet would be taken for refused.
         self.applied_seqs: dict[int, tuple[int, int]] = {}
-        # Job shard -> watermark: its desired state includes all cancellations made before then.
+        # Job shard -> watermark, by our steady clock: the shard's desired state includes all
+        # cancellations made before that time.
         self.watermarks: dict[int, float] = {}
 
     def apply(self, message: pb.DesiredState) -> bool:
@@ -129,16 +130,18 @@
         return {m for table in self.desired_tasks.values() for m in table}
 
     def task_keys(self) -> set[int]:
-        """Return all tasks that any desired state names."""
+        """Return the keys of all tasks that any desired state names."""
         tables = self.desired_tasks.values()
         return {key for table in tables for tasks in table.values() for key in tasks}
 
     def watermark_age_s(self, machine: Machine) -> float:
         """Return the age of the oldest watermark among the job shards with tasks on a machine.
 
-        It is infinite when one of them has sent none yet. A user is told of a cancellation once no
-        job owner can be unaware of it, without waiting for the owner whose desired state is applied
-        here: that owner's leases may be renewed for as long as its own link to the state service
+        The age is in seconds, and infinite while one of these shards has not sent a watermark.
+
+        A user is told of a cancellation once no job owner can be unaware of it, which may be before
+        the desired state applied here contains it. If the age were not limited, this controller
+        could renew the leases of cancelled tasks for as long as its own link to the state service
         lasts, while the controllers that know of the cancellation crash or are cut off from it.
         """
         context = self.state.context
--- a/starlingdeck/machines/failure_attribution.py
+++ b/starlingdeck/machines/failure_attribution.py
@@ -1,8 +1,8 @@
 """Decides whether a machine or a job is at fault for failed tasks. Does no I/O.
 
-A faulty machine fails whatever starts there; a job that was submitted with a mistake fails wherever
-it starts. A single failure does not tell them apart: what counts is where else the job has
-succeeded or failed, and which other jobs have succeeded or failed on the machine.
+On a faulty machine every task fails; a job that was submitted with a mistake fails on every
+machine. A single failure does not show which of the two is the cause. That depends on where else
+the job has succeeded or failed, and on which other jobs have succeeded or failed on the machine.
 """
 
 from collections.abc import Iterable
@@ -11,23 +11,24 @@
 UNKNOWN, FINE, BROKEN = range(3)
 # A job that has failed on this many machines, without a success, is at fault for its own errors.
 BROKEN_JOB_MACHINES = 2
-# Limits the share of a shard's machines that jobs of which nothing is known can mark faulty.
+# Once this share of a shard's machines is marked as faulty, errors of jobs of which nothing is
+# known don't cause further marks.
 MAX_UNCERTAIN_FAULTY_SHARE = 0.1
 
 
 class FailureAttribution:
     """Records the task failures of one machine shard, by machine since its last success and by job.
 
-    Errors count by what is known of their jobs. A plain rule of three errors in a row marked a
-    large machine faulty when thirty tasks of one broken job failed there at once, and the machine
-    was returned to the cloud.
+    How many errors count depends on what is known of their jobs. With a plain rule of three errors
+    in a row, a large machine was marked as faulty and returned to the cloud when thirty tasks of
+    one broken job failed there at once.
     """
 
     def __init__(self, min_errors: int) -> None:
-        self.min_errors = min_errors  # errors that mark a machine faulty
+        self.min_errors = min_errors  # number of counted errors that mark a machine as faulty
         self.errors: dict[int, set[tuple[int, int]]] = {}  # machine -> (job, attempt key)
         self.failed: dict[int, set[int]] = {}  # job -> machines it failed on
-        self.evidence: dict[int, int] = {}  # job -> what its owner or a success here shows
+        self.evidence: dict[int, int] = {}  # job -> FINE or BROKEN, from its owner or a success
 
     def learn(self, job: int, evidence: int) -> bool:
         """Record what a job's owner knows of it; return whether that is new."""
--- a/starlingdeck/machines/fault_detection.py
+++ b/starlingdeck/machines/fault_detection.py
@@ -9,11 +9,11 @@
 
 log = logging.getLogger(__name__)
 
-ATTEMPT_BITS = 32  # low bits of an attempt key: the attempt number; the rest is the task key
+ATTEMPT_BITS = 32  # an attempt key has the attempt number in its low bits, then the task key
 
 
 class FaultDetector:
-    """Tells machines that fail every task from jobs that fail on every machine."""
+    """Distinguishes machines on which every task fails from jobs that fail on every machine."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
--- a/starlingdeck/machines/lease_monitor.py
+++ b/starlingdeck/machines/lease_monitor.py
@@ -7,8 +7,10 @@
 log = logging.getLogger(__name__)
 
 EXPIRY_CHECK_INTERVAL_S = 0.2
-TOKEN_RAISE_INTERVAL_S = 5.0  # between tokens raised only to see which machines receive them
-RECENT_MESSAGE_S = 3.0  # a machine silent for longer is not waited for
+# Minimum interval between tokens that are raised only to see which machines receive them.
+TOKEN_RAISE_INTERVAL_S = 5.0
+# A machine that has been silent for longer causes no new token, unless it has a new incarnation.
+RECENT_MESSAGE_S = 3.0
 FAULTY_DRAIN_DELAY_S = 10.0  # leaves time for other jobs to succeed on a faulty machine
 
 
@@ -21,7 +23,11 @@
         self.next_raise_at = 0.0
 
     def expire(self) -> None:
-        """Mark machines as lost whose sessions must all be over; publish those that changed."""
+        """Mark the machines as lost whose sessions must all be over.
+
+        Schedule these to be published, and also the machines that became schedulable or
+        unschedulable and the faulty ones whose delay before draining is over.
+        """
         state = self.state
         now = state.context.now()
         if now < self.next_check_at:
@@ -30,10 +36,10 @@
         lease_expiry_s = state.context.lease_expiry_s
         for machine in state.machines.values():
             silent_s = now - machine.lease_granted_at
-            # A machine without our token may still be answered by the former owner: one of its
-            # reports came to us, our answer was lost, and it went back there.
-            only_ours = machine.token >= state.base_token or now > state.former_leases_end_at
-            if not machine.lost and silent_s > lease_expiry_s and only_ours:
+            # The former owner may still answer a machine that doesn't have our token: one of the
+            # machine's reports came to us, our answer was lost, and it returned to that owner.
+            only_we_renew = machine.token >= state.base_token or now > state.former_leases_end_at
+            if not machine.lost and silent_s > lease_expiry_s and only_we_renew:
                 machine.lost = True
                 machine.pending_launches.clear()
                 state.mark_changed(machine.index)
@@ -49,8 +55,9 @@
     def needs_new_token(self) -> bool:
         """Return whether the shard's token is to be raised.
 
-        An unanswered start must be fenced before its task can be declared gone. And a machine that
-        answers no command proves by reporting a later token that it receives our answers.
+        There are two reasons for a new token. An unanswered start must be fenced by one before its
+        task can be declared gone. And a machine that answers no commands proves that it receives
+        the answers to its reports by reporting a later token.
         """
         state = self.state
         now = state.context.now()
--- a/starlingdeck/machines/machine.py
+++ b/starlingdeck/machines/machine.py
@@ -1,4 +1,4 @@
-"""What a shard's owner records of a machine: last report, tasks, launches, reservations."""
+"""Records that a shard's owner keeps of a machine: last report, tasks, launches, reservations."""
 
 from typing import Protocol
 
@@ -8,7 +8,7 @@
 from starlingdeck.machines.reachability import Reachability
 from starlingdeck.protocol import api
 
-SAVE_MARGIN_S = 1.0  # allowed beyond the time that a job says it needs to save
+SAVE_MARGIN_S = 1.0  # added to the time that a job says it needs to save
 
 
 class PreemptionAttributes(Protocol):
@@ -16,15 +16,15 @@
 
     @property
     def team(self) -> int:
-        """The index of its team."""
+        """The index of the job's team."""
 
     @property
     def rank(self) -> int:
-        """Its priority rank; a higher rank preempts a lower one."""
+        """The job's priority rank; a higher rank preempts a lower one."""
 
     @property
     def guaranteed(self) -> bool:
-        """Whether it is within its team's guaranteed share."""
+        """Whether the job is within its team's guaranteed share."""
 
 
 class JobInfo(Struct):
@@ -89,7 +89,7 @@
     type: int
     zone: int
     spot: bool
-    termination_at: float | None = None  # when the cloud takes it away; None: no notice
+    termination_at: float | None = None  # when the cloud will terminate it; None: no notice
     tasks: dict[int, ObservedTask] = field(default_factory=dict)
     pending_launches: dict[int, PendingLaunch] = field(default_factory=dict)
     # Stops for tasks of the incarnation that `new_incarnation_session` names.
@@ -101,7 +101,7 @@
     images: dict[str, float] = field(default_factory=dict)  # image -> when last known to be used
     # The highest token of an unanswered start that may still act; 0: none.
     unconfirmed_token: int = 0
-    piggybacked_at: float = -1e9  # when starts last went out in the answer to a report
+    piggybacked_at: float = -1e9  # when starts were last sent in the answer to a report
     lost: bool = False
     draining: bool = False
     faulty_since: float | None = None  # None: not faulty; a task's success may still clear it
@@ -109,8 +109,8 @@
     retry_at: float = 0.0
     empty_since: float = 0.0
     published_schedulable: bool = False  # whether it was schedulable in the newest snapshot
-    last_reported_tasks: list[api.ReportTask] | None = None  # the source of `tasks`
-    reconciled: bool = False  # no stop or reap is due until desired state or report change
+    last_reported_tasks: list[api.ReportTask] | None = None  # as in the report that `tasks` is from
+    reconciled: bool = False  # nothing to stop or reap until desired state or report change
 
 
 def may_preempt(
@@ -118,11 +118,11 @@
 ) -> bool:
     """Return whether a new job may preempt a running one (PROTOCOL, "Preemption").
 
-    It may if its rank is higher, unless the running job is within another team's guarantee and the
-    new one is not within its own. It may also if it is within its team's guarantee and the running
-    job is beyond the guarantee of another team. But running work of higher rank gives way to a
-    guarantee only under quota pressure: before that there may be work of lower rank to preempt
-    elsewhere, and a stopped service is missed at once.
+    A new job of higher rank may, unless the running job is within another team's guarantee and the
+    new job is not within its own team's. A new job of the same or a lower rank may only if it is
+    within its team's guarantee and the running job is beyond the guarantee of another team. If its
+    rank is lower, this also requires quota pressure: before that, there may be work of lower rank
+    to preempt elsewhere, and users notice at once when a service is stopped.
     """
     if new.rank > running.rank:
         return new.team == running.team or new.guaranteed or not running.guaranteed
--- a/starlingdeck/machines/machine_shard.py
+++ b/starlingdeck/machines/machine_shard.py
@@ -32,7 +32,7 @@
     def __init__(
         self, context: ControllerContext, shard: int, token: int, epoch: int, wait_s: float
     ) -> None:
-        """`wait_s`: for how many seconds a former owner may still renew the leases of workers."""
+        """Create the shard. A former owner may still renew workers' leases for `wait_s` seconds."""
         self.context = context
         self.shard = shard
         self.epoch = epoch
@@ -48,7 +48,7 @@
         self.leases = LeaseMonitor(self.state)
         self.publisher = SnapshotPublisher(self.state, self.desired)
         self.machines = self.state.machines
-        self.unconfirmed_reports = 0  # refused: a job shard had no recent watermark
+        self.unconfirmed_reports = 0  # reports refused because a job shard's watermark was too old
 
     @property
     def token(self) -> int:
@@ -81,7 +81,7 @@
 
     @property
     def desired_tasks(self) -> dict[int, dict[int, dict[int, DesiredTask]]]:
-        """What the job shards want: by job shard, machine and task key."""
+        """The tasks that the job shards desire, by job shard, machine and task key."""
         return self.desired.desired_tasks
 
     @property
@@ -91,7 +91,7 @@
 
     @property
     def received_seqs(self) -> dict[int, tuple[int, int]]:
-        """By job shard: token and sequence number of the last desired state received."""
+        """The token and sequence number of the last desired state received, by job shard."""
         return self.desired.received_seqs
 
     @property
@@ -126,7 +126,7 @@
     def on_command_unanswered(
         self, machine: Machine, commands: api.Commands, maybe_sent: bool
     ) -> None:
-        """Record that commands got no answer; if they were sent, they may act at any later time."""
+        """Record that commands got no answer; see `CommandBuilder`."""
         self.commands.on_unanswered(machine, commands, maybe_sent)
 
     def on_command_rejected(self, machine: Machine) -> None:
@@ -150,7 +150,7 @@
     # --- periodic work
 
     def expire_leases(self) -> None:
-        """Mark machines as lost whose sessions must all be over."""
+        """Mark the machines as lost whose sessions must all be over."""
         self.leases.expire()
 
     def deschedule(self) -> None:
@@ -186,7 +186,7 @@
         self.state.mark_changed(index)
 
     def mark_deleted(self, name: str) -> None:
-        """Record that the cloud has deleted a machine: it and everything on it are gone."""
+        """Record that the cloud has deleted a machine, which ends all tasks on it."""
         self.state.mark_deleted(name)
 
     def is_deleted(self, name: str) -> bool:
--- a/starlingdeck/machines/preemption.py
+++ b/starlingdeck/machines/preemption.py
@@ -44,18 +44,18 @@
     ) -> bool:
         """Evict tasks until a task of the job fits; return whether it will then fit.
 
-        Evictions already under way count. If saving would take longer than the new task may wait,
-        the old one is stopped without saving. It then restarts from its last checkpoint, which
-        loses about as much time as saving takes.
+        The capacity that evictions under way will free is taken into account. If saving would take
+        longer than the new task may wait, the evicted task is stopped without saving. It then
+        restarts from its last checkpoint, which loses about as much time as saving takes.
         """
-        left, victims = self._candidates(machine, info, free, message.quota_pressure)
+        expected_free, victims = self._candidates(machine, info, free, message.quota_pressure)
         chosen: list[Victim] = []
         for victim in sorted(victims, key=Victim.sort_key):
-            if fits(info.size, left):
+            if fits(info.size, expected_free):
                 break
             chosen.append(victim)
-            left = _add(left, victim.info)
-        if not fits(info.size, left):
+            expected_free = _add(expected_free, victim.info)
+        if not fits(info.size, expected_free):
             return False
         for victim in chosen:
             self._evict(machine, victim, message.wait_s)
@@ -66,17 +66,17 @@
     ) -> tuple[list[float], list[Victim]]:
         """Return what is free after the evictions under way, and the tasks that may be evicted."""
         jobs, protected = self.state.jobs, self.desired.protected_tasks
-        left = list(free)
+        expected_free = list(free)
         victims: list[Victim] = []
         for key, observed in machine.tasks.items():
             other = jobs.get(split_key(key)[0])
             if observed.state == api.TASK_EXITED or other is None:
                 continue
             if key in machine.evictions or observed.state == api.TASK_SAVING:
-                left = _add(left, other)
+                expected_free = _add(expected_free, other)
             elif may_preempt(info, other, quota_pressure) and key not in protected:
                 victims.append(Victim(key, observed, other))
-        return left, victims
+        return expected_free, victims
 
     def _evict(self, machine: Machine, victim: Victim, wait_s: float) -> None:
         info = victim.info
@@ -87,5 +87,5 @@
         )
 
 
-def _add(left: list[float], info: JobInfo) -> list[float]:
-    return [a + b for a, b in zip(left, info.size, strict=True)]
+def _add(amounts: list[float], info: JobInfo) -> list[float]:
+    return [a + b for a, b in zip(amounts, info.size, strict=True)]
--- a/starlingdeck/machines/reachability.py
+++ b/starlingdeck/machines/reachability.py
@@ -12,7 +12,7 @@
 # If more than this share of the reporting machines is unreachable at once, the network is at
 # fault.
 MASS_UNREACHABLE_SHARE = 0.05
-MIN_RELEASABLE_MACHINES = 2  # may be released however small the fleet is
+MIN_RELEASABLE_MACHINES = 2  # number that may be released however small the fleet is
 MIN_UNCONFIRMED_S = 0.001  # tells a machine that just became unconfirmed from a confirmed one
 
 
@@ -43,7 +43,7 @@
     seq: int = 0
     token: int = 0
     prior_sessions: int = 0
-    last_heartbeat: tuple[int, int] = (0, 0)  # own session and number of the newest report
+    last_heartbeat: tuple[int, int] = (0, 0)  # position of the newest report, as in `position`
     unanswered_commands: int = 0  # consecutive commands without an answer
     # A message may be of another incarnation: only the answer to a command tells which is current.
     probe_needed: bool = False
@@ -93,9 +93,9 @@
         return session + self.prior_sessions
 
     def adopt_session(self, desired_session: int) -> bool:
-        """Adopt the session that the desired state names, if it is later; return whether it was.
+        """Adopt the session that the desired state names if it is later; return whether it is.
 
-        If so, the machine has restarted under a former owner of its shard, and only that owner
+        If it is, the machine has restarted under a former owner of its shard, and only that owner
         knew of the earlier incarnations. The newest message is known to be of the current one.
         """
         if desired_session <= self.session:
--- a/starlingdeck/machines/reconciler.py
+++ b/starlingdeck/machines/reconciler.py
@@ -8,10 +8,11 @@
 from starlingdeck.protocol import api
 
 PIGGYBACK_TIMEOUT_S = 5.0  # a worker waits 4 s for the answer to its report
-FULL_RECONCILE_INTERVAL_S = 2.0  # between runs over all machines, changed or not
-PRUNE_INTERVAL_S = 60.0  # between prunings of jobs that nothing here refers to
-PROBE_INTERVAL_S = 0.5  # between probes of one machine after a message of another incarnation
-MAX_PROBES = 32  # commands in flight at once that only probe a machine
+FULL_RECONCILE_INTERVAL_S = 2.0  # interval between runs over all machines, changed or not
+PRUNE_INTERVAL_S = 60.0  # interval between removals of jobs that nothing here refers to
+# Interval between probes of one machine after a message of another incarnation.
+PROBE_INTERVAL_S = 0.5
+MAX_PROBES = 32  # maximum number of commands in flight that only probe a machine
 
 
 class Reconciler:
@@ -43,11 +44,11 @@
             self.prune()
         due, state.to_reconcile = state.to_reconcile | self.to_recheck, set()
         self.to_recheck = set()
-        found = [state.machines[i] for i in due if i in state.machines]
+        due_machines = [state.machines[i] for i in due if i in state.machines]
         # Unanswered probes would use up the connections that the state service needs.
-        probes_left = MAX_PROBES - sum(m.command_in_flight and m.needs_probe for m in found)
+        probes_left = MAX_PROBES - sum(m.command_in_flight and m.needs_probe for m in due_machines)
         to_send: list[Machine] = []
-        for machine in found:
+        for machine in due_machines:
             if not self._try_reconcile(machine, now):
                 continue
             probes_left -= machine.needs_probe
@@ -83,7 +84,8 @@
         ):
             state.schedule_publish(machine)
         stops = not machine.lost and (self._compare(machine, now) | _has_evictions(machine))
-        # A lost machine may have restarted and count from 1 again: only an answer shows it.
+        # A lost machine may have restarted and count its sessions from 1 again. Only the answer to
+        # a command shows that.
         probe = machine.probe_needed and machine.probed_at <= now
         if probe:
             machine.probed_at = now + PROBE_INTERVAL_S
@@ -137,8 +139,8 @@
         if reservation is not None or state.has_capacity_for(machine, info):
             machine.pending_launches[key] = PendingLaunch(desired.attempt, now)
         else:
-            # A refusal stands while the attempt is desired: the job shard may release the
-            # placement because of it.
+            # The attempt stays refused while it is desired, because the job shard may release the
+            # placement once it learns of the refusal.
             machine.refused_attempts.add((key, desired.attempt))
         state.schedule_publish(machine)
 
--- a/starlingdeck/machines/report_intake.py
+++ b/starlingdeck/machines/report_intake.py
@@ -15,7 +15,7 @@
 class ReportIntake:
     """Updates the machines of a shard from their reports.
 
-    Most reports repeat the one before, so that path is kept short.
+    Most reports repeat the previous one, so that case is handled with as little work as possible.
     """
 
     def __init__(self, state: ShardState, faults: FaultDetector) -> None:
@@ -94,8 +94,9 @@
     def _apply_new_incarnation(self, machine: Machine, report: api.Report) -> Machine:
         """Apply the answer of a machine that restarted within its lease.
 
-        Its sessions count from 1 again. All tasks of its former incarnation are gone once no start
-        sent to that incarnation can still act.
+        Its sessions count from 1 again. The restart ended the tasks of its former incarnation, but
+        a start sent to that incarnation may still be executed. The new incarnation is adopted once
+        that is impossible.
         """
         state = self.state
         machine.orphan_stops = [
@@ -114,8 +115,8 @@
             self._apply_newer(machine, report, session, False)
             state.mark_confirmed(machine)
         else:
-            # The next answer is made under a token that those starts don't have. A task that one
-            # of them began is stopped first.
+            # A start sent to the former incarnation can't be executed after the machine has
+            # received a later token. A task that such a start began is stopped first.
             machine.new_incarnation_session, machine.probe_needed = report.session, True
             machine.unconfirmed_token = max(machine.unconfirmed_token, state.token)
             state.mark_changed(machine.index)
@@ -130,12 +131,13 @@
         if session != machine.session:
             self._begin_session(machine, session, now)
         machine.session, machine.seq = session, report.seq
-        machine.new_incarnation_session = 0  # its lease ended; a later session proves it
+        machine.new_incarnation_session = 0  # its lease has ended, as a later session proves
         silent_s = now - machine.last_message_at
         if renews and silent_s > state.heartbeat_fresh_s:
             state.mark_unconfirmed(machine)
             if silent_s > state.lease_s:
-                # While silent for so long it was published as 0 s unconfirmed; no longer.
+                # While the machine was silent, it was published as unconfirmed for 0 s. From now
+                # on the actual time is published.
                 state.mark_changed(machine.index)
         elif (
             machine.unconfirmed_since is not None and report.token > machine.token and report.token
@@ -170,7 +172,8 @@
         machine.lease_granted_at = now
         if machine.session:
             log.info("machine session began: machine=%s session=%d", machine.name, session)
-            # Its lease ended: it didn't receive our answers, or we didn't answer its reports.
+            # The former session's lease ended: the machine didn't receive our answers, or we
+            # didn't answer its reports.
             self.state.mark_unconfirmed(machine)
 
     def _record_termination_notice(self, machine: Machine, notice_s: float, now: float) -> None:
@@ -226,7 +229,7 @@
                 changed = True
                 self.faults.observe(machine, job, key, entry)
             known = reported.get(key)
-            # After a restart under a new attempt both attempts may be listed; the live one counts.
+            # When a task is started again, both attempts may be listed; the live one counts.
             if known is None or known.state == api.TASK_EXITED:
                 reported[key] = entry
             launch = machine.pending_launches.get(key)
--- a/starlingdeck/machines/reservations.py
+++ b/starlingdeck/machines/reservations.py
@@ -29,7 +29,7 @@
         job = self.desired.learn_job(message.job)
         info = state.jobs[job]
         expires_at = context.now() + (message.hold_s or context.tuning.reserve_s)
-        # Computed once for all tasks of the request on a machine.
+        # Machine -> available resources, computed once for all tasks of the request there.
         available: dict[int, list[float] | None] = {}
         for target in message.tasks:
             machine = state.machines.get(context.machine_names.intern(target.machine))
@@ -50,8 +50,9 @@
                 available[machine.index] = [f - s for f, s in zip(free, info.size, strict=True)]
                 reply.granted.add(task=target.task, attempt=target.attempt, session=machine.session)
             elif self._will_have_capacity(machine, info, free, message):
-                # Reserved although it isn't free yet. Otherwise the preempted task itself returns
-                # first and is preempted again, or smaller tasks take each part that becomes free.
+                # Reserve the capacity although it isn't free yet. Otherwise the preempted task
+                # would be placed here again, only to be preempted again, or smaller tasks would
+                # take each part of the capacity that becomes free.
                 machine.reservations[key] = Reservation(
                     target.attempt, context.now() + EVICTION_RESERVATION_S
                 )
@@ -63,16 +64,16 @@
     def _will_have_capacity(
         self, machine: Machine, info: JobInfo, free: list[float], message: pb.ReserveRequest
     ) -> bool:
-        """Return whether capacity will come free by preemption, begun here, or accumulation."""
+        """Begin a preemption if requested; return whether it or accumulation will free capacity."""
         if message.preempt and self.preemptor.evict_for(machine, info, free, message):
             return True
         return message.accumulate and self._may_accumulate(machine, info, free)
 
     def _may_accumulate(self, machine: Machine, info: JobInfo, free: list[float]) -> bool:
-        """Return whether capacity may be kept for a task as it becomes free.
+        """Return whether the machine may accumulate released capacity for a task of the job.
 
-        Only one task of a machine may accumulate capacity at a time: its reservation makes `free`
-        negative.
+        Capacity is accumulated for only one task of a machine at a time: its reservation makes
+        `free` negative.
         """
         total = self.state.capacity(machine)
         return total is not None and fits(info.size, total) and min(free) >= -CAPACITY_TOLERANCE
--- a/starlingdeck/machines/scoring.py
+++ b/starlingdeck/machines/scoring.py
@@ -8,10 +8,10 @@
 
 from starlingdeck.context import fits
 
-HIGH_UTILIZATION = 0.9  # share of a resource: machines used more than this come last
+HIGH_UTILIZATION = 0.9  # share of a resource; machines that would use a larger share come last
 NO_RANK = 99  # above every rank: no preemptible work
-NO_PREEMPTIBLE_WORK_S = 1e6  # the run time lost if there is no preemptible work
-HIGH_UTILIZATION_PENALTY = 2  # exceeds the range of scores below that use
+NO_PREEMPTIBLE_WORK_S = 1e6  # used as lost run time if there is no preemptible work
+HIGH_UTILIZATION_PENALTY = 2  # larger than the range of scores up to HIGH_UTILIZATION
 MIN_DRAW_WEIGHT = 1e-6  # lets candidates with a score of 0 be drawn
 
 
@@ -42,13 +42,14 @@
     fetch_gb_per_s: float = 1.0
     images: set[str] = field(default_factory=set)
     fetching: set[str] = field(default_factory=set)
-    youngest_s: list[float] = field(default_factory=list)  # by rank; -1: none
+    # For each rank, the least run time that preempting a task of it would lose; -1: no such task.
+    youngest_s: list[float] = field(default_factory=list)
     tasks: set[tuple[int, int]] = field(default_factory=set)
     unconfirmed_s: float = 0.0  # how long it has reported without proof that it receives answers
-    lowest_rank: int = NO_RANK  # of the preemptible work
+    lowest_rank: int = NO_RANK  # lowest rank that has preemptible work
 
     def __post_init__(self) -> None:
-        """Compute `lowest_rank` once: each scheduling cycle reads it for every machine."""
+        """Compute `lowest_rank` in advance: each scheduling cycle reads it for every machine."""
         ranks = (rank for rank, age in enumerate(self.youngest_s) if age >= 0)
         self.lowest_rank = next(ranks, NO_RANK)
 
@@ -95,9 +96,10 @@
 
 
 def refit_score(utilization: Sequence[float]) -> float:
-    """Return a score for DESIGN 4, which asks for tight fits first and 0 above HIGH_UTILIZATION.
+    """Return the score of DESIGN 4: the mean share minus the spread, but at least 0.
 
-    The formula is our own: the mean share minus the spread.
+    DESIGN 4 only requires that tight fits come first, and a score of 0 above HIGH_UTILIZATION. The
+    formula is our own.
     """
     high, low = max(utilization), min(utilization)
     if high > HIGH_UTILIZATION:
@@ -110,12 +112,12 @@
 
     Exception to DESIGN 2, recorded in docs/design.md: among machines that fit, the one that
     will have the image soonest comes first, because the fetch is the longest part of a start.
-    A job's tasks are alike, so its machines are scored once, and only a chosen one again.
+    Tasks of one job are alike, so machines are scored once; only a chosen one is scored again.
     """
 
     def __init__(
         self,
-        candidates: Sequence[Candidate],  # all of which fit
+        candidates: Sequence[Candidate],  # only machines that fit a task of this size
         size: Sequence[float],
         fetch_s: Callable[[Candidate], float],
         limit: int,
@@ -141,11 +143,12 @@
     def best(self, is_eligible: Callable[[Candidate], bool]) -> Candidate | None:
         """Return the best eligible machine that fits the task; None if there is none.
 
-        The caller may change its available resources until the next call, but not later.
+        The caller may change the machine's available resources until the next call, but not later.
         """
-        skipped, found = [], None
+        skipped, best_candidate = [], None
         if self.chosen is not None:
-            # A fetch begun there makes it better for the next task, not worse.
+            # Score the machine chosen last again: a fetch begun there makes it better for the next
+            # task, not worse.
             heapq.heappush(self.heap, (*self._rank(self.pool[self.chosen]), self.chosen))
             self.chosen = None
         while self.heap:
@@ -159,11 +162,11 @@
                 continue
             skipped.append(entry)
             if is_eligible(candidate):
-                found, self.chosen = candidate, entry[-1]
+                best_candidate, self.chosen = candidate, entry[-1]
                 break
         for entry in skipped:
             heapq.heappush(self.heap, entry)
-        return found
+        return best_candidate
 
 
 def choose_refit(
@@ -194,7 +197,7 @@
 
 
 def _draw_weighted(weighted: list[tuple[float, Candidate]], rng: random.Random) -> Candidate:
-    """Remove and return one at random, with a probability in proportion to its weight."""
+    """Remove and return a random candidate, with a probability in proportion to its weight."""
     remaining = rng.random() * sum(weight for weight, _ in weighted)
     for i, (weight, _) in enumerate(weighted):
         remaining -= weight
--- a/starlingdeck/machines/shard_snapshot.py
+++ b/starlingdeck/machines/shard_snapshot.py
@@ -32,7 +32,7 @@
     machines: dict[int, pb.MachineState] = field(default_factory=dict)
     received_at: float = 0.0  # when a snapshot last arrived
     timestamps: list[Timestamp] = field(default_factory=list)  # the newest last
-    evaluated_at: float = NEVER_S  # when all attempts there were last evaluated
+    evaluated_at: float = NEVER_S  # when all attempts on its machines were last evaluated
     # Machine -> its tasks by job, number and attempt; built on the first lookup.
     tasks: dict[int, dict[tuple[str, int, int], pb.ObservedTask]] = field(default_factory=dict)
 
@@ -85,12 +85,12 @@
 
     def task(self, machine: int, job: str, task: int, attempt: int) -> pb.ObservedTask | None:
         """Return a task's attempt as its machine last reported it, or None."""
-        found = self.tasks.get(machine)
-        if found is None:
+        tasks = self.tasks.get(machine)
+        if tasks is None:
             entry = self.machines.get(machine)
             items = entry.tasks if entry is not None else ()
-            found = self.tasks[machine] = {(t.job, t.task, t.attempt): t for t in items}
-        return found.get((job, task, attempt))
+            tasks = self.tasks[machine] = {(t.job, t.task, t.attempt): t for t in items}
+        return tasks.get((job, task, attempt))
 
 
 def apply_snapshot_message(
--- a/starlingdeck/machines/shard_state.py
+++ b/starlingdeck/machines/shard_state.py
@@ -6,7 +6,7 @@
 from starlingdeck.machines.machine import JobInfo, Machine
 from starlingdeck.protocol import api
 
-HEARTBEAT_TIMEOUT_LEASES = 2 / 3  # as a share of the duration of a lease
+HEARTBEAT_TIMEOUT_LEASE_SHARE = 2 / 3  # share of the duration of a lease
 HEARTBEAT_FRESH_INTERVALS = 2.5  # how long a message counts as fresh, in report intervals
 HEARTBEAT_FRESH_MARGIN_S = 0.5
 DELETED_RETENTION_S = 600.0  # how long late reports of a deleted machine are recognised
@@ -28,24 +28,26 @@
         self.token = token
         self.base_token = token
         self.epoch = epoch
-        # Until then workers that are silent here may hold leases renewed by another controller.
+        # Until this time, workers that are silent here may hold leases renewed by a former owner.
         self.former_leases_end_at = context.now() + wait_s + context.lease_expiry_s
         workers = context.settings.settings.workers
         self.heartbeat_fresh_s = (
             HEARTBEAT_FRESH_INTERVALS * workers.report_s + HEARTBEAT_FRESH_MARGIN_S
         )
         self.lease_s = workers.lease_s
-        # A machine without a report for so long is not schedulable, even if it answers commands.
+        # A machine whose last report is older is not schedulable, even if it answers commands.
         self.heartbeat_timeout_s = max(
-            self.heartbeat_fresh_s, workers.lease_s * HEARTBEAT_TIMEOUT_LEASES
+            self.heartbeat_fresh_s, workers.lease_s * HEARTBEAT_TIMEOUT_LEASE_SHARE
         )
         self.machines: dict[int, Machine] = {}
         self.jobs: dict[int, JobInfo] = {}
         self.job_shards: dict[int, int] = {}  # job -> its shard, computed once
         self.to_reconcile: set[int] = set()
         self.to_publish: set[int] = set()
-        self.removed_machines: set[int] = set()  # since the last snapshot
-        self.deleted_machines: dict[int, float] = {}  # machine -> when; late reports still come
+        self.removed_machines: set[int] = set()  # removed since the last snapshot
+        self.deleted_machines: dict[
+            int, float
+        ] = {}  # machine -> time of deletion; late reports may still come
         self.termination_noticed: set[int] = set()
         # Machines published without free capacity, because a task there was of an unknown job.
         self.awaiting_job_info: set[int] = set()
@@ -91,9 +93,10 @@
     def is_schedulable(self, machine: Machine) -> bool:
         """Return whether new tasks may be placed on a machine.
 
-        The first messages of a machine after a network partition are delayed reports. Tasks placed
-        there in a session long over were freed by the next report and placed again. So the machine
-        must first have answered a command or reported a later token.
+        The first messages of a machine after a network partition are delayed reports, from a
+        session that may have ended long ago. Tasks placed there in such a session were released
+        when the next report arrived, and placed again. So the machine must first have answered a
+        command or reported a later token.
         """
         return (
             not machine.lost
@@ -119,7 +122,7 @@
         total = self.capacity(machine)
         if total is None:
             return None
-        left = list(total)
+        free = list(total)
         allocated = {
             k for k, observed in machine.tasks.items() if observed.state != api.TASK_EXITED
         }
@@ -129,8 +132,8 @@
             if info is None:
                 return None
             for d in range(3):
-                left[d] -= info.size[d]
-        return left
+                free[d] -= info.size[d]
+        return free
 
     def has_capacity_for(self, machine: Machine, info: JobInfo) -> bool:
         """Return whether a task of the job fits beside all that is allocated on the machine."""
@@ -153,7 +156,7 @@
         return api.task_name(self.context.job_names[job], number)
 
     def mark_deleted(self, name: str) -> None:
-        """Record that the cloud has deleted a machine: it and everything on it are gone."""
+        """Record that the cloud has deleted a machine, which ends all tasks on it."""
         index = self.context.machine_names.intern(name)
         if index not in self.deleted_machines:
             self.deleted_machines[index] = self.context.now()
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -10,7 +10,7 @@
 from starlingdeck.protocol import api
 from starlingdeck.protocol import peer_pb2 as pb
 
-NO_TASK_S = -1.0  # stands for a rank without preemptible tasks
+NO_TASK_S = -1.0  # published for a rank without preemptible tasks
 
 
 class SnapshotPublisher:
@@ -24,9 +24,10 @@
     def update(self, valid: bool) -> pb.Snapshot:
         """Return a snapshot of what has changed since the last one.
 
-        A machine that became due again since the desired state was applied is shown as not fenced,
-        and published again later. If it were left out, its last entry would stand beside the
-        acknowledgement of the desired state, and a start under way would be taken for refused.
+        A machine that is due to be reconciled again since the desired state was applied is shown as
+        not fenced, and published again later. If it were left out, followers would read its last
+        entry together with the acknowledgement of the desired state, and take a start under way for
+        refused.
         """
         state = self.state
         self.seq += 1
@@ -54,11 +55,15 @@
         message.timestamp_ms = int(context.now() * 1000)
         for shard, (token, seq) in self.desired.applied_seqs.items():
             message.acks.add(shard=shard, token=token, seq=seq)
-        message.lost_machines.extend(context.machine_names[m] for m in self._never_reported())
+        message.lost_machines.extend(context.machine_names[m] for m in self._lost_machines())
         return message
 
-    def _never_reported(self) -> Iterable[int]:
-        """Return machines that jobs name and that are proven gone without having reported here."""
+    def _lost_machines(self) -> Iterable[int]:
+        """Return the machines named by desired states on which no task can run any more.
+
+        These are the deleted machines, and those that have not reported here although all leases
+        renewed by a former owner have ended.
+        """
         state = self.state
         expired = state.context.now() > state.former_leases_end_at
         return [
@@ -77,7 +82,8 @@
             try:
                 self._add_entry(message, machine)
             except Exception as error:  # one machine must not stop the others
-                # Unfenced and without tasks, so that nothing is concluded from the last entry.
+                # Publish it as unfenced and without tasks, so that followers conclude nothing from
+                # its last entry.
                 state.context.quarantine_after_failure("machine", machine.name, error)
                 del message.machines[before:]
                 message.machines.add(id=machine.name, session=machine.session)
@@ -99,7 +105,8 @@
             lost=machine.lost,
             schedulable=free is not None and machine.published_schedulable,
             images=list(machine.images),
-            # It is returned when empty, so other jobs must have had the time to succeed on it.
+            # A draining machine is returned to the cloud when it is empty. A faulty one is drained
+            # only after other jobs have had the time to succeed on it.
             draining=machine.draining
             or (
                 machine.faulty_since is not None
--- a/starlingdeck/machines/tabu_search.py
+++ b/starlingdeck/machines/tabu_search.py
@@ -8,7 +8,7 @@
 
 from starlingdeck.machines.scoring import start_score
 
-EXCESS_TOLERANCE = 1e-9  # share of the capacity, for rounding errors in sums of resources
+EXCESS_TOLERANCE = 1e-9  # share of the capacity; allows for rounding errors in sums of resources
 BASE_FITNESS = 3  # start_score is above -3, so sets that fit have positive fitness
 
 
@@ -24,7 +24,8 @@
 def move_cost(ran_s: float, saves: bool, checkpoint_s: float, fetch_s: float) -> float:
     """Return the cost of moving a task, in seconds.
 
-    The formula is our own: lost run time plus the fetch of an image that the target doesn't have.
+    The formula is our own: 1 plus the lost run time plus the fetch of the image, which the target
+    machine is assumed not to have.
     """
     lost = min(ran_s, checkpoint_s) if saves else ran_s
     return 1.0 + lost + fetch_s
@@ -55,8 +56,8 @@
 class _Search:
     """The state of a search. A set holds the indices of the tasks to be removed.
 
-    The fitness of a set is the score after its removal divided by the cost of the moves. For a set
-    that leaves the machine overcommitted it is the negated excess.
+    The fitness of a set is the score after its removal plus BASE_FITNESS, divided by 1 plus the
+    cost of the moves. For a set that leaves the machine overcommitted it is the negated excess.
     """
 
     def __init__(self, total: Sequence[float], tasks: Sequence[RunningTask]) -> None:
@@ -78,7 +79,7 @@
         return worst
 
     def fitness(self, removed: frozenset[int]) -> float:
-        """Return how good a set is; negative when its removal isn't enough."""
+        """Return the fitness of a set; it is negative when removing the set isn't enough."""
         excess = self.excess(removed)
         if excess > EXCESS_TOLERANCE:
             return -excess
