--- a/starlingdeck/fairness/demand_snapshot.py
+++ b/starlingdeck/fairness/demand_snapshot.py
@@ -9,10 +9,11 @@
 
 from msgspec import Struct, field
 
-TeamClass = tuple[int, str]  # team index, class of jobs; "" for all classes not named
+# Team index and class of jobs; the class "" stands for all classes of the team that aren't named.
+TeamClass = tuple[int, str]
 Resources = tuple[float, float, float]  # cpus, gpus, memory in GB
 
-MAX_TEAM_CLASSES = 32  # named in one report; the others of each team are summed
+MAX_TEAM_CLASSES = 32  # number of classes named in one report; a team's other ones are summed
 NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
 
 
@@ -41,7 +42,8 @@
     """The newest report on every shard, and when it was received."""
 
     shards: dict[int, ShardDemand] = field(default_factory=dict)
-    received_at: dict[int, float] = field(default_factory=dict)  # seconds of the caller's clock
+    # Shard -> time of receipt, in seconds of the caller's clock.
+    received_at: dict[int, float] = field(default_factory=dict)
 
     def update(self, report: ShardDemand, now: float) -> bool:
         """Replace a shard's report. Return False, changing nothing, if it isn't newer."""
--- a/starlingdeck/fairness/fair_share.py
+++ b/starlingdeck/fairness/fair_share.py
@@ -1,8 +1,9 @@
 """Computes the fair shares of the cluster under overload, and which part each shard may guarantee.
 
-Amounts are dominant shares (dominant resource fairness): from 0 to 1, the share of the whole
-capacity of that resource of which a team's class needs the largest share. All controllers with the
-same demand snapshot compute the same shares.
+Amounts are dominant shares, as in dominant resource fairness: what a team's class needs of each
+resource is divided by the whole capacity of the resource, and the largest quotient counts. The
+result depends only on the demand snapshot, so controllers with equal snapshots compute equal
+shares.
 """
 
 from collections.abc import Hashable, Mapping
@@ -31,9 +32,9 @@
 
         The classes of a team that aren't named use the share of its class "" together.
         """
-        own = self.split.get(shard, {})
-        share = own.get(team_class)
-        return own.get((team_class[0], ""), 0.0) if share is None else share
+        shard_shares = self.split.get(shard, {})
+        share = shard_shares.get(team_class)
+        return shard_shares.get((team_class[0], ""), 0.0) if share is None else share
 
 
 def dominant_share(amount: Resources, capacity: Resources) -> float:
@@ -47,7 +48,7 @@
 def water_fill(wanted: Mapping[K, float], capacity: float) -> dict[K, float]:
     """Divide capacity with max-min fairness.
 
-    None gets more than it wants; what it doesn't want is divided among the others.
+    No key gets more than it wants; capacity that one doesn't want is divided among the others.
     """
     remaining = capacity
     shares: dict[K, float] = {}
--- a/starlingdeck/fairness/minimum_share.py
+++ b/starlingdeck/fairness/minimum_share.py
@@ -11,12 +11,13 @@
 
 from starlingdeck.fairness.demand_snapshot import TeamClass
 
-LATE_SHARE = 0.25  # of what a class may start goes to work that can't be on time any more
+# Share of what a class may start that goes to work that can't be on time any more.
+LATE_SHARE = 0.25
 PROTECTION_SLACK = 1.5  # protected tasks stay protected up to this multiple of the share
 EPSILON = 1e-9  # shares up to this are rounding errors
 TASK_ROUNDING = 1e-6  # a fraction of a task up to this isn't counted as another task
 MAX_TASKS = 1e9
-UNLIMITED_TASKS = 1_000_000  # for tasks that take no share
+UNLIMITED_TASKS = 1_000_000  # number of tasks that fit a limit if one takes no share
 
 ShareOf = Callable[[TeamClass], float]
 
@@ -31,13 +32,13 @@
     running: int  # tasks that have capacity or are about to get it
     waiting: int
     protected: int = 0  # running tasks that are protected from preemption now
-    late: bool = False  # for all of its due times
+    late: bool = False  # whether it can't meet any of its due times
 
 
 class _ClassBelowShare(NamedTuple):
     """A class that runs less than its share; the one furthest below sorts first."""
 
-    ratio: float  # running / share
+    ratio: float  # share that the class runs, divided by its minimum share
     team_class: TeamClass
     missing: float
 
@@ -68,12 +69,12 @@
 
 
 def below_share(items: Sequence[WorkItem], share_of: ShareOf) -> list[tuple[int, int]]:
-    """Return the waiting jobs that go before all others, with how many tasks each.
+    """Return the waiting jobs to place before all others, and for each the number of its tasks.
 
     These are the jobs of classes that run less than their share, the class furthest below first.
-    Within a class the order of `items`, which is that of the scheduling cycle, is kept; but
-    `LATE_SHARE` of what a class may start goes to its late work first, the oldest first, so that
-    late work finishes too.
+    Within a class the order of `items`, which is that of the scheduling cycle, is kept, but for one
+    exception: `LATE_SHARE` of what a class may start goes to its late jobs first, in order of
+    submission, so that late work finishes too.
     """
     running: dict[TeamClass, float] = {}
     waiting: dict[TeamClass, list[WorkItem]] = {}
--- a/starlingdeck/machines/shard_state.py
+++ b/starlingdeck/machines/shard_state.py
@@ -45,9 +45,8 @@
         self.to_reconcile: set[int] = set()
         self.to_publish: set[int] = set()
         self.removed_machines: set[int] = set()  # removed since the last snapshot
-        self.deleted_machines: dict[
-            int, float
-        ] = {}  # machine -> time of deletion; late reports may still come
+        # Machine -> time of deletion; late reports of the machine may still arrive.
+        self.deleted_machines: dict[int, float] = {}
         self.termination_noticed: set[int] = set()
         # Machines published without free capacity, because a task there was of an unknown job.
         self.awaiting_job_info: set[int] = set()
--- a/starlingdeck/scheduling/accumulation.py
+++ b/starlingdeck/scheduling/accumulation.py
@@ -12,10 +12,10 @@
 
 
 def missing_share(job: Job, candidate: Candidate) -> float:
-    """Return the share of the resources in use on a machine that a task still lacks.
+    """Return what share of the resources in use on a machine must be released for a task to fit.
 
-    It is the largest share of any resource, and 0 if the task fits. The larger it is, the longer
-    the machine has to accumulate released resources.
+    It is the largest such share of any resource, and 0 if the task fits already. The larger it is,
+    the longer the machine has to accumulate released resources.
     """
     share = 0.0
     for size, available, capacity in zip(
--- a/starlingdeck/scheduling/candidate_pool.py
+++ b/starlingdeck/scheduling/candidate_pool.py
@@ -17,7 +17,8 @@
 from starlingdeck.protocol import peer_pb2 as pb
 
 UNANSWERED_RETENTION_S = 2.5  # how long an unanswered request counts as allocated
-GRANTED_RETENTION_S = 0.4  # after its grant; by then a snapshot shows the reservation
+# How long a granted request counts as allocated; after that a snapshot shows the reservation.
+GRANTED_RETENTION_S = 0.4
 
 TaskKey = tuple[int, int]  # job index, task number
 
@@ -27,7 +28,7 @@
 
     expires_at: float
     size: Resources
-    candidate: Candidate  # the chosen one; a newer snapshot may have replaced it
+    candidate: Candidate  # as it was chosen; a newer snapshot may have replaced it
     image: str
     granted: bool = False
 
@@ -48,8 +49,8 @@
     def update(self, snapshot: ShardSnapshot, changed_machines: Collection[int]) -> None:
         """Rebuild the candidates of a shard's machines that have changed."""
         if self.snapshots.get(snapshot.shard) is not snapshot:
-            # The shard has a new owner: machines that only the former owner knew may be gone, and
-            # no update would ever remove them.
+            # The shard has a new owner. Machines that only the former owner knew may not exist any
+            # more, and the new owner's updates would never remove them.
             self.shards.pop(snapshot.shard, None)
             self.snapshots[snapshot.shard] = snapshot
         shard = self.shards.setdefault(snapshot.shard, {})
--- a/starlingdeck/scheduling/constraints.py
+++ b/starlingdeck/scheduling/constraints.py
@@ -71,7 +71,7 @@
 class EligibleCandidates:
     """The schedulable machines of one scheduling cycle, grouped by job constraints.
 
-    Machines are filtered once for all jobs that have the same constraints.
+    Jobs with the same constraints share one list of machines, which is computed only once.
     """
 
     def __init__(self, context: ControllerContext, candidates: Sequence[Candidate]) -> None:
--- a/starlingdeck/scheduling/demand_tracker.py
+++ b/starlingdeck/scheduling/demand_tracker.py
@@ -9,7 +9,7 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.scheduling.decision import JobTaskCount
 
-MAX_PUBLISHED_DEMANDS = 200  # jobs of a cycle
+MAX_PUBLISHED_DEMANDS = 200  # maximum number of jobs whose demand is published after a cycle
 DEMAND_EXPIRY_S = 5.0  # what a controller published longer ago than this is ignored
 
 
--- a/starlingdeck/scheduling/dependencies.py
+++ b/starlingdeck/scheduling/dependencies.py
@@ -21,7 +21,7 @@
 
     membership: Membership
     peers: Peers
-    writers: Mapping[int, RecordWriter]  # by job shard, for the shards owned here
+    writers: Mapping[int, RecordWriter]  # key: job shard; only those owned here
     candidates: CandidatePool
     admission: AdmissionController
     reserve_local: ReserveHandler  # answers requests to the machine shards owned here
--- a/starlingdeck/scheduling/guarantees.py
+++ b/starlingdeck/scheduling/guarantees.py
@@ -1,6 +1,6 @@
 """Determines which unfinished jobs fit within their team's guaranteed resources.
 
-Every controller computes the same result from the jobs that all controllers publish.
+Controllers publish their jobs to each other, so that all of them compute the same result.
 """
 
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 from starlingdeck.context import ControllerContext
 
-UNLIMITED = 1e9  # cpus or gpus of a guarantee that specifies only the other resource
+UNLIMITED = 1e9  # amount of cpus or gpus in a guarantee that specifies only the other resource
 TOLERANCE = 1e-6  # sums of decimal amounts may be off by this
 
 
@@ -70,8 +70,9 @@
 def guarantee_relevant_jobs(context: ControllerContext, jobs: Iterable[TeamJob]) -> list[TeamJob]:
     """Return those of one controller's jobs that the cluster-wide `guaranteed_jobs` depends on.
 
-    These are, for each team with a guarantee, its jobs up to and including the first that
-    doesn't fit. No job after that one can fit, whatever jobs other controllers have.
+    These are, for each team with a guarantee, its jobs in claim order, up to and including the
+    first that doesn't fit. Jobs of other controllers can only use up more of the guarantee, so no
+    job after that one can fit.
     """
     remaining_by_team = team_guarantees(context)
     relevant = []
--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -1,7 +1,8 @@
 """Enforces minimum shares under overload, at one controller (docs/design/overload.md).
 
-A controller publishes the demand and capacity of its shards with its gossip. All controllers
-compute the same shares from what they receive, and each shard spends only its own part of them.
+A controller publishes the demand and capacity of its shards with its gossip. Each controller
+computes the shares of all shards from what it has received, in the same way, but uses only the part
+of the shards that it owns.
 """
 
 import logging
@@ -32,13 +33,13 @@
 
 log = logging.getLogger(__name__)
 
-PROTECT_INTERVAL_S = 0.5  # between updates of which running tasks are protected
-REFRESH_INTERVAL_S = 0.25  # between updates of the demand of the shards owned here
-OVERLOAD_HOLD_S = 10.0  # from the last wait that began or prolonged an overload to its end
-MAX_CLASS_NAME_LENGTH = 200  # characters accepted of a class name from a peer
-MAX_PEER_LOADS = 1000  # classes of one shard accepted from a peer
-MAX_PEER_AMOUNT = 1e12  # of a resource: from here on a peer's amounts are malformed
-NEVER = -1e9
+PROTECT_INTERVAL_S = 0.5  # interval between updates of which running tasks are protected
+REFRESH_INTERVAL_S = 0.25  # interval between updates of the demand of the shards owned here
+OVERLOAD_HOLD_S = 10.0  # time until an overload ends after the last wait that began or prolonged it
+MAX_CLASS_NAME_LENGTH = 200  # a class name from a peer is cut off after this many characters
+MAX_PEER_LOADS = 1000  # maximum number of classes of one shard that are accepted from a peer
+MAX_PEER_AMOUNT = 1e12  # a peer's amount of a resource is malformed if it is not below this
+NEVER = -1e9  # a time before any other
 
 
 class OverloadController:
@@ -64,8 +65,8 @@
         self.churn = ChurnMeter()
         self.overloaded_at = NEVER
         self.refreshed_at = NEVER
-        self.seq = 0  # of the published demand
-        self.protect_at = 0.0
+        self.seq = 0  # sequence number of the published demand
+        self.next_protection_at = 0.0
         self.protecting = False  # whether any running task may be protected
 
     @staticmethod
@@ -76,7 +77,7 @@
     # --- the demand snapshot that all controllers share
 
     def add_to_gossip(self, gossip: pb.Gossip) -> None:
-        """Publish the demand and capacity of the shards owned here."""
+        """Add the demand and capacity of the shards owned here to a gossip message."""
         self.refresh()
         for shard in self.writers:
             report = self.demand.shards.get(shard)
@@ -176,10 +177,10 @@
             for team_class in running.keys() | waiting.keys()
         }
 
-    # --- the part of the shards owned here
+    # --- the parts of the minimum shares that belong to the shards owned here
 
     def own_share(self, team_class: TeamClass) -> float:
-        """Return the part of a class's minimum share that the shards owned here may spend."""
+        """Return the part of a class's minimum share that the shards owned here may use."""
         return sum(self.shares.shard_share(shard, team_class) for shard in self.writers)
 
     def is_churning(self) -> bool:
@@ -217,9 +218,9 @@
         """Mark the running tasks that the minimum shares protect from preemption."""
         self.refresh()
         now = self.context.now()
-        if now < self.protect_at or not (self.shares.overload or self.protecting):
+        if now < self.next_protection_at or not (self.shares.overload or self.protecting):
             return
-        self.protect_at = now + PROTECT_INTERVAL_S
+        self.next_protection_at = now + PROTECT_INTERVAL_S
         self.protecting = self.shares.overload
         shards = [writer.shard for writer in self.writers.values() if writer.shard.loaded]
         protected: dict[int, int] = {}
@@ -232,9 +233,10 @@
                     _protect(shard, job, protected.get(job.index, 0))
 
     def below_minimum_share(self, jobs: Sequence[Job]) -> list[JobTaskCount]:
-        """Return the jobs that go before all others, with how many tasks each.
+        """Return the jobs to place before all others, and for each the number of its tasks.
 
-        `jobs` are those of a scheduling cycle, in scheduling order.
+        These are jobs of classes that run less than their minimum share. `jobs` are those of a
+        scheduling cycle, in scheduling order.
         """
         below = self._classes_below_share() if self.shares.overload else set()
         planned = {job.index: job for job in jobs if self._share_key(self.team_class(job)) in below}
@@ -249,9 +251,10 @@
             and self._share_key(self.team_class(job)) in below
         ]
         items = self._work_items([*planned.values(), *others])
-        found = minimum_share.below_share(items, self.own_share)
-        # A job that waited when the last cycle ended may have no waiting tasks any more.
-        return [(planned[index], tasks) for index, tasks in found if index in planned]
+        task_counts = minimum_share.below_share(items, self.own_share)
+        # Jobs that aren't part of this cycle are left out: they had waiting tasks when the last
+        # cycle ended, but have none to place now.
+        return [(planned[index], tasks) for index, tasks in task_counts if index in planned]
 
     def _classes_below_share(self) -> set[TeamClass]:
         """Return the classes that ran less than their share here at the last refresh.
@@ -271,7 +274,7 @@
         }
 
     def _share_key(self, team_class: TeamClass) -> TeamClass:
-        """Return the key of a class's share: its own, or that of its team's classes not named."""
+        """Return the key of a class's share: its own, or that of its team's unnamed classes."""
         return team_class if team_class in self.shares.minimum_shares else (team_class[0], "")
 
     # --- waits
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -25,21 +25,23 @@
 from starlingdeck.storage.limiter import TokenBucket
 
 MAX_DECISIONS_PER_CYCLE = 100
-MAX_PUBLISHED_TEAM_JOBS = 10_000  # some 41 bytes each, published to peers twice a second
-MAX_PREEMPTIONS_PER_CYCLE = 48  # tasks that request preemption
-MAX_PREEMPTIONS_PER_JOB = 32  # tasks that request preemption at once
-PREEMPTION_INTERVAL_S = 0.5  # between two requests for preemption by a job
+MAX_PUBLISHED_TEAM_JOBS = 10_000  # each takes some 41 bytes, sent to peers twice a second
+MAX_PREEMPTIONS_PER_CYCLE = 48  # number of tasks that request preemption
+MAX_PREEMPTIONS_PER_JOB = 32  # number of tasks that request preemption at once
+PREEMPTION_INTERVAL_S = 0.5  # minimum interval between a job's requests for preemption
 CYCLE_INTERVAL_S = 0.1
-IDLE_CYCLE_INTERVAL_S = 0.25  # while no machine has changed
-MAX_PAUSE_S = 0.5  # between cycles, however long they take
-URGENT_PAUSE_S = 0.2  # the same while work of the two upper ranks waits
+IDLE_CYCLE_INTERVAL_S = 0.25  # interval while no machine has changed
+MAX_PAUSE_S = 0.5  # longest pause between cycles, however long these take
+MAX_URGENT_PAUSE_S = 0.2  # longest pause while jobs of the two upper ranks wait
 PAUSE_FACTOR = 30.0  # pause after a cycle, as a multiple of the cycle's duration
-SERVICE_PAUSE_FACTOR = 1.0  # the same while replicas wait
-POLL_INTERVAL_S = 0.04  # between checks whether a cycle is due
-MAX_RUN_WITHOUT_YIELD_S = 0.005  # of a cycle, until it yields to other tasks of the event loop
-MAX_STARVING_JOBS_PER_CYCLE = 4  # placed first
-PROBE_WRITE_SHARE = 0.05  # of the state writes, for jobs that fail on every machine
-CHURN_WAIT_SHARE = 0.25  # of its objective on waiting that an array waits before it preempts
+SERVICE_PAUSE_FACTOR = 1.0  # used instead of PAUSE_FACTOR while replicas wait
+POLL_INTERVAL_S = 0.04  # interval between checks whether a cycle is due
+# Time after which a cycle yields to other tasks of the event loop.
+MAX_RUN_WITHOUT_YIELD_S = 0.005
+MAX_STARVING_JOBS_PER_CYCLE = 4  # number of starving jobs placed before all others
+PROBE_WRITE_SHARE = 0.05  # share of the state writes for jobs that fail on every machine
+# Share of its objective on waiting that an array waits under churn before it preempts.
+CHURN_WAIT_SHARE = 0.25
 
 DecisionFunction = Callable[[Job], list[PlacementDecision]]
 
@@ -64,7 +66,8 @@
         self.probe_limiter = TokenBucket(
             PROBE_WRITE_SHARE * writes_per_s / 2 / context.shard_count, 2.0, context.now
         )
-        self.team_jobs: dict[int, list[TeamJob]] = {}  # of the other controllers, by node
+        # Node of another controller -> the jobs that it published.
+        self.team_jobs: dict[int, list[TeamJob]] = {}
         self.next_cycle_at = 0.0
         self.next_urgent_cycle_at = 0.0
         self.running_since = 0.0
@@ -95,11 +98,13 @@
     # --- when a cycle runs
 
     async def run(self) -> None:
-        """Run cycles until cancelled, under load for about a thirtieth of the time.
+        """Run cycles until cancelled.
 
-        In a backlog every cycle finds some capacity, and cycles that ran every 0.1 s took a third
-        of the processor time. A cycle yields regularly: it can take 70 ms of processor time, three
-        times that on a small machine, and submissions, reports and lease renewals waited for it.
+        Under load, cycles run for about a thirtieth of the time: in a backlog every cycle finds
+        some capacity, and cycles that ran every 0.1 s took a third of the processor time.
+
+        A cycle yields regularly, because it can take 70 ms of processor time, and three times as
+        much on a small machine. Submissions, reports and lease renewals used to wait for its end.
         """
         while True:
             started_at = self.context.now()
@@ -118,7 +123,7 @@
         duration_s = now - started_at
         self.next_urgent_cycle_at = now + min(MAX_PAUSE_S, duration_s)
         factor = SERVICE_PAUSE_FACTOR if self.replicas_waiting else PAUSE_FACTOR
-        max_pause_s = URGENT_PAUSE_S if self.urgent_waiting else MAX_PAUSE_S
+        max_pause_s = MAX_URGENT_PAUSE_S if self.urgent_waiting else MAX_PAUSE_S
         self.next_cycle_at = now + min(max_pause_s, max(interval_s, factor * duration_s))
 
     def _needs_early_cycle(self) -> bool:
@@ -213,9 +218,9 @@
                 writer.shard.set_guaranteed(job, job.id in guaranteed)
 
     def _prioritized(self, jobs: Sequence[Job], ordered: Sequence[Job]) -> list[JobTaskCount]:
-        """Return the starving jobs and those below their minimum share, with how many tasks each.
+        """Return the starving jobs and those of classes below their minimum share.
 
-        These tasks are placed before all others.
+        With each job comes the number of its tasks that are placed before all others.
         """
         first = [(job, 1) for job in self._starving(jobs)]
         if self.overload is not None:
@@ -260,7 +265,8 @@
         """Request the reservations that `decide` chooses for a job, then yield if it is time."""
         decisions = self._decide(job, decide)
         if protected:
-            # A task marked only once it runs could be preempted before its machine knows of it.
+            # If tasks were marked as protected only once they run, they could be preempted before
+            # their machine learns of the mark.
             for decision in decisions:
                 decision.protected = True
         if decisions:
@@ -291,7 +297,7 @@
     def _assign_preemptions(
         self, job: Job, plan: PreemptionPlan, now: float
     ) -> list[PlacementDecision]:
-        """Assign the job's tasks to machines to ask to stop lower-ranked work."""
+        """Assign the job's tasks to machines that are asked to stop lower-ranked work for them."""
         candidates = plan.cheapest(job, now)
         if not candidates:
             return []
@@ -310,11 +316,12 @@
     def _may_preempt(self, job: Job) -> bool:
         """Return whether other work may be stopped for a job now; under churn arrays wait first.
 
-        While many starts are preempted, an array preempts only after a quarter of its objective on
-        waiting (of `patience_s` without one): it is the first to get released capacity, and more is
-        released per second than it needs. Without this wait a sixth of all starts under overload
-        were preempted and started again. A wait in every overload, also without churn, cost a
-        burst's urgent jobs more than the starts it saved.
+        While many of the started tasks are preempted again, an array preempts only after it has
+        waited for a quarter of its objective on waiting, or of `patience_s` if it has none.
+        Meanwhile it is the first to get released capacity, and more is released per second than it
+        needs. Without this wait, a sixth of all tasks started under overload were preempted and
+        started again. When arrays waited in every overload, even without churn, that cost the
+        urgent jobs of a burst more than the saved starts were worth.
         """
         if job.spec.service or self.overload is None or not self.overload.is_churning():
             return True
--- a/starlingdeck/scheduling/preemption.py
+++ b/starlingdeck/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Chooses machines to ask to stop lower-ranked work for tasks that found no free capacity."""
+"""Chooses the machines that are asked to preempt work for tasks that found no free capacity."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -17,10 +17,12 @@
 from starlingdeck.scheduling.decision import PlacementDecision
 from starlingdeck.scheduling.priority import has_quota_pressure, wait_objective_s
 
-MAX_PREEMPTION_CANDIDATES = 64  # machines sampled, of which the cheapest are asked
+MAX_PREEMPTION_CANDIDATES = 64  # number of machines sampled, of which the cheapest are asked
 LOST_RUN_WEIGHT = 0.3  # cost of a second of lost run time, in seconds of image fetch
-SERVICE_FETCH_SHARE = 0.6  # of the objective on waiting that a replica's image fetch may take
-MAX_PREEMPTING_TASKS_PER_MACHINE = 8  # of one job, for which a machine is asked to preempt at once
+# Share of the objective on waiting that a replica's image fetch may take.
+SERVICE_FETCH_SHARE = 0.6
+# Number of one job's tasks for which a machine is asked to preempt at once.
+MAX_PREEMPTING_TASKS_PER_MACHINE = 8
 SHARE_TOLERANCE = 1e-6
 
 
@@ -46,8 +48,8 @@
 def has_preemptible_work(job: Job, ranks: int, candidate: Candidate) -> bool:
     """Return whether a machine is large enough for a task and runs any work of ranks below `ranks`.
 
-    On a full fleet most machines run no such work. Asking them all the same took a fifth of a
-    controller's processor time, for the requests and their refusals.
+    On a full fleet most machines run no such work. When they were asked nevertheless, the requests
+    and their refusals took a fifth of a controller's processor time.
     """
     return candidate.lowest_rank < ranks and fits(job.size, candidate.capacity)
 
@@ -70,8 +72,9 @@
 ) -> list[Candidate]:
     """Sort machines by the cost of a preemption there, cheapest first.
 
-    The cost is the image fetch and the run time lost. Machines chosen at random stopped work that
-    had run for half its time, which on a full fleet lost a tenth of all work.
+    The cost is the image fetch and the run time lost. When machines were chosen at random, they
+    stopped work that had run for half of its time, and on a full fleet a tenth of all work was
+    lost.
     """
     fetch_s = fetch_cost(job)
 
@@ -88,9 +91,11 @@
     """The machines to ask for capacity by preemption, for all jobs of one scheduling cycle.
 
     Similar jobs share one sorted list of machines: filtering and sorting them for each waiting job
-    was by far the largest part of a cycle's processor time under overload. A machine is asked for
-    no more than its capacity, because similar jobs ask the same machines, which otherwise stop
-    more than any one of the jobs needs. A cycle asks for no more than `limit` tasks.
+    was by far the largest part of a cycle's processor time under overload.
+
+    Similar jobs therefore ask the same machines. So that these don't stop more work than is needed,
+    a machine is asked for no more than its whole capacity in a cycle. In all, capacity is requested
+    for at most `limit` tasks.
     """
 
     def __init__(self, eligible: EligibleCandidates, limit: int) -> None:
@@ -133,7 +138,7 @@
     def assign(
         self, job: Job, tasks: Sequence[int], candidates: Sequence[Candidate]
     ) -> list[PlacementDecision]:
-        """Assign tasks to the machines to ask, several to one machine if its capacity allows it.
+        """Assign tasks to machines to be asked, several to one machine if its capacity allows it.
 
         One stopped task often frees capacity for several. When each machine was asked for one task,
         four times as much work was stopped as was needed, and placing a large job took many
--- a/starlingdeck/scheduling/priority.py
+++ b/starlingdeck/scheduling/priority.py
@@ -5,9 +5,13 @@
 from starlingdeck.context import ControllerContext
 from starlingdeck.jobs.job import Job
 
-NO_DUE_TIME_SLACK_MS = 1e9  # slack without a due time: after all jobs that can be on time
-MIN_ESTIMATE_SHARE = 0.8  # of the user's run time estimate, which is often too high
-STARVATION_S = 120.0  # a job that has waited longer without any task run goes before all others
+# Slack of jobs without a due time, which puts them after all jobs that can be on time.
+NO_DUE_TIME_SLACK_MS = 1e9
+# Share of the user's run time estimate that a job is expected to take at least; the estimate is
+# often too high.
+MIN_ESTIMATE_SHARE = 0.8
+# A job that has waited longer, and none of whose tasks has run, is placed before all others.
+STARVATION_S = 120.0
 SIZE_PENALTY_MS_PER_CPU_S = 5.0  # added to the slack, so that larger jobs go later
 DEFAULT_QUOTA_PRESSURE_S = 5.0  # used if there is no objective on guarantees
 
@@ -34,11 +38,12 @@
 
 
 def priority_key(context: ControllerContext, job: Job, now_ms: int) -> tuple[bool, float]:
-    """Return whether the job is late for every due time, and its size-weighted slack in ms.
+    """Return whether the job can't meet any due time, and its slack plus a penalty for its size.
 
-    A large job's slack is counted as longer than it is, because when not all jobs can be on time,
-    more of them are if the small ones go first. Jobs that can no longer be on time go last: ordered
-    by slack alone they would go first, and make the jobs after them late as well.
+    Both slack and penalty are in milliseconds. The penalty puts large jobs later: when not all jobs
+    can be on time, more of them are if the small ones are placed first. Jobs that can no longer be
+    on time are placed last. Ordered by slack alone they would be first, and make the jobs after
+    them late as well.
     """
     run_ms = job.spec.estimate_s * MIN_ESTIMATE_SHARE * 1000
     size_ms = job.unfinished * job.spec.cpus * job.spec.estimate_s * SIZE_PENALTY_MS_PER_CPU_S
@@ -52,8 +57,8 @@
 def is_starving(job: Job, now_ms: int) -> bool:
     """Return whether a job has waited longer than `STARVATION_S` and none of its tasks has run.
 
-    Such jobs need to go first: ordered by slack alone, a class's largest jobs waited for as long as
-    smaller ones arrived, and a job that was late for its objectives waited behind all others of
+    Such jobs have to be placed first. Without this rule, a class's largest jobs waited for as long
+    as smaller ones arrived, and a job that was late for its objectives waited behind all others of
     its rank.
     """
     has_run = job.completed or job.placements or job.failed_on
--- a/starlingdeck/scheduling/scheduler.py
+++ b/starlingdeck/scheduling/scheduler.py
@@ -1,7 +1,7 @@
 """Chooses machines for waiting tasks, most urgent job first (DESIGN 2).
 
-Does no I/O: takes candidate machines and jobs, notes the choices in them, and returns placement
-decisions.
+Does no I/O: takes candidate machines and jobs, records the choices in these objects, and returns
+placement decisions.
 """
 
 from collections.abc import Callable, Sequence
@@ -29,9 +29,9 @@
 )
 from starlingdeck.scheduling.priority import priority_order
 
-IDLE_RESERVE_SHARE = 0.1  # of all processors, kept free of work of the lowest rank
+IDLE_RESERVE_SHARE = 0.1  # share of all processors that is kept free of work of the lowest rank
 MIN_PREEMPTING_RANK = 2  # work of lower ranks waits for an image fetch instead of preempting
-MAX_MISSES_PER_JOB = 3  # tasks without a machine; after more, the job's others aren't tried
+MAX_MISSES_PER_JOB = 3  # if more of a job's tasks find no machine, its other tasks aren't tried
 
 SizeKey = tuple[ConstraintKey, Resources]
 
@@ -62,15 +62,17 @@
             sum(max(0.0, candidate.available[0]) for candidate in self.candidates)
             - IDLE_RESERVE_SHARE * total
         )
-        self.unplaced: dict[int, JobTaskCount] = {}  # by job index: tasks that found no machine
-        self._unplaceable: set[SizeKey] = set()  # no machine has capacity for such a task
+        # Job index -> the job, and how many of its tasks found no machine.
+        self.unplaced: dict[int, JobTaskCount] = {}
+        self._unplaceable: set[SizeKey] = set()  # keys of tasks that no machine has capacity for
         self._fitting: dict[SizeKey, list[Candidate]] = {}
 
     def is_unschedulable(self, job: Job) -> bool:
         """Return whether no machine has capacity for the job's tasks; if so, update `unplaced`.
 
-        Free capacity only shrinks within a cycle, so a negative finding stays true. Waiting tasks
-        are counted, because listing them one by one took half of a cycle's time in a backlog.
+        Free capacity only shrinks within a cycle, so if there is none for a task, there is none
+        until the end of the cycle. Waiting tasks are only counted, because listing them one by one
+        took half of a cycle's time in a backlog.
         """
         if (constraint_key(job), job.size) not in self._unplaceable or job.nominated:
             return False
@@ -96,8 +98,8 @@
         """Return how many tasks a job of the lowest rank may place now; other jobs aren't limited.
 
         Without this limit, work of the lowest rank used all capacity that other work left free, and
-        each next task of the other work had to preempt some of it: with an idle array of 25,000
-        small tasks a third of all starts were stopped again.
+        each new task of other work had to preempt some of it. With an array of 25,000 small tasks
+        of the lowest rank, a third of all tasks started were stopped again.
         """
         if job.spec.rank > 0 or job.guaranteed or job.spec.cpus <= 0:
             return UNBOUNDED
@@ -108,9 +110,9 @@
     ) -> list[PlacementDecision]:
         """Choose machines for up to `limit` of a job's waiting tasks.
 
-        The number that found none is recorded in `unplaced`. A `prioritized` job is placed ahead
-        of others whatever its rank, and may use the capacity that work of the lowest rank has to
-        leave free.
+        The number that found none is recorded in `unplaced`. `prioritized` is for jobs that are
+        placed before all others whatever their rank: the limit on work of the lowest rank doesn't
+        apply to them.
         """
         now = self.context.now()
         if self.is_unschedulable(job):
@@ -136,8 +138,8 @@
     def _sample(self, job: Job) -> CandidateSample:
         """Return a sample of the machines with free capacity for one of the job's tasks."""
         key = (constraint_key(job), job.size)
-        # Free capacity only shrinks within a cycle: machines that had none for a task with the same
-        # key don't have to be checked again.
+        # Free capacity only shrinks within a cycle, so machines that lacked the capacity for a task
+        # with the same key don't have to be checked again.
         candidates = self._fitting.get(key, self.eligible.for_job(job))
         fitting = [candidate for candidate in candidates if candidate.fits(job.size)]
         self._fitting[key] = fitting
@@ -201,7 +203,7 @@
         ):
             cached = self._preemption_with_image(usable, now)
             if cached is not None:
-                job.preemption_tried.add(task)  # at most once per task
+                job.preemption_tried.add(task)  # try this at most once per task
                 self._decide(task, cached, preempt=True)
                 return True
         self._allocate(task, candidate)
@@ -222,10 +224,10 @@
         return None
 
     def _preemption_with_image(self, usable: CandidateFilter, now: float) -> Candidate | None:
-        """Return the cheapest machine to preempt on that has the image: faster than a fetch.
+        """Return the machine that has the image and where preempting costs least, or None.
 
-        None if there is no such machine. Machines chosen at random mostly had nothing to stop, and
-        the task's only attempt was lost.
+        A task starts there sooner than where it has to wait for an image fetch. Machines chosen at
+        random mostly had no work to stop, and the task's only attempt to preempt failed.
         """
         job, image = self.job, self.job.spec.image
         ranks = preemptible_ranks(self.context, job)
--- a/starlingdeck/scheduling/waiting_jobs.py
+++ b/starlingdeck/scheduling/waiting_jobs.py
@@ -38,7 +38,8 @@
             progress = job.active_attempts() + job.completed
             waiting = self._by_index.get(job.index)
             if waiting is None or progress > waiting.max_progress:
-                # Progress restarts the wait. Tasks started and preempted repeatedly are none.
+                # Progress restarts the wait. Starting a task again after its preemption is not
+                # progress.
                 waiting = self._by_index[job.index] = WaitingJob(now, progress)
             waiting.tasks, waiting.last_waiting_at = tasks, now
             longest_s = max(longest_s or 0.0, now - waiting.since)
