--- a/starlingdeck/fairness/fair_share.py
+++ b/starlingdeck/fairness/fair_share.py
@@ -45,29 +45,29 @@
     return max(a / c if c > 0 else 0.0 for a, c in zip(amount, capacity, strict=True))
 
 
-def water_fill(wanted: Mapping[K, float], capacity: float) -> dict[K, float]:
-    """Divide capacity with max-min fairness.
+def water_fill(demands: Mapping[K, float], capacity: float) -> dict[K, float]:
+    """Divide capacity among demands with max-min fairness.
 
-    No key gets more than it wants; capacity that one doesn't want is divided among the others.
+    No key gets more than its demand; what a small demand leaves is divided among the other keys.
     """
     remaining = capacity
     shares: dict[K, float] = {}
-    ordered = sorted(wanted.items(), key=lambda item: (item[1], item[0]))
-    for position, (key, want) in enumerate(ordered):
-        shares[key] = min(want, remaining / (len(ordered) - position))
+    ordered = sorted(demands.items(), key=lambda item: (item[1], item[0]))
+    for position, (key, demand) in enumerate(ordered):
+        shares[key] = min(demand, remaining / (len(ordered) - position))
         remaining -= shares[key]
     return shares
 
 
-def max_min_shares(wanted: Mapping[TeamClass, float]) -> dict[TeamClass, float]:
+def max_min_shares(demands: Mapping[TeamClass, float]) -> dict[TeamClass, float]:
     """Divide the whole capacity with max-min fairness over teams, then over each team's classes.
 
     Users choose the names of classes freely, so a team with a thousand classes must not get a
     thousand times the share of a team with one class.
     """
     by_team: dict[int, dict[TeamClass, float]] = {}
-    for team_class in sorted(wanted):
-        by_team.setdefault(team_class[0], {})[team_class] = wanted[team_class]
+    for team_class in sorted(demands):
+        by_team.setdefault(team_class[0], {})[team_class] = demands[team_class]
     team_totals = {team: sum(classes.values()) for team, classes in by_team.items()}
     shares: dict[TeamClass, float] = {}
     for team, share in water_fill(team_totals, 1.0).items():
@@ -80,8 +80,8 @@
 ) -> FairShares:
     """Compute the minimum shares, and split them over the shards by demand.
 
-    A minimum share is `min_share_ratio` of a class's fair share. Only the capacity of shards whose
-    report is known is guaranteed.
+    A minimum share is `min_share_ratio` of a class's fair share. Only the capacity of the shards in
+    `reports` is guaranteed; `shards` is the number of all shards.
     """
     capacity = sum_resources(report.capacity for report in reports.values())
     signals = tuple((shard, report.token, report.seq) for shard, report in sorted(reports.items()))
@@ -89,16 +89,16 @@
     if not overload or max(capacity, default=0.0) <= 0:
         return FairShares(overload, capacity, signals=signals)
     demand = _demand_by_class(reports, capacity)
-    wanted = {team_class: sum(by_shard.values()) for team_class, by_shard in demand.items()}
+    totals = {team_class: sum(by_shard.values()) for team_class, by_shard in demand.items()}
     minimum_shares = {
-        team_class: min_share_ratio * share for team_class, share in max_min_shares(wanted).items()
+        team_class: min_share_ratio * share for team_class, share in max_min_shares(totals).items()
     }
     split: ShardShares = {shard: {} for shard in reports}
     for team_class, by_shard in demand.items():
         for shard, share in by_shard.items():
             if share > 0:
                 minimum = minimum_shares[team_class]
-                split[shard][team_class] = minimum * share / wanted[team_class]
+                split[shard][team_class] = minimum * share / totals[team_class]
     _limit_to_equal_parts(split, shards)
     return FairShares(overload, capacity, minimum_shares, split, signals)
 
--- a/starlingdeck/fairness/minimum_share.py
+++ b/starlingdeck/fairness/minimum_share.py
@@ -14,7 +14,7 @@
 # Share of what a class may start that goes to work that can't be on time any more.
 LATE_SHARE = 0.25
 PROTECTION_SLACK = 1.5  # protected tasks stay protected up to this multiple of the share
-EPSILON = 1e-9  # shares up to this are rounding errors
+SHARE_TOLERANCE = 1e-9  # shares up to this are rounding errors
 TASK_ROUNDING = 1e-6  # a fraction of a task up to this isn't counted as another task
 MAX_TASKS = 1e9
 UNLIMITED_TASKS = 1_000_000  # number of tasks that fit a limit if one takes no share
@@ -60,7 +60,7 @@
             (min(item.protected, item.running), share * PROTECTION_SLACK),
         ):
             remaining = limit - used - tasks * item.share
-            if max_tasks > tasks and remaining > EPSILON:
+            if max_tasks > tasks and remaining > SHARE_TOLERANCE:
                 tasks += min(max_tasks - tasks, _tasks_for(remaining, item.share))
         if tasks:
             tasks_by_job[item.job] = tasks
@@ -85,7 +85,7 @@
     below = []
     for team_class in waiting:
         share = share_of(team_class)
-        if running[team_class] < share - EPSILON:
+        if running[team_class] < share - SHARE_TOLERANCE:
             ratio, missing = running[team_class] / share, share - running[team_class]
             below.append(_ClassBelowShare(ratio, team_class, missing))
     tasks_by_job: dict[int, int] = {}
@@ -107,7 +107,7 @@
     """
     spent = 0.0
     for item in items:
-        if limit - spent <= EPSILON:
+        if limit - spent <= SHARE_TOLERANCE:
             break
         before = tasks_by_job.get(item.job, 0)
         tasks = min(item.waiting - before, _tasks_for(limit - spent, item.share))
--- a/starlingdeck/machines/shard_snapshot.py
+++ b/starlingdeck/machines/shard_snapshot.py
@@ -15,8 +15,8 @@
 class Timestamp(NamedTuple):
     """The times at which a snapshot was received and built."""
 
-    received_at: float  # by our steady clock, in seconds
-    built_ms: int  # by its owner's clock
+    received_at: float  # time of our steady clock, in seconds
+    built_ms: int  # time of the owner's steady clock, in milliseconds
 
 
 class ShardSnapshot(Struct):
--- a/starlingdeck/machines/snapshot_publisher.py
+++ b/starlingdeck/machines/snapshot_publisher.py
@@ -40,7 +40,7 @@
         return message
 
     def full(self, valid: bool) -> pb.Snapshot:
-        """Return the whole state, for a new follower; it has the number of the last update."""
+        """Return a snapshot of the whole shard for a new follower, numbered as the last update."""
         state = self.state
         message = self._header(valid)
         message.full = True
--- a/starlingdeck/machines/tabu_search.py
+++ b/starlingdeck/machines/tabu_search.py
@@ -74,8 +74,8 @@
         worst = 0.0
         for d in range(3):
             if total[d] > 0:
-                left = use[d] - sum(tasks[i].size[d] for i in removed)
-                worst = max(worst, left / total[d] - 1)
+                remaining_use = use[d] - sum(tasks[i].size[d] for i in removed)
+                worst = max(worst, remaining_use / total[d] - 1)
         return worst
 
     def fitness(self, removed: frozenset[int]) -> float:
--- a/starlingdeck/scheduling/accumulation.py
+++ b/starlingdeck/scheduling/accumulation.py
@@ -8,7 +8,7 @@
 from starlingdeck.scheduling.constraints import count_by_zone, task_filter, zone_filter
 from starlingdeck.scheduling.decision import PlacementDecision
 
-TOLERANCE = 1e-9  # sums of decimal amounts may be off by this
+RESOURCE_TOLERANCE = 1e-9  # sums of decimal amounts may be off by this
 
 
 def missing_share(job: Job, candidate: Candidate) -> float:
@@ -21,8 +21,8 @@
     for size, available, capacity in zip(
         job.size, candidate.available, candidate.capacity, strict=True
     ):
-        if size > available + TOLERANCE:
-            share = max(share, (size - available) / max(capacity - available, TOLERANCE))
+        if size > available + RESOURCE_TOLERANCE:
+            share = max(share, (size - available) / max(capacity - available, RESOURCE_TOLERANCE))
     return share
 
 
@@ -42,7 +42,7 @@
         candidate
         for candidate in candidates
         if candidate.index not in accumulating
-        and min(candidate.available) >= -TOLERANCE
+        and min(candidate.available) >= -RESOURCE_TOLERANCE
         and fits(job.size, candidate.capacity)
     ]
     ordered = sorted(
--- a/starlingdeck/scheduling/demand_tracker.py
+++ b/starlingdeck/scheduling/demand_tracker.py
@@ -49,8 +49,8 @@
 
     def published(self) -> list[pb.Demand]:
         """Return the demand that this controller published last."""
-        own = self._by_node.get(self.context.node)
-        return own.demands if own is not None else []
+        latest = self._by_node.get(self.context.node)
+        return latest.demands if latest is not None else []
 
     def receive(self, node: int, demands: Iterable[pb.Demand]) -> None:
         """Record the demand that another controller published."""
--- a/starlingdeck/scheduling/guarantees.py
+++ b/starlingdeck/scheduling/guarantees.py
@@ -9,8 +9,8 @@
 
 from starlingdeck.context import ControllerContext
 
-UNLIMITED = 1e9  # amount of cpus or gpus in a guarantee that specifies only the other resource
-TOLERANCE = 1e-6  # sums of decimal amounts may be off by this
+UNLIMITED_AMOUNT = 1e9  # cpus or gpus in a guarantee that specifies only the other resource
+RESOURCE_TOLERANCE = 1e-6  # sums of decimal amounts may be off by this
 
 
 class TeamJob(Struct, frozen=True):
@@ -29,8 +29,8 @@
     teams = context.settings.settings.teams
     return {
         index: [
-            team.cpus if team.cpus > 0 else UNLIMITED,
-            team.gpus if team.gpus > 0 else UNLIMITED,
+            team.cpus if team.cpus > 0 else UNLIMITED_AMOUNT,
+            team.gpus if team.gpus > 0 else UNLIMITED_AMOUNT,
         ]
         for index, team in enumerate(teams)
         if team.cpus > 0 or team.gpus > 0
@@ -38,13 +38,13 @@
 
 
 def claim_order(jobs: Iterable[TeamJob]) -> list[TeamJob]:
-    """Sort jobs as they claim their team's guarantee: highest rank first, then by submission."""
+    """Return jobs in the order of their claims on a guarantee: highest rank first, then oldest."""
     return sorted(jobs, key=lambda job: (-job.rank, job.submitted_ms, job.id))
 
 
 def within_guarantee(remaining: list[float]) -> bool:
     """Return whether neither of the [cpus, gpus] remaining of a guarantee is negative."""
-    return remaining[0] >= -TOLERANCE and remaining[1] >= -TOLERANCE
+    return remaining[0] >= -RESOURCE_TOLERANCE and remaining[1] >= -RESOURCE_TOLERANCE
 
 
 def guaranteed_jobs(context: ControllerContext, jobs: Iterable[TeamJob]) -> set[str]:
--- a/starlingdeck/scheduling/overload.py
+++ b/starlingdeck/scheduling/overload.py
@@ -37,7 +37,7 @@
 REFRESH_INTERVAL_S = 0.25  # interval between updates of the demand of the shards owned here
 OVERLOAD_HOLD_S = 10.0  # time until an overload ends after the last wait that began or prolonged it
 MAX_CLASS_NAME_LENGTH = 200  # a class name from a peer is cut off after this many characters
-MAX_PEER_LOADS = 1000  # maximum number of classes of one shard that are accepted from a peer
+MAX_PEER_CLASSES_PER_SHARD = 1000  # further classes in a peer's message are ignored
 MAX_PEER_AMOUNT = 1e12  # a peer's amount of a resource is malformed if it is not below this
 NEVER = -1e9  # a time before any other
 
@@ -103,7 +103,7 @@
                 (load.team, load.cls[:MAX_CLASS_NAME_LENGTH]): ClassDemand(
                     _valid_resources(load.running), _valid_resources(load.waiting)
                 )
-                for load in item.loads[:MAX_PEER_LOADS]
+                for load in item.loads[:MAX_PEER_CLASSES_PER_SHARD]
             }
             capacity = _valid_resources(item.capacity)
             report = ShardDemand(
--- a/starlingdeck/scheduling/planner.py
+++ b/starlingdeck/scheduling/planner.py
@@ -133,7 +133,10 @@
         )
 
     async def _yield_control(self) -> None:
-        """Let other tasks run if the cycle has run for long; state read before may be stale."""
+        """Let other tasks run if the cycle hasn't yielded for long.
+
+        State that was read before may be stale afterwards.
+        """
         if self.context.now() - self.running_since > MAX_RUN_WITHOUT_YIELD_S:
             await curio.sleep(0)
             self.running_since = self.context.now()
--- a/starlingdeck/scheduling/preemption.py
+++ b/starlingdeck/scheduling/preemption.py
@@ -70,7 +70,7 @@
 def cheapest_preemptions(
     job: Job, candidates: Sequence[Candidate], now: float, rng: Random
 ) -> list[Candidate]:
-    """Sort machines by the cost of a preemption there, cheapest first.
+    """Return the machines sorted by the cost of a preemption there, cheapest first.
 
     The cost is the image fetch and the run time lost. When machines were chosen at random, they
     stopped work that had run for half of its time, and on a full fleet a tenth of all work was
--- a/starlingdeck/scheduling/priority.py
+++ b/starlingdeck/scheduling/priority.py
@@ -66,7 +66,7 @@
 
 
 def priority_order(context: ControllerContext, jobs: Iterable[Job], now_ms: int) -> list[Job]:
-    """Sort jobs: guaranteed ones first, then by rank from the highest, then by `priority_key`."""
+    """Return sorted jobs: guaranteed first, then by rank, highest first, then by `priority_key`."""
 
     def key(job: Job) -> tuple[bool, int, bool, float, str]:
         late, slack_ms = priority_key(context, job, now_ms)
