--- a/starlingdeck/scheduling/accumulation.py
+++ b/starlingdeck/scheduling/accumulation.py
@@ -8,21 +8,21 @@
 from starlingdeck.scheduling.constraints import count_by_zone, task_filter, zone_filter
 from starlingdeck.scheduling.decision import PlacementDecision
 
-TOLERANCE = 1e-9  # sums of decimal amounts may be off by this
+RESOURCE_TOLERANCE = 1e-9  # sums of decimal amounts may be off by this
 
 
 def missing_share(job: Job, candidate: Candidate) -> float:
-    """Return the share of the resources in use on a machine that a task still lacks.
+    """Return what share of the resources in use on a machine must be released for a task to fit.
 
-    It is the largest share of any resource, and 0 if the task fits. The larger it is, the longer
-    the machine has to accumulate released resources.
+    It is the largest such share of any resource, and 0 if the task fits already. The larger it is,
+    the longer the machine has to accumulate released resources.
     """
     share = 0.0
     for size, available, capacity in zip(
         job.size, candidate.available, candidate.capacity, strict=True
     ):
-        if size > available + TOLERANCE:
-            share = max(share, (size - available) / max(capacity - available, TOLERANCE))
+        if size > available + RESOURCE_TOLERANCE:
+            share = max(share, (size - available) / max(capacity - available, RESOURCE_TOLERANCE))
     return share
 
 
@@ -42,7 +42,7 @@
         candidate
         for candidate in candidates
         if candidate.index not in accumulating
-        and min(candidate.available) >= -TOLERANCE
+        and min(candidate.available) >= -RESOURCE_TOLERANCE
         and fits(job.size, candidate.capacity)
     ]
     ordered = sorted(
--- a/starlingdeck/scheduling/demand_tracker.py
+++ b/starlingdeck/scheduling/demand_tracker.py
@@ -9,7 +9,7 @@
 from starlingdeck.protocol import peer_pb2 as pb
 from starlingdeck.scheduling.decision import JobTaskCount
 
-MAX_PUBLISHED_DEMANDS = 200  # jobs of a cycle
+MAX_PUBLISHED_DEMANDS = 200  # maximum number of jobs whose demand is published after a cycle
 DEMAND_EXPIRY_S = 5.0  # what a controller published longer ago than this is ignored
 
 
@@ -49,8 +49,8 @@
 
     def published(self) -> list[pb.Demand]:
         """Return the demand that this controller published last."""
-        own = self._by_node.get(self.context.node)
-        return own.demands if own is not None else []
+        latest = self._by_node.get(self.context.node)
+        return latest.demands if latest is not None else []
 
     def receive(self, node: int, demands: Iterable[pb.Demand]) -> None:
         """Record the demand that another controller published."""
