--- a/starlingdeck/counts/gossip.py
+++ b/starlingdeck/counts/gossip.py
@@ -16,7 +16,7 @@
 ) -> None:
     """Add this controller's first waiters, and its tasks with units that preemption may free."""
     names = context.resource_names
-    for (shard, resource), waiter in islice(queue.own.items(), MAX_ENTRIES):
+    for (shard, resource), waiter in islice(queue.own_waiters.items(), MAX_ENTRIES):
         gossip.resource_waiters.add(
             resource=names[resource],
             shard=shard,
--- a/starlingdeck/counts/headroom.py
+++ b/starlingdeck/counts/headroom.py
@@ -60,13 +60,13 @@
             for resource, at in self._deferred_since.items()
             if resource in self.cycle.deferred
         }
-        self.queue.own = self.cycle.waiters
+        self.queue.own_waiters = self.cycle.waiters
         self.cycle = AllocationCycle(planned=self.planned_units())
 
     def on_idle(self) -> None:
         """Clear the cycle and the queue of this controller: no task waits."""
         self._clear_due()
-        self.queue.own, self.cycle = {}, AllocationCycle()
+        self.queue.own_waiters, self.cycle = {}, AllocationCycle()
 
     def planned_units(self) -> dict[ShardResource, int]:
         """Return the units of unrecorded starts, less those of unrecorded ends."""
@@ -163,7 +163,7 @@
         """Return whether tasks of a shard wait for a resource, or were placed in this cycle."""
         key = (shard, resource)
         cycle = self.cycle
-        return key in self.queue.own or key in cycle.waiters or key in cycle.requested
+        return key in self.queue.own_waiters or key in cycle.waiters or key in cycle.requested
 
 
 def _planned_tasks(job: Job) -> int:
--- a/starlingdeck/counts/waiting_queue.py
+++ b/starlingdeck/counts/waiting_queue.py
@@ -71,7 +71,7 @@
         self.context = context
         self.writers = writers
         self.turn_ms = turn_s * MS_PER_S
-        self.own: dict[ShardResource, Waiter] = {}  # of the last complete scheduling cycle
+        self.own_waiters: dict[ShardResource, Waiter] = {}  # of the last complete scheduling cycle
         self.by_peer: dict[int, PeerWaiters] = {}
 
     def first_waiters(self, resource: int) -> Iterator[Waiter]:
@@ -83,7 +83,7 @@
                 waiters = peer.by_resource.get(resource, ())
                 yield from (w for w in waiters if w.shard not in self.writers)
         for shard in self.writers:
-            if (own := self.own.get((shard, resource))) is not None:
+            if (own := self.own_waiters.get((shard, resource))) is not None:
                 yield own
 
     def ahead_of(self, waiter: Waiter, resource: int) -> list[Waiter]:
@@ -97,6 +97,6 @@
     def is_wanted_elsewhere(self, key: ShardResource) -> bool:
         """Return whether a waiter of another shard goes before this shard's waiter, if any."""
         shard, resource = key
-        own = self.own.get(key)
+        own = self.own_waiters.get(key)
         others = [w for w in self.first_waiters(resource) if w.shard != shard]
         return any(own is None or outranks(other, own, self.turn_ms) for other in others)
--- a/starlingdeck/jobs/update_drafter.py
+++ b/starlingdeck/jobs/update_drafter.py
@@ -67,7 +67,7 @@
             return None
         limit = min(max_chunks, self.context.settings.settings.state.txn_ops)
         chunks = densest_chunks((*ends, *starts), limit)
-        return self.rewrite(job, chunks, _in_chunks(ends, chunks), _in_chunks(starts, chunks))
+        return self.draft_rewrite(job, chunks, _in_chunks(ends, chunks), _in_chunks(starts, chunks))
 
     def _draft_final(self, job: Job, state: str, ends: dict[int, int]) -> JobUpdate:
         """Draft the replacement of the job's unfinished record by its final one."""
@@ -117,7 +117,7 @@
         for task in expiring:
             del job.pending_starts[task]
 
-    def rewrite(
+    def draft_rewrite(
         self, job: Job, chunks: list[int], ends: dict[int, int], starts: dict[int, TaskPlacement]
     ) -> JobUpdate:
         """Draft the rewriting of `chunks` of a job's record, with `ends` and `starts` applied."""
@@ -150,7 +150,7 @@
             chunks.setdefault(index, []).append(number)
         jobs = [self.shard.jobs[index] for index in chunks if index in self.shard.jobs]
         return [
-            self.rewrite(job, chunks[job.index], {}, {})
+            self.draft_rewrite(job, chunks[job.index], {}, {})
             for job in jobs
             if not (job.stale or self.context.is_quarantined("job", job.id))
         ]
@@ -222,7 +222,7 @@
         limit = self._value_bytes - RESERVED_VALUE_BYTES
         for number in self._large_chunks(job, starts, limit):
             while tasks := [task for task in starts if task // TASKS_PER_CHUNK == number]:
-                (change,) = self.rewrite(job, [number], ends, starts).changes
+                (change,) = self.draft_rewrite(job, [number], ends, starts).changes
                 size = len(msgspec.json.encode(change))
                 if size <= limit:
                     break
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -434,7 +434,7 @@
     owner.accept(JOB, tasks=2 * TASKS_PER_CHUNK)
     owner.start(TASKS_PER_CHUNK, machine="vm-1")
     owner.flush()
-    chunk = owner.shard.drafter.rewrite(owner.job(), [1], {}, {})
+    chunk = owner.shard.drafter.draft_rewrite(owner.job(), [1], {}, {})
     owner.client.outcomes = ["late"]
     with pytest.raises(OutcomeUnknownError):
         curio.run(owner.writer._write, [chunk], False)
@@ -463,7 +463,7 @@
     owner.end(0, name=OTHER, error=api.CAUSE_ERROR)
     owner.flush()
     older, newer = owner.log_keys()
-    rewritten = owner.shard.drafter.rewrite(owner.job(OTHER), [0], {}, {})
+    rewritten = owner.shard.drafter.draft_rewrite(owner.job(OTHER), [0], {}, {})
     assert curio.run(owner.writer._write, [rewritten], False)
     dirty = [bool(slot.dirty) for _, slot in sorted(owner.shard.commit_log.slots.items())]
     assert dirty == [True, False]
@@ -499,7 +499,7 @@
         owner.flush(1)
     running = len(owner.recorded()[0])
     assert 32 < running < TASKS_PER_CHUNK
-    checkpoint = owner.shard.drafter.rewrite(owner.job(), [0], {}, {})
+    checkpoint = owner.shard.drafter.draft_rewrite(owner.job(), [0], {}, {})
     assert curio.run(owner.writer._write, [checkpoint], False)
     curio.run(owner.writer.cancel, owner.job())
     assert owner.job().cancelled
