--- a/starlingdeck/jobs/admission.py
+++ b/starlingdeck/jobs/admission.py
@@ -29,19 +29,19 @@
     """One kind of limit on starting tasks."""
 
     async def begin_cycle(self, jobs: Sequence[Job]) -> None:
-        """Called when a scheduling cycle begins; `jobs` have tasks to place and are in no order."""
+        """Begin a scheduling cycle; `jobs` have tasks to place and are in no order."""
 
     def headroom(self, job: Job) -> int:
         """Return how many more of the job's tasks may start; called in scheduling order."""
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Called when reservations are requested for `tasks` more of the job's tasks."""
+        """Take into account that reservations for `tasks` more tasks of the job are requested."""
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
         """Return every reason that applies now; empty if the next task may start."""
 
     def on_idle(self) -> None:
-        """Called when no task waits for placement."""
+        """Discard what was computed for waiting tasks: no task waits for placement."""
 
 
 class TransactionReservation(Protocol):
@@ -59,36 +59,36 @@
     def key_count(self) -> int:
         """Return how many keys are needed so far, in addition to the keys of the jobs' records.
 
-        Each is a condition of the transaction, and may be a change.
+        The transaction has a condition on each of these keys, and may also change it.
         """
 
     def conditions_and_changes(self) -> tuple[dict[str, int], list[api.Change]]:
-        """Return the conditions and changes for these keys; no update is added afterwards."""
+        """Return the conditions and changes on the plugin's keys; no update is added afterwards."""
 
     def on_committed(self, revision: int) -> None:
-        """Called when the transaction is durable; `revision` is the version of its keys."""
+        """Record that the transaction is durable; `revision` is the new version of its keys."""
 
     async def on_conflict(self, failed: list[str]) -> bool:
-        """Called when the conditions on the keys `failed` did not hold.
+        """Handle a refused transaction: the conditions on the keys `failed` did not hold.
 
         Return True if any of them belongs to the plugin; the transaction may then be retried.
         """
 
     def on_unknown_outcome(self) -> None:
-        """Called when the transaction was not answered: it may still be executed."""
+        """Record that the transaction was not answered: it may still be executed."""
 
 
 class DurablePlugin(AdmissionPlugin, Protocol):
     """A plugin whose grants are written in the transactions that start and end the tasks."""
 
-    prefix: str  # of the plugin's keys; the cluster's watch reports their changes
+    prefix: str  # prefix of the plugin's keys; the cluster's watch reports their changes
     path: str  # prefix of the paths of the operators' requests that the plugin answers
 
     def is_due(self) -> bool:
-        """Return whether a resource too scarce to wait for the next cycle was released."""
+        """Return whether scarce units were released, so that a cycle is run early."""
 
     def on_key_changed(self, key: str, value: bytes, version: int) -> None:
-        """Called when the cluster's watch reports a change to one of the plugin's keys."""
+        """Apply a change to one of the plugin's keys, reported by the cluster's watch."""
 
     def begin_transaction(self, shard: JobShard) -> TransactionReservation:
         """Return an empty reservation for the next transaction of this shard."""
@@ -157,7 +157,7 @@
         return [reason for plugin in self._all() for reason in plugin.wait_reasons(job)]
 
     def is_due(self) -> bool:
-        """Return whether a resource too scarce to wait for the next cycle was released."""
+        """Return whether scarce units were released, so that a cycle is run early."""
         return self.durable is not None and self.durable.is_due()
 
     async def rejection_reason(self, spec: api.JobSpec) -> str:
--- a/starlingdeck/jobs/attempt_evaluation.py
+++ b/starlingdeck/jobs/attempt_evaluation.py
@@ -1,8 +1,8 @@
 """Determines from the snapshots of machine shards which recorded attempts are over.
 
-An attempt ends only on proof: its task exited, its machine's lease expired, its machine is gone,
-its machine has a newer session, or the machine's owner has applied the desired state that names the
-attempt and doesn't report it.
+An attempt is ended only when one of these is proven: its task has exited, its machine's lease has
+expired, its machine no longer exists, its machine has a newer session, or the machine's owner has
+applied the desired state that contains the attempt but doesn't report the attempt.
 """
 
 import logging
@@ -26,11 +26,12 @@
 PROOF_LEASE_EXPIRED = "lease_expired"
 PROOF_NOT_STARTED = "not_started"
 
-MAX_BACKOFF_S = 60.0  # for a job that fails on every machine it runs on
+MAX_BACKOFF_S = 60.0  # maximum delay of a job that fails on every machine it runs on
 BACKOFF_BASE_S = 2.0
 MAX_BACKOFF_DOUBLINGS = 6
-BUSY_RETRY_S = 1.0  # after a machine was busy ("in_use") or didn't know the task ("no_such")
-NO_CAPACITY_RETRY_S = 0.2  # after a machine had no capacity left
+# Retry delay after a machine was busy ("in_use") or didn't know the task ("no_such").
+BUSY_RETRY_S = 1.0
+NO_CAPACITY_RETRY_S = 0.2  # retry delay after a machine had no capacity left
 
 
 class AttemptEvaluator:
@@ -43,14 +44,16 @@
     def apply_snapshot(self, snapshot: ShardSnapshot, touched: set[int] | None) -> bool:
         """Evaluate the attempts that a snapshot may say something new about.
 
-        These are the attempts on the machines in `touched` (None: on all machines), those on
-        machines proven gone, and those whose first publication the machines' owner has just
-        applied. Return True if anything changed.
+        These are the attempts on the machines in `touched` (None: on all machines), the attempts
+        on machines that are proven to be gone, and the attempts that were first sent in a
+        desired-state message which the machines' owner has just applied. Return True if anything
+        changed.
         """
         shard = self.shard
         outbox = shard.outboxes[snapshot.shard]
         token, seq = snapshot.applied_seqs.get(shard.shard, (0, 0))
-        # Only from the owner that the desired state was built for does absence prove anything.
+        # That an attempt is missing from a snapshot proves nothing unless the snapshot is from the
+        # owner for which the desired state was built.
         current = outbox.epoch == snapshot.epoch
         if current and token == shard.base_token:
             outbox.acked_seq = max(outbox.acked_seq, seq)
--- a/starlingdeck/jobs/commit_log.py
+++ b/starlingdeck/jobs/commit_log.py
@@ -48,8 +48,8 @@
     version: int = 0
     last: Position = LOG_START  # position of the newest commit
     commits: list[bytes] = []
-    size: int = 0  # of the commits, in bytes
-    dirty: set[ChunkId] = field(default_factory=set)  # chunks whose records lack a commit of this
+    size: int = 0  # size of the commits in bytes
+    dirty: set[ChunkId] = field(default_factory=set)  # chunks whose records lack a commit here
 
 
 class PreparedCommit(Struct):
@@ -61,7 +61,7 @@
     version: int  # the version that the key must have for the commit to be executed
     commits: list[bytes]  # all commits that the key is to hold, the new one last
     changes: list[JobChange]
-    jobs: list[int]
+    jobs: list[int]  # the index of the job of each change
 
     @property
     def value(self) -> msgspec.Raw:
@@ -88,7 +88,7 @@
         self.dirty_slots: defaultdict[ChunkId, set[int]] = defaultdict(set)
         # Job -> its changes in the log, for jobs whose records lack some of them.
         self.tail: defaultdict[str, list[LoggedChange]] = defaultdict(list)
-        self.unresolved: PreparedCommit | None = None  # sent, outcome unknown
+        self.unresolved: PreparedCommit | None = None  # a sent commit whose outcome is unknown
         self.durable: Position = LOG_START  # all commits up to here are applied in memory
 
     # --- what was read at a takeover
@@ -128,8 +128,8 @@
     def free_bytes(self, for_starts: bool = False) -> int:
         """Return how large the next commit may be, in bytes.
 
-        With `for_starts`, SLOTS_FOR_ENDS clean slots are left to ends: the slots of a job that has
-        ended become clean without its records being rewritten.
+        With `for_starts`, SLOTS_FOR_ENDS clean slots remain reserved for ends. Ends are preferred
+        because a job that has ended leaves its slots clean without a rewrite of its records.
         """
         clean = sum(1 for _ in self._clean_slots())
         if clean > (SLOTS_FOR_ENDS if for_starts else 0):
--- a/starlingdeck/jobs/desired_state.py
+++ b/starlingdeck/jobs/desired_state.py
@@ -25,7 +25,7 @@
 
         The message has all tasks if `full` is set or required, else the changes since the last
         message. Call this only while this controller certainly owns the job shard: the receiver
-        relies on no other cancellation having been made up to `watermark_ms`, a time by the
+        relies on having been sent every cancellation made up to `watermark_ms`, a time by the
         receiver's clock.
         """
         outbox = self.shard.outboxes[to_shard]
@@ -43,10 +43,10 @@
             watermark_ms=watermark_ms,
         )
         if full:
-            keys, numbers = self._all_task_keys(to_shard), {}
+            keys, positions = self._all_task_keys(to_shard), {}
         else:
-            keys, numbers = outbox.changed, self._add_changes(message, outbox)
-        self._add_tasks(message, outbox, keys, numbers)
+            keys, positions = outbox.changed, self._add_changes(message, outbox)
+        self._add_tasks(message, outbox, keys, positions)
         outbox.full = False
         outbox.changed, outbox.removed, outbox.changed_jobs = set(), set(), set()
         outbox.sent_at = self.context.now()
@@ -68,18 +68,18 @@
             message.removed.add(
                 job=context.job_names[index], task=task, machine=context.machine_names[machine]
             )
-        numbers: dict[int, int] = {}
+        positions: dict[int, int] = {}
         for index in outbox.changed_jobs & jobs.keys():
-            numbers[index] = len(message.jobs)
+            positions[index] = len(message.jobs)
             message.jobs.append(job_message(jobs[index]))
-        return numbers
+        return positions
 
     def _add_tasks(
-        self, message: pb.DesiredState, outbox: Outbox, keys: set[int], numbers: dict[int, int]
+        self, message: pb.DesiredState, outbox: Outbox, keys: set[int], positions: dict[int, int]
     ) -> None:
-        """Add tasks, and those of their jobs that have no position in the message yet.
+        """Add tasks, and those of their jobs that are not in the message yet.
 
-        `numbers` has these positions by job index, and is updated.
+        `positions` maps the index of each job in the message to its position, and is updated.
         """
         context, jobs = self.context, self.shard.jobs
         seq, to_epoch = outbox.seq, outbox.epoch
@@ -87,20 +87,20 @@
             index, task = split_key(key)
             job = jobs[index]
             placement = job.placements[task]
-            number = numbers.get(index)
-            if number is None:
-                number = numbers[index] = len(message.jobs)
+            position = positions.get(index)
+            if position is None:
+                position = positions[index] = len(message.jobs)
                 message.jobs.append(job_message(job))
             if placement.published_epoch != to_epoch:
                 placement.published_seq, placement.published_epoch = seq, to_epoch
                 outbox.unacked.append((seq, key))
             message.tasks.add(
-                job=number,
+                job=position,
                 task=task,
                 attempt=placement.attempt,
                 machine=context.machine_names[placement.machine],
                 session=placement.session,
-                # An attempt that is over is sent as one to stop until its end is recorded: a new
+                # Until the end of an attempt is recorded, the attempt is sent as one to stop. A new
                 # owner of the machine shard doesn't know that it was refused, and would start it.
                 stop=job.cancelled
                 or placement.target is not None
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -1,8 +1,8 @@
 """Group commit: the starts and ends of all of a shard's jobs, written together to its commit log.
 
-A commit writes one key, whatever the number of jobs in it. It is conditional on the version of the
-shard's key, on the versions of its jobs' records, and on the version that its own key had after the
-previous commit to it.
+A commit writes one key, no matter how many jobs it changes. The write is conditional on the
+version of the shard's key, on the versions of the jobs' records, and on the version that the
+written key had after the previous commit to it.
 """
 
 import logging
@@ -38,14 +38,14 @@
 
 
 class UncertainChunks(NamedTuple):
-    """Chunks of a job in which a commit that was sent completes tasks."""
+    """A job, and those of its chunks in which a commit that was sent completes tasks."""
 
     job: Job
     chunks: set[int]
 
 
 class Batch(Struct):
-    """What goes into the next commit."""
+    """The contents of the next commit."""
 
     updates: list[JobUpdate] = []
     changes: list[JobChange] = []
@@ -252,9 +252,9 @@
     async def settle(self) -> None:
         """Find out whether the last commit was executed. Raises StateError while that is unknown.
 
-        A commit that was not executed yet may still be executed at any time, also after newer
-        writes. So its key is first rewritten without it: then its condition on the key's version
-        can't hold any more.
+        A commit that has not been executed may still be executed at any time, even after newer
+        writes. Its key is therefore rewritten without the commit. After that the commit's condition
+        on the key's version can no longer hold.
         """
         commit = self.shard.commit_log.unresolved
         if commit is None:
@@ -300,7 +300,7 @@
     def checkpoint_due(self) -> bool:
         """Return whether records have to be rewritten so that segments can be reused or deleted.
 
-        Once the log is not written any more, that holds until no record lacks any of its changes.
+        Once group commit is switched off, this holds until the records have all changes of the log.
         """
         commit_log = self.shard.commit_log
         return commit_log.checkpoint_due() if self.settings is not None else not commit_log.is_clean
@@ -308,7 +308,7 @@
     def obsolete_segments(self, limit: int) -> dict[str, int]:
         """Return up to `limit` segments to delete, as key -> version.
 
-        There are none as long as the log is written, or any record lacks some of its changes.
+        There are none while group commit is in use, or while any record lacks changes of the log.
         """
         commit_log = self.shard.commit_log
         if self.settings is not None or commit_log.is_empty or not commit_log.is_clean:
--- a/starlingdeck/jobs/job.py
+++ b/starlingdeck/jobs/job.py
@@ -13,7 +13,7 @@
 from starlingdeck.storage.records import TASKS_PER_CHUNK
 
 PENDING, PLACED, DONE = range(3)  # values of `Job.task_states`
-NEVER_EXPIRES = 1e18
+NEVER_EXPIRES = 1e18  # later than any time of the local clock
 MIN_URGENT_RANK = 2  # from this rank on, starts are as urgent as accepting a submission
 
 
@@ -65,11 +65,12 @@
     reserving: dict[int, int] = field(default_factory=dict)  # task -> zone of the requested machine
     retry_at: dict[int, float] = field(default_factory=dict)
     avoided_machines: dict[int, set[int]] = field(default_factory=dict)
-    failed_on: set[int] = field(default_factory=set)  # machines
+    failed_on: set[int] = field(default_factory=set)  # machines where its tasks have failed
     errors: int = 0
-    # Tasks that requested capacity on a machine that has their image.
+    # Tasks that have requested preemption on a machine because it has their image.
     preemption_tried: set[int] = field(default_factory=set)
-    nominated: dict[int, tuple[int, float]] = field(default_factory=dict)  # task -> machine, until
+    # Task -> its nominated machine, and the time at which the nomination ends.
+    nominated: dict[int, tuple[int, float]] = field(default_factory=dict)
     accumulating: set[int] = field(default_factory=set)  # nominated tasks that preempt nothing
     backoff_until: float = 0.0
     completed: int = 0
@@ -79,7 +80,8 @@
     stale: bool = False  # the record has to be read again before it is written
     # The job's end or cancellation was sent: it may be recorded without this controller knowing.
     outcome_unknown: bool = False
-    # Chunks for which a write that completes tasks was sent: more may be recorded as done.
+    # Chunks for which a write that completes tasks was sent: more of their tasks may be recorded as
+    # done than are known here.
     uncertain_chunks: set[int] = field(default_factory=set)
     first_pending: int = 0
     guaranteed: bool = False
@@ -112,13 +114,13 @@
         """Return up to `limit` tasks that wait for a machine."""
         if self.cancelled or self.terminal_state:
             return []
-        found: list[int] = []
+        tasks: list[int] = []
         task = self.first_pending = self._next_pending(self.first_pending)
-        while task < self.spec.tasks and len(found) < limit:
+        while task < self.spec.tasks and len(tasks) < limit:
             if task not in self.pending_starts and task not in self.reserving:
-                found.append(task)
+                tasks.append(task)
             task = self._next_pending(task + 1)
-        return found
+        return tasks
 
     def _next_pending(self, first: int) -> int:
         """Return the first pending task from `first` on; the number of tasks if there is none."""
@@ -132,7 +134,7 @@
         return [task for task in self.pending(limit) if self.retry_at.get(task, 0.0) <= now]
 
     def unknown_done(self, number: int, bits: int) -> int:
-        """Return how many tasks of chunk `number` are done by the bitmap `bits`, but not here."""
+        """Return how many tasks of chunk `number` are done in `bits`, a bitmap, but not here."""
         first = number * TASKS_PER_CHUNK
         known = int(records.encode_completed(self.task_states, first, DONE) or "0", 16)
         return (bits & ~known).bit_count()
@@ -143,7 +145,7 @@
 
 
 def new_job(context: ControllerContext, spec: JobSpec, shard: int, at_ms: int) -> Job:
-    """Create a job none of whose tasks has been placed; `at_ms` is when it was submitted."""
+    """Create a job without placed tasks; `at_ms` is when it was submitted."""
     tasks = spec.tasks
     return Job(
         index=context.job_names.intern(spec.id),
--- a/starlingdeck/jobs/job_shard.py
+++ b/starlingdeck/jobs/job_shard.py
@@ -30,7 +30,10 @@
     """The jobs of one shard, while this controller owns it."""
 
     def __init__(self, context: ControllerContext, shard: int, token: int, epoch: int) -> None:
-        """Create an empty shard; `token` is the shard key's version, `epoch` this ownership's."""
+        """Create an empty shard.
+
+        `token` is the version of the shard's key, `epoch` the epoch of this ownership.
+        """
         self.context = context
         self.shard = shard
         self.token = token  # the shard key's version: rises whenever the key is written
@@ -77,7 +80,7 @@
                 self.remove_placement(job, task)
 
     def schedule_key_deletion(self, keys: Iterable[str]) -> None:
-        """Schedule the deletion of finished arrays' chunks: every takeover reads what is left."""
+        """Schedule the deletion of finished arrays' chunks, because takeovers read all chunks."""
         due = self.context.now() + OBSOLETE_KEY_RETENTION_S
         for key in keys:
             self.obsolete_keys.setdefault(key, due)
@@ -85,8 +88,9 @@
     def record_terminal_state(self, name: str, state: str, completed: int) -> None:
         """Record that a job is over, and drop the oldest finished jobs beyond MAX_TERMINAL_JOBS.
 
-        They are dropped here because every finished job passes here. When only a query for an
-        unknown job dropped them, a day's jobs were kept at four one-task jobs per second.
+        They are dropped here because this is called for every finished job. When they were dropped
+        only by queries for unknown jobs, all jobs of a day were kept at a rate of four one-task
+        jobs per second.
         """
         self.terminal_states[name], self.terminal_completed[name] = state, completed
         while len(self.terminal_states) > MAX_TERMINAL_JOBS:
@@ -133,7 +137,7 @@
             self.outboxes[shard].changed_jobs.add(job.index)
 
     def unresolved_cancellations(self) -> dict[int, float]:
-        """Return jobs whose cancellation was sent with unknown outcome -> when it was sent.
+        """Return the jobs whose cancellation has an unknown outcome, with the time of sending.
 
         Such a job may be recorded as cancelled, and other controllers may report it so, without
         this controller knowing.
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -134,7 +134,7 @@
         return job
 
     async def reload(self, name: str) -> Job | None:
-        """Read a job again whose record may have changed; return None if it is over.
+        """Reread a job whose record may have changed; return None if it is over.
 
         Raises StateError when it can't be read.
         """
@@ -173,7 +173,7 @@
             self.shard.record_terminal_state(name, value.state, value.completed)
 
     async def reload_stale(self) -> None:
-        """Read all jobs again that are marked as stale."""
+        """Reread all jobs that are marked as stale."""
         for job in [job for job in self.shard.jobs.values() if job.stale]:
             await self.reload(job.id)
 
@@ -181,8 +181,8 @@
 def _keep_observed(job: Job, old: Job, version: int) -> None:
     """Copy observations of recorded attempts, failures and uncertain outcomes from `old` to `job`.
 
-    `version` is that of the record from which `job` was read. Outcomes stay uncertain only while
-    the keys that were written have the same versions as in `old`.
+    `version` is that of the record from which `job` was read. The outcome of a write stays
+    uncertain only while the keys that it changes have the same versions as in `old`.
     """
     for task, placement in job.placements.items():
         before = old.placements.get(task)
--- a/starlingdeck/jobs/log_reader.py
+++ b/starlingdeck/jobs/log_reader.py
@@ -20,7 +20,7 @@
     """Reads a shard's log once for all callers that ask while the previous read is in progress.
 
     No caller gets the result of a read that began before its call: such a result may lack a commit
-    that the user has already been told of.
+    whose effect has already been reported to a user.
     """
 
     def __init__(self) -> None:
--- a/starlingdeck/jobs/mailbox.py
+++ b/starlingdeck/jobs/mailbox.py
@@ -36,17 +36,19 @@
         The watch for changes ignored the newer ones while the shard wasn't loaded.
         """
         shard = writer.shard.shard
-        known = {entry.key: entry.version for entry in before}
+        versions_before = {entry.key: entry.version for entry in before}
         limit = self.context.settings.settings.state.txn_ops
         try:
             prefix = records.mailbox_key(shard, "")
             entries, _ = await writer.state.read(prefix)
-            found = {entry.key: entry.version for entry in entries}
-            old = [key for key, version in found.items() if known.get(key) == version]
-            for key in found.keys() - set(old):
-                await self.handle_entry(writer, key[len(prefix) :], key, found[key])
+            versions_now = {entry.key: entry.version for entry in entries}
+            old = [
+                key for key, version in versions_now.items() if versions_before.get(key) == version
+            ]
+            for key in versions_now.keys() - set(old):
+                await self.handle_entry(writer, key[len(prefix) :], key, versions_now[key])
             for first in range(0, len(old), limit):
-                versions = {key: found[key] for key in old[first : first + limit]}
+                versions = {key: versions_now[key] for key in old[first : first + limit]}
                 if not await self._drop(writer, versions, False):
                     break
         except (StateError, TransactionConflictError) as error:
@@ -57,8 +59,8 @@
         """Delete handled entries; return False if this controller doesn't own the shard any more.
 
         The deletion is conditional on the ownership, because the controller that cancelled a job
-        answers its user once the entry is gone. Otherwise a former owner that hung during a
-        takeover could delete the entry before the new owner had handled it.
+        answers the user as soon as the entry has been deleted. Without the condition, a former
+        owner that hung during a takeover could delete the entry before the new owner handled it.
         """
         shard_key = records.shard_key(writer.shard.shard)
         deletions = [delete_change(key) for key in versions]
@@ -76,7 +78,7 @@
             return True
 
     async def handle_entry(self, writer: RecordWriter, name: str, key: str, version: int) -> None:
-        """Read a job again that another controller created or cancelled, and delete its entry.
+        """Reread a job that another controller created or cancelled, and delete its entry.
 
         If the entry is being handled already, only its newest version is noted. After a failure
         all entries are read again, and without this each such read started another coroutine for
--- a/starlingdeck/jobs/outbox.py
+++ b/starlingdeck/jobs/outbox.py
@@ -11,11 +11,11 @@
     acked_seq: int = 0  # number of the last message that the owner has applied
     sent_at: float = -1e9
     full: bool = True  # the next message has to contain every task
-    changed: set[int] = field(default_factory=set)  # task keys
-    removed: set[tuple[int, int]] = field(default_factory=set)  # task key, machine
+    changed: set[int] = field(default_factory=set)  # keys of tasks to send
+    removed: set[tuple[int, int]] = field(default_factory=set)  # (key of a task, its machine)
     changed_jobs: set[int] = field(default_factory=set)  # jobs whose description has changed
-    # Tasks whose first publication is not acknowledged, as (number of the first message with the
-    # task, task key). Plain tuples, because one is created for every task published.
+    # Tasks that the owner has not acknowledged yet, as (number of the first message with the task,
+    # task key). The items are plain tuples for speed: one is created for every task published.
     unacked: list[tuple[int, int]] = field(default_factory=list)
 
     @property
--- a/starlingdeck/jobs/record_writer.py
+++ b/starlingdeck/jobs/record_writer.py
@@ -24,9 +24,9 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_WAIT_S = 0.25  # until the next flush when no change waits for a commit
-MIN_WAIT_S = 0.005  # until the next flush when a due commit exceeds the write budget
-POLL_INTERVAL_S = 0.05  # between checks for urgent changes while the write budget is used up
+IDLE_WAIT_S = 0.25  # wait before the next flush when no change waits for a commit
+MIN_WAIT_S = 0.005  # wait before the next flush when a due commit exceeds the write budget
+POLL_INTERVAL_S = 0.05  # interval of checks for urgent changes while the write budget is used up
 
 
 class RecordWriter:
@@ -56,7 +56,7 @@
         await self.loader.load()
 
     async def reload(self, name: str) -> Job | None:
-        """Read a job again whose record may have changed."""
+        """Reread a job whose record may have changed."""
         return await self.loader.reload(name)
 
     async def flush(self) -> bool:
@@ -64,7 +64,7 @@
 
         The changes are selected only when the write budget has room for them. When they were
         selected before the wait, each start of a job was a write of its own, urgent starts waited
-        behind changes selected earlier, and a cancellation waited for the lock during all of it.
+        behind changes selected earlier, and a cancellation waited for the lock all that time.
         """
         async with self.lock:
             if self.ownership_lost or not self.shard.loaded:
@@ -190,7 +190,7 @@
         urgent: bool,
         reservation: TransactionReservation | None = None,
     ) -> bool:
-        """Write updates and apply them; return False if refused and flushing is to stop."""
+        """Write and apply updates; return False if they are refused and flushing has to stop."""
         conditions, changes = self._prepare(updates)
         if reservation is not None:
             more_conditions, more_changes = reservation.conditions_and_changes()
@@ -202,8 +202,9 @@
         except TransactionConflictError as error:
             return await self._on_conflict(error, token, updates, reservation)
         except OutcomeUnknownError:
-            # The transaction may have been executed or may still be. The records are read again,
-            # and the versions that the next write requires decide between the two.
+            # The transaction may have been executed, or may be executed later. The records are read
+            # again, and the next write requires the versions that were read: if the transaction is
+            # executed before that write, the write is refused; after it, the transaction is.
             for update in updates:
                 update.job.stale = True
             if reservation is not None:
--- a/starlingdeck/jobs/update_drafter.py
+++ b/starlingdeck/jobs/update_drafter.py
@@ -20,11 +20,11 @@
     from starlingdeck.jobs.job_shard import JobShard
 
 MAX_CHUNKS_PER_UPDATE = 3
-RESERVED_VALUE_BYTES = 200  # of a value, not used by starts: an end or cancellation still fits
+RESERVED_VALUE_BYTES = 200  # left free by starts, so that an end or a cancellation still fits
 PLACEMENT_BYTES = 45  # size of a placement in a record, without the machine's and zone's names
-MAX_CHUNK_OVERHEAD_BYTES = 3000  # of a chunk, without placements and the job's description
-PUBLISH_DELAY_S = 0.3  # from drafting a start until the machine's owner receives it
-VALUE_RETRY_S = 1.0  # until starts for which a value had no room are placed again
+MAX_CHUNK_OVERHEAD_BYTES = 3000  # size of a chunk without placements and the job's description
+PUBLISH_DELAY_S = 0.3  # time from drafting a start until the machine's owner receives it
+VALUE_RETRY_S = 1.0  # delay before starts for which a value had no room are placed again
 
 Value = TypeVar("Value")
 
@@ -45,7 +45,8 @@
     def terminal_state_of(self, job: Job) -> str:
         """Return the job's terminal state once its pending ends are written; "" if it goes on."""
         if job.cancelled:
-            # The user has been told of the cancellation: it holds even if every task completed.
+            # The cancellation may have been confirmed to the user: it holds even if every task has
+            # completed.
             ends = sum(1 for task in job.pending_ends if task in job.placements)
             return "" if len(job.placements) > ends else api.CANCELLED
         return api.DONE if self._completed_tasks(job) == job.spec.tasks else ""
--- a/starlingdeck/jobs/write_batch.py
+++ b/starlingdeck/jobs/write_batch.py
@@ -21,15 +21,15 @@
 OVERDUE_BATCH_PERIOD = 3
 RECENT_CHANGES_HALF_LIFE_S = 5.0  # half-life of the count of changes that a team has written
 BATCHING_WAIT_S = 0.05  # how long a job's first start waits for the job's other reservations
-LONG_AGO = -1e9
+LONG_AGO_S = -1e9  # earlier than any time of the local clock
 
 
 class WriteBatch(NamedTuple):
-    """What to write now; or nothing, and how long until the write budget has room."""
+    """What to write now. `wait_s` is the time until the write budget has room, if it has none."""
 
     updates: list[JobUpdate]
     wait_s: float
-    urgent: bool  # whether it may use the requests reserved for urgent writes
+    urgent: bool  # whether the write may use the requests reserved for urgent writes
 
 
 class DraftedUpdate(NamedTuple):
@@ -207,7 +207,7 @@
         """
         limit = self.context.settings.settings.state.value_kb * 1000
         with_starts = self.group_commit.may_start()
-        # The ledgers of the job's counts need room in the same transaction.
+        # The ledgers of the job's counted resources have to fit into the same transaction.
         max_chunks = 1 if job.resource_needs else MAX_CHUNKS_PER_UPDATE
         update = self.shard.draft_update(job, max_chunks, with_starts)
         while update is not None:
@@ -228,16 +228,16 @@
 
 
 def first_start_at(job: Job) -> float:
-    """Return when the first of the pending starts was granted; LONG_AGO when there are none."""
+    """Return when the first of the pending starts was granted; LONG_AGO_S if there are none."""
     return min(
-        (placement.state_since for placement in job.pending_starts.values()), default=LONG_AGO
+        (placement.state_since for placement in job.pending_starts.values()), default=LONG_AGO_S
     )
 
 
 def has_urgent_change(update: JobUpdate) -> bool:
     """Return whether an update records an urgent start.
 
-    When many jobs came at once, submissions used up the write budget, and replicas waited 1 to 3 s
-    for the record of their start, out of the 2 s that they have.
+    When many jobs were submitted at once, the submissions used up the write budget. Replicas then
+    waited 1 to 3 s for their start to be recorded, out of the 2 s that they have to start.
     """
     return bool(update.pending_starts) and update.job.spec.rank >= MIN_URGENT_RANK
