--- a/starlingdeck/admission/quota.py
+++ b/starlingdeck/admission/quota.py
@@ -31,8 +31,9 @@
     """The shares of all teams as this controller last read them."""
 
     context: ControllerContext
-    shares: dict[int, list[ResourceAmount]] = field(default_factory=dict)  # by team, then shard
-    versions: dict[int, int] = field(default_factory=dict)  # of each team's key
+    # Team -> the shares of all shards, in the order of the shards.
+    shares: dict[int, list[ResourceAmount]] = field(default_factory=dict)
+    versions: dict[int, int] = field(default_factory=dict)  # team -> version of its key
     # (team, shard) -> its share after a transfer whose outcome is not known yet.
     pending_transfers: dict[tuple[int, int], ResourceAmount] = field(default_factory=dict)
 
@@ -42,16 +43,16 @@
         return ResourceAmount(item.cpus_max or UNLIMITED, item.gpus_max or UNLIMITED)
 
     def split(self, team: int) -> list[ResourceAmount]:
-        """Return a team's shares as last read; equal ones while its key has never been written."""
+        """Return a team's shares as last read, or equal shares if its key has not been written."""
         cpus, gpus = self.limit(team)
         n = self.context.shard_count
         return self.shares.get(team, [ResourceAmount(cpus / n, gpus / n)] * n)
 
     def share(self, team: int, shard: int) -> ResourceAmount:
         """Return the amount that a shard may use for a team now."""
-        own = self.split(team)[shard]
-        remaining = self.pending_transfers.get((team, shard), own)
-        return ResourceAmount(min(own[0], remaining[0]), min(own[1], remaining[1]))
+        recorded = self.split(team)[shard]
+        remaining = self.pending_transfers.get((team, shard), recorded)
+        return ResourceAmount(min(recorded[0], remaining[0]), min(recorded[1], remaining[1]))
 
     def record_shares(self, team: int, shares: Sequence[tuple[float, float]], version: int) -> None:
         """Record the shares read from a team's key, if their version is newer.
@@ -72,22 +73,23 @@
     ) -> list[ResourceAmount] | None:
         """Begin a transfer and return the team's shares after it; None if there is nothing to give.
 
-        The giver gives up to `need` of what exceeds `withheld`. Until `end_transfer` it has only
-        the share that the transfer leaves it, whatever the outcome of the write.
+        The giver gives up to `need` from the part of its share above `withheld`. Until
+        `end_transfer` is called, the giver may use at most its share after the transfer, even if
+        the write fails.
         """
         if giver == receiver or (team, giver) in self.pending_transfers:
             return None
-        own = self.split(team)[giver]
+        giver_share = self.split(team)[giver]
         given = [
             max(0.0, min(n, o - w)) if limit < UNLIMITED else 0.0
-            for n, o, w, limit in zip(need, own, withheld, self.limit(team), strict=True)
+            for n, o, w, limit in zip(need, giver_share, withheld, self.limit(team), strict=True)
         ]
         if sum(given) <= EPSILON:
             return None
         after = list(self.split(team))
-        after[giver] = ResourceAmount(own[0] - given[0], own[1] - given[1])
-        before = after[receiver]
-        after[receiver] = ResourceAmount(before[0] + given[0], before[1] + given[1])
+        after[giver] = ResourceAmount(giver_share[0] - given[0], giver_share[1] - given[1])
+        receiver_share = after[receiver]
+        after[receiver] = ResourceAmount(receiver_share[0] + given[0], receiver_share[1] + given[1])
         self.pending_transfers[(team, giver)] = after[giver]
         return after
 
--- a/starlingdeck/admission/quota_demand.py
+++ b/starlingdeck/admission/quota_demand.py
@@ -1,4 +1,4 @@
-"""What the shards of this controller use of each team's quota, and how much more they need."""
+"""Computes how much quota each team uses at this controller's shards, and how much it lacks."""
 
 from collections.abc import Mapping, Sequence
 
@@ -7,8 +7,8 @@
 from starlingdeck.jobs.job import Job
 from starlingdeck.jobs.record_writer import RecordWriter
 
-ROUNDING = 1e-9  # tolerance when a task is fitted into what is left of a share
-MAX_DEMAND_TASKS_PER_JOB = 1000  # waiting tasks that count as demand
+ROUNDING_TOLERANCE = 1e-9  # tolerance when a task is fitted into what is left of a share
+MAX_DEMAND_TASKS_PER_JOB = 1000  # limit on the waiting tasks that count as demand
 
 TeamShard = tuple[int, int]
 
@@ -23,10 +23,11 @@
         self.quota = quota
         self.writers = writers
         self.shortages: dict[TeamShard, ResourceAmount] = {}
-        self.task_sizes: dict[TeamShard, set[ResourceAmount]] = {}  # of the waiting tasks
-        # (epoch of the shard, team) -> use: computed once per cycle, then added to with each
-        # placement decision; what is released meanwhile counts from the next cycle on. Keyed by
-        # epoch, so that a shard acquired again during a cycle is computed again.
+        self.task_sizes: dict[TeamShard, set[ResourceAmount]] = {}  # sizes of waiting tasks
+        # (epoch of the shard, team) -> use. Computed once per cycle, and increased by each
+        # placement decision; what is released meanwhile counts from the next cycle on. The key
+        # contains the epoch, so that the use is computed again if a shard is reacquired during a
+        # cycle.
         self._use_cache: dict[tuple[int, int], ResourceAmount] = {}
 
     def is_limited(self, team: int) -> bool:
@@ -57,7 +58,7 @@
             (job.spec.cpus, job.spec.gpus), share, used, strict=True
         ):
             if size > 0:
-                headroom = min(headroom, int((available - in_use) / size + ROUNDING))
+                headroom = min(headroom, int((available - in_use) / size + ROUNDING_TOLERANCE))
         return max(0, headroom)
 
     def add_requested(self, job: Job, tasks: int) -> None:
@@ -125,9 +126,9 @@
         team is below its limit by more than a task. Remainders therefore move to the shard where
         the smallest task waits (of equal ones, the lowest shard). That task starts if any can,
         and no remainder moves back, as transfers don't change the order of shards. The giver
-        withholds as much as its largest waiting task that the share can hold. Otherwise that
-        much, released piece by piece as the shard's own work ends, would go to small tasks
-        elsewhere.
+        withholds the size of the largest of its waiting tasks that fits into its whole share.
+        Otherwise this quota, which becomes free gradually as tasks of the shard end, would go to
+        small tasks elsewhere.
         """
         used = self.used(giver, team)
         if (team, giver) not in self.shortages:
@@ -136,10 +137,12 @@
         if not sizes or not any(task) or (task, receiver) >= (min(sizes), giver):
             return None
         share = self.quota.share(team, giver)
-        free = ResourceAmount(share.cpus - used.cpus + ROUNDING, share.gpus - used.gpus + ROUNDING)
+        free = ResourceAmount(
+            share.cpus - used.cpus + ROUNDING_TOLERANCE, share.gpus - used.gpus + ROUNDING_TOLERANCE
+        )
         if any(_fits(size, free) for size in sizes):
             return None
-        share = ResourceAmount(share.cpus + ROUNDING, share.gpus + ROUNDING)
+        share = ResourceAmount(share.cpus + ROUNDING_TOLERANCE, share.gpus + ROUNDING_TOLERANCE)
         fitting = [size for size in sizes if _fits(size, share)]
         return ResourceAmount(
             max(used.cpus, max((size.cpus for size in fitting), default=0.0)),
--- a/starlingdeck/admission/quota_transfer.py
+++ b/starlingdeck/admission/quota_transfer.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-MIN_RETRY_S = 0.5  # before a failed request is repeated; a random part is added
+MIN_RETRY_S = 0.5  # wait before a failed request is repeated; a random part is added
 MAX_RETRY_JITTER_S = 0.5
 
 
@@ -62,7 +62,7 @@
         return self.demand.headroom(job)
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Count the quota of that many more tasks of a job as used."""
+        """Count the quota of `tasks` more tasks of a job as used."""
         self.demand.add_requested(job, tasks)
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
@@ -139,7 +139,7 @@
         await self.wake.set()
 
     async def _invalidate_late_write(self, key: str, team: int) -> None:
-        """Rewrite the key unchanged, so that a transfer still on its way fails its condition."""
+        """Rewrite the key unchanged, so that a transfer that is still on its way is refused."""
         while True:
             try:
                 version = self.quota.versions.get(team, 0)
--- a/starlingdeck/counts/allocation.py
+++ b/starlingdeck/counts/allocation.py
@@ -1,4 +1,4 @@
-"""Allocates units to starts and frees those of ends, in the transactions of a job shard."""
+"""Allocates units to starting tasks and frees those of ended ones, in a shard's transactions."""
 
 import logging
 from collections.abc import Callable
@@ -16,8 +16,8 @@
 log = logging.getLogger(__name__)
 
 MAX_WITHHELD_S = 1.0  # how long a start waits for its units before its reservation is given up
-WITHHELD_RETRY_S = 0.1  # before the task of such a start is placed again
-MAX_RELEASE_TIMES_PER_RESOURCE = 200  # ends remembered for the latency "unit idle"
+WITHHELD_RETRY_S = 0.1  # delay before the task of such a start is placed again
+MAX_RELEASE_TIMES_PER_RESOURCE = 200  # times of ends kept for the latency "unit idle"
 
 
 class _Savepoint(NamedTuple):
@@ -28,10 +28,11 @@
 
 
 class LedgerTransaction:
-    """A `TransactionReservation` that keeps the units in use within those allocated to the shard.
+    """A `TransactionReservation` that lets a shard use no more units than are allocated to it.
 
-    The version of every ledger that a start depends on is a condition of the transaction. The
-    ledger is changed in the same transaction if the shard's allocation must grow or can shrink.
+    The version of every ledger that a start depends on is a condition of the transaction. The same
+    transaction writes the ledger if the shard needs more units than are allocated to it, or if it
+    releases units.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         job.withheld = frozenset()
         if not (job.resource_needs and job.pending_starts) or job.cancelled:
             return
-        # Only the lowest chunk is sure to be written: ends in others may free nothing yet.
+        # Only the lowest chunk is sure to be written: ends in other chunks may free no units yet.
         chunk = min(t // TASKS_PER_CHUNK for t in (*job.pending_ends, *job.pending_starts))
         ends = sum(t in job.placements and t // TASKS_PER_CHUNK == chunk for t in job.pending_ends)
         startable = min(
@@ -76,7 +77,7 @@
         job.withheld = frozenset(withheld) & job.pending_starts.keys()
 
     def _startable(self, resource: int, units: int, ends: int) -> int:
-        """Return how many tasks of `units` units each may start while `ends` such tasks end."""
+        """Return how many tasks of `units` units each may start if `ends` such tasks end."""
         ledger = self._ledger(resource)
         if ledger is None or self.store.is_uncertain(self.shard.shard, resource):
             return 0
@@ -111,7 +112,7 @@
         return ledger.removed or over_ceiling or not self._is_needed_here(resource)
 
     def _is_needed_here(self, resource: int) -> bool:
-        """Return whether tasks of this shard wait for units of a resource or are about to start."""
+        """Return whether tasks of this shard wait for a resource or are about to start with it."""
         if self.is_wanted(self.shard.shard, resource):
             return True
         jobs = self.shard.jobs
@@ -191,7 +192,7 @@
                 self.store.context.latencies.record("unit idle", now - released_at.pop(0))
 
     async def on_conflict(self, failed: list[str]) -> bool:
-        """Read the ledgers among the failed conditions again; return True if there were any."""
+        """Reread the ledgers whose conditions failed; return True if there were any."""
         return await self.store.reread_failed(failed)
 
     def on_unknown_outcome(self) -> None:
--- a/starlingdeck/counts/declaration.py
+++ b/starlingdeck/counts/declaration.py
@@ -11,7 +11,7 @@
 log = logging.getLogger(__name__)
 
 FIRST_REVISION = 1
-AUTHOR = "declared"  # of the first change in a declared resource's history
+AUTHOR = "declared"  # author of the first change in a declared resource's history
 
 
 class LedgerDeclaration:
--- a/starlingdeck/counts/gossip.py
+++ b/starlingdeck/counts/gossip.py
@@ -8,13 +8,15 @@
 from starlingdeck.interning import InternTable
 from starlingdeck.protocol import peer_pb2 as pb
 
-MAX_ENTRIES = 200  # waiters sent per message, uses sent per resource, either received per message
+# Limit on the waiters sent per message, on the uses sent per resource, and on the waiters and the
+# uses accepted per message.
+MAX_ENTRIES = 200
 
 
 def add_to_gossip(
     context: ControllerContext, queue: WaitingQueue, preemption: UnitPreemption, gossip: pb.Gossip
 ) -> None:
-    """Add this controller's first waiters, and its tasks with units that preemption may free."""
+    """Add this controller's first waiters, and its tasks whose units preemption may free."""
     names = context.resource_names
     for (shard, resource), waiter in islice(queue.own_waiters.items(), MAX_ENTRIES):
         gossip.resource_waiters.add(
--- a/starlingdeck/counts/headroom.py
+++ b/starlingdeck/counts/headroom.py
@@ -14,16 +14,21 @@
 
 
 class AllocationCycle(Struct):
-    """The units still available in a scheduling cycle, and the shards that found too few."""
+    """The units still available in a scheduling cycle, and the tasks that found too few."""
 
-    unused: dict[ShardResource, int] = field(default_factory=dict)  # allocated and not in use
-    # resource -> units allocated to no shard; negative: excess over the ceiling
+    # Units allocated to a shard that it does not use.
+    unused: dict[ShardResource, int] = field(default_factory=dict)
+    # Resource -> units allocated to no shard; negative if the ceiling is exceeded.
     unallocated: dict[int, int] = field(default_factory=dict)
-    reserved: dict[int, int] = field(default_factory=dict)  # units, for tasks that need several
+    # Resource -> units reserved for tasks that need several.
+    reserved: dict[int, int] = field(default_factory=dict)
     planned: dict[ShardResource, int] = field(default_factory=dict)  # see `planned_units`
-    waiters: dict[ShardResource, Waiter] = field(default_factory=dict)  # first to find too few
-    deferred: set[int] = field(default_factory=set)  # resources left to waiters of other shards
-    requested: set[ShardResource] = field(default_factory=set)  # for tasks placed in this cycle
+    # The first task of each shard that found too few units of a resource.
+    waiters: dict[ShardResource, Waiter] = field(default_factory=dict)
+    # Resources of which units are left to waiters of other shards.
+    deferred: set[int] = field(default_factory=set)
+    # Shards and resources of the tasks that were placed in this cycle.
+    requested: set[ShardResource] = field(default_factory=set)
 
 
 class UnitHeadroom:
@@ -37,7 +42,8 @@
         self.settings = settings
         self.cycle = AllocationCycle()
         self._short_since: dict[int, float] = {}  # job -> since when it finds too few units
-        self._deferred_since: dict[int, float] = {}  # resource -> since when others go first
+        # Resource -> since when units of it are left to waiters of other shards.
+        self._deferred_since: dict[int, float] = {}
 
     def is_due(self) -> bool:
         """Return whether units became free since the last cycle."""
@@ -128,8 +134,9 @@
     def _record_shortage(self, job: Job) -> None:
         """Record that a job found too few units.
 
-        For a task that needs several, units that become free are reserved in every other period
-        of `reserve_s`. In the periods between, tasks that need fewer may use them.
+        If each of its tasks needs several units, free units are reserved for them during every
+        other period of `reserve_s` seconds. In the periods between, tasks that need fewer units may
+        use them.
         """
         now, reserve_s, cycle = self.context.now(), self.settings.reserve_s, self.cycle
         since = self._short_since.setdefault(job.index, now)
@@ -144,7 +151,7 @@
                 cycle.reserved[resource] = cycle.reserved.get(resource, 0) + units
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Count the units of that many more of the job's tasks as used."""
+        """Count the units of `tasks` more of the job's tasks as used."""
         cycle = self.cycle
         if not (job.resource_needs and tasks):
             return
@@ -160,7 +167,10 @@
             self._deferred_since.pop(resource, None)
 
     def is_wanted(self, shard: int, resource: int) -> bool:
-        """Return whether tasks of a shard wait for a resource, or were placed in this cycle."""
+        """Return whether a resource is needed at a shard.
+
+        Tasks that wait for the resource need it, and so do tasks placed in this cycle.
+        """
         key = (shard, resource)
         cycle = self.cycle
         return key in self.queue.own_waiters or key in cycle.waiters or key in cycle.requested
--- a/starlingdeck/counts/http_api.py
+++ b/starlingdeck/counts/http_api.py
@@ -20,10 +20,10 @@
 from starlingdeck.transport.server import Request, Response
 
 HISTORY = "history"  # last path segment of the request for a resource's history
-MAX_HISTORY_CHANGES = 50  # kept of each resource
-MAX_WRITE_ATTEMPTS = 20  # to write a change while shards change the ledger
-MAX_TASKS_SHOWN = 1000  # of one resource
-REVISION_DIGITS = 8  # at the end of the key of a change
+MAX_HISTORY_CHANGES = 50  # changes kept in the history of each resource
+MAX_WRITE_ATTEMPTS = 20  # attempts to write a change while shards change the ledger
+MAX_TASKS_SHOWN = 1000  # tasks shown with units of one resource
+REVISION_DIGITS = 8  # number of digits at the end of a change's key
 
 
 class SetCountRequest(Struct, omit_defaults=True):
@@ -61,7 +61,7 @@
     preempt: bool = False
     removed: bool = False
     revision: int = field(default=1, name="rev")
-    shards: list[int] = []  # whose tasks are shown
+    shards: list[int] = []  # shards whose tasks are shown
     tasks: list[TaskInfo] = field(default_factory=list, name="holders")
 
 
@@ -85,7 +85,7 @@
     async def handle(self, request: Request) -> Response:
         """Route a request.
 
-        Status 503 means that no change is known to have been made, 504 that one may have been.
+        Status 503 means that nothing was changed, 504 that a change may have been made.
         """
         name, _, subpath = request.path[len(api.COUNTS) + 1 :].partition("/")
         if name and not api.RESOURCE_NAME_PATTERN.fullmatch(name):
@@ -128,19 +128,19 @@
         info = count_info(name, stored.ledger, stored.version)
         info.shards = sorted(self.store.writers)
         resource = self.store.context.resource_names.intern(name)
-        info.tasks = [self._task_info(found) for found in self.store.tasks_with_units(resource)]
+        info.tasks = [self._task_info(item) for item in self.store.tasks_with_units(resource)]
         del info.tasks[MAX_TASKS_SHOWN:]
         return json_response(200, info)
 
-    def _task_info(self, found: TaskUnits) -> TaskInfo:
-        job, placement = found.job, found.placement
-        if found.task in job.pending_ends:
+    def _task_info(self, item: TaskUnits) -> TaskInfo:
+        job, placement = item.job, item.placement
+        if item.task in job.pending_ends:
             state = "ended, not written yet"
         else:
             state = STATE_NAMES[placement.observed_state]
         return TaskInfo(
-            task=api.task_name(job.id, found.task),
-            units=found.units,
+            task=api.task_name(job.id, item.task),
+            units=item.units,
             machine=self.store.context.machine_names[placement.machine],
             attempt=placement.attempt,
             state=state,
@@ -148,7 +148,7 @@
         )
 
     async def show_history(self, name: str) -> Response:
-        """Return the last changes of a resource: its declaration, and those by operators."""
+        """Return the latest changes of a resource: its declaration, and those by operators."""
         prefix = records.count_change_key(name, 0)[:-REVISION_DIGITS]
         entries, _ = await self.store.state.read(prefix)
         changes = [msgspec.json.decode(entry.value, type=LedgerChange) for entry in entries]
--- a/starlingdeck/counts/ledger.py
+++ b/starlingdeck/counts/ledger.py
@@ -22,14 +22,13 @@
     allocated: tuple[int, ...] = field(name="held")  # units of each shard
     preempt: bool = False  # waiting tasks may preempt running ones of lower priority
     removed: bool = False
-    preempt_excess: bool = field(
-        default=False, name="stop"
-    )  # tasks are preempted while more than the ceiling is allocated
+    # Tasks are preempted while more units than the ceiling are allocated.
+    preempt_excess: bool = field(default=False, name="stop")
     revision: int = field(default=1, name="rev")  # number of changes by operators
 
     @property
     def total(self) -> int:
-        """Units allocated over all shards."""
+        """The number of units allocated to all shards together."""
         return sum(self.allocated)
 
 
@@ -68,8 +67,8 @@
 def grant(ledger: Ledger, shard: int, units: int) -> Ledger | None:
     """Return the ledger under which a shard may use `units` units; None if it may not.
 
-    This is the same ledger if that many are allocated to the shard already. While the total is
-    over a lowered ceiling, the shard's allocation is reduced to `units` instead.
+    The ledger is returned unchanged if at least `units` units are already allocated to the shard
+    and the total does not exceed a lowered ceiling. Otherwise the allocation becomes `units`.
     """
     if units > max_units(ledger, shard):
         return None
--- a/starlingdeck/counts/ledger_store.py
+++ b/starlingdeck/counts/ledger_store.py
@@ -19,14 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-CONFLICT_WAIT_RANGE_S = (0.005, 0.020)  # before a ledger that another shard changed is reread
+CONFLICT_WAIT_RANGE_S = (0.005, 0.020)  # wait before rereading a ledger that was changed elsewhere
 
 
 class UncertainWrite(Struct):
-    """Writes of a shard that may still be executed while these ledgers have these versions."""
+    """Writes of a shard that may still be executed as long as ledgers have the given versions."""
 
     shard: JobShard
-    versions: dict[int, int] = field(default_factory=dict)  # resource -> version not replaced yet
+    versions: dict[int, int] = field(default_factory=dict)  # resource -> version to replace
     resources: set[int] = field(default_factory=set)
     jobs: set[int] = field(default_factory=set)
 
@@ -43,7 +43,7 @@
 class LedgerStore:
     """Caches the ledgers from the watch on their keys.
 
-    An outdated ledger causes a transaction conflict, but never a unit over the ceiling.
+    An outdated ledger causes a transaction conflict, but never an allocation over the ceiling.
     """
 
     def __init__(
@@ -52,9 +52,9 @@
         self.context = context
         self.state = state
         self.writers = writers
-        self.ledgers: dict[int, Ledger] = {}  # by resource
+        self.ledgers: dict[int, Ledger] = {}  # resource -> its ledger
         self.versions: dict[int, int] = {}  # resource -> version of its ledger's key
-        self.uncertain_writes: dict[int, UncertainWrite] = {}  # by shard
+        self.uncertain_writes: dict[int, UncertainWrite] = {}  # shard -> its writes
         # resource -> when tasks with units were proven to have ended, for the latency "unit idle"
         self.released_at: dict[int, list[float]] = {}
         self.has_new_units = False  # units became unallocated since the last cycle
@@ -102,7 +102,7 @@
             self.on_key_changed(entry.key, bytes(entry.value), entry.version)
 
     async def reread_failed(self, failed: Sequence[str]) -> bool:
-        """Read the ledgers among the failed conditions again; return True if there were any."""
+        """Reread the ledgers whose keys are in `failed`; return True if there were any."""
         keys = [key for key in failed if key.startswith(records.COUNT_PREFIX)]
         if keys:
             await curio.sleep(self.context.rng.uniform(*CONFLICT_WAIT_RANGE_S))
--- a/starlingdeck/counts/plugin.py
+++ b/starlingdeck/counts/plugin.py
@@ -32,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 MAINTENANCE_INTERVAL_S = 0.1
-MIN_RETRY_S = 0.2  # after the state service could not be used; a random part is added
+MIN_RETRY_S = 0.2  # wait after the state service could not be used; a random part is added
 MAX_RETRY_JITTER_S = 0.3
 MAX_LOGGED_RESOURCES = 200
 
@@ -82,7 +82,7 @@
         return self.unit_headroom.headroom(job)
 
     def on_requested(self, job: Job, tasks: int) -> None:
-        """Count the units of that many more of the job's tasks as used."""
+        """Count the units of `tasks` more of the job's tasks as used."""
         self.unit_headroom.on_requested(job, tasks)
 
     def wait_reasons(self, job: Job) -> list[WaitReason]:
--- a/starlingdeck/counts/unit_preemption.py
+++ b/starlingdeck/counts/unit_preemption.py
@@ -1,4 +1,4 @@
-"""Preempts running tasks to free units, over a lowered ceiling or for work of higher priority."""
+"""Preempts running tasks to free units over a lowered ceiling, or for tasks of higher priority."""
 
 import logging
 from collections.abc import Iterable, Sequence
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-PREEMPTION_DELAY_S = 0.6  # after units are first required; every peer sends gossip meanwhile
+PREEMPTION_DELAY_S = 0.6  # wait after units are first required; every peer sends gossip meanwhile
 
 
 class UnitUse(Struct, frozen=True):
@@ -33,7 +33,7 @@
     rank: int
     started_ms: int  # 0 if not known
     units: int
-    releasing: bool = False  # has been told to stop already
+    releasing: bool = False  # the task has already been told to stop
 
 
 class PeerUses(NamedTuple):
@@ -53,11 +53,11 @@
 def choose_victims(
     uses: Iterable[UnitUse], units: int, waiter: Waiter | None = None
 ) -> list[UnitUse]:
-    """Return the tasks to preempt so that `units` units become free.
+    """Return the tasks to preempt in order to free `units` units.
 
-    Tasks that are releasing already come first, then the lowest ranks, and within a rank the
-    youngest. For a waiter only tasks that it may preempt or that are releasing are chosen, and
-    none if they would not free enough.
+    Tasks that are already releasing their units come first, then those of the lowest rank, and
+    within a rank the youngest. For a waiter, only tasks that it may preempt or that are already
+    releasing are chosen, and none at all if these would not free enough units.
     """
     victims = []
     for use in sorted(uses, key=lambda u: (not u.releasing, u.rank, -u.started_ms, u.job, u.task)):
@@ -69,21 +69,21 @@
     return victims if waiter is None or units <= 0 else []
 
 
-def _use_of(found: TaskUnits, now: float, now_ms: int) -> UnitUse:
-    job, placement = found.job, found.placement
+def _use_of(item: TaskUnits, now: float, now_ms: int) -> UnitUse:
+    job, placement = item.job, item.placement
     started_ms = 0
-    # The start is not known of placements read from a record: those started long ago.
+    # If a placement was read from a record, its start is not known and counts as long ago.
     if placement.state_since > 0:
         started_ms = int(now_ms - (now - placement.state_since) * MS_PER_S)
     return UnitUse(
         shard=job.shard,
         job=job.id,
-        task=found.task,
+        task=item.task,
         team=job.team,
         guaranteed=job.guaranteed,
         rank=job.spec.rank,
         started_ms=started_ms,
-        units=found.units,
+        units=item.units,
         releasing=placement.releasing,
     )
 
@@ -106,13 +106,13 @@
         """Return the uses by this controller's tasks, in the order in which they are preempted."""
         now, now_ms = self.context.now(), self.context.wall_clock_ms()
         tasks = self.store.tasks_with_units(resource)
-        uses = [_use_of(found, now, now_ms) for found in tasks]
+        uses = [_use_of(item, now, now_ms) for item in tasks]
         return sorted(uses, key=lambda u: (not u.releasing, u.rank, -u.started_ms))
 
     def preempt(self) -> None:
-        """Preempt this controller's tasks for units that have been required for long enough.
+        """Preempt tasks of this controller where units are required for `PREEMPTION_DELAY_S`.
 
-        After `PREEMPTION_DELAY_S` the gossip of all peers has arrived, and all choose the same
+        By then the gossip of all peers has arrived, so that all controllers choose the same
         victims.
         """
         now = self.context.now()
@@ -143,7 +143,8 @@
             if now - peer.received_at < GOSSIP_VALID_S:
                 uses += [u for r, u in peer.uses if r == resource and u.shard not in self.writers]
         # A peer that can't be reached chooses independently. The units of tasks that are not known
-        # here count as freed already, so that the sides of a partition don't both free as many.
+        # here count as freed already, so that the two sides of a partition don't each free all of
+        # the required units.
         remaining = self.store.ledgers[resource].total - required.units
         known = sum(use.units for use in uses)
         for use in choose_victims(uses, known - remaining, required.waiter):
--- a/starlingdeck/counts/wait_reasons.py
+++ b/starlingdeck/counts/wait_reasons.py
@@ -1,4 +1,4 @@
-"""Why a job waits for units of counted resources, or can never have them."""
+"""Explains why a job waits for units of counted resources, or can never have them."""
 
 from starlingdeck.counts.ledger import Ledger, max_units
 from starlingdeck.counts.ledger_store import LedgerStore
@@ -7,7 +7,7 @@
 from starlingdeck.jobs.job import Job
 from starlingdeck.protocol import api
 
-OTHER_KEYS_PER_START = 2  # in its transaction besides the ledgers: job record and shard key
+OTHER_KEYS_PER_START = 2  # keys that a transaction needs besides ledgers: job record, shard key
 
 
 def wait_reasons(store: LedgerStore, queue: WaitingQueue, job: Job) -> list[WaitReason]:
--- a/starlingdeck/counts/waiting_queue.py
+++ b/starlingdeck/counts/waiting_queue.py
@@ -22,8 +22,8 @@
     guaranteed: bool
     rank: int
     submitted_ms: int
-    units: int  # number missing
-    reserving: bool = False  # units that come free are reserved for it
+    units: int  # number of missing units
+    reserving: bool = False  # units that become free are reserved for this task
 
 
 def waiter_of(job: Job, units: int, reserving: bool = False) -> Waiter:
@@ -40,19 +40,20 @@
     )
 
 
-def outranks(one: Waiter, other: Waiter, turn_ms: float) -> bool:
-    """Return whether `one` goes before `other`, which waits at another shard.
+def outranks(waiter: Waiter, other: Waiter, turn_ms: float) -> bool:
+    """Return whether `waiter` is served before `other`, which waits at another shard.
 
-    A guarantee decides first, then the rank. Of equals, the one submitted earlier by more than
-    `turn_ms` goes first: in strict order of submission, units would move between shards at every
-    end of a task. If one of two equals reserves units, their order of submission is strict.
+    A guarantee decides first, then the rank. Of equals, the one that was submitted earlier by more
+    than `turn_ms` milliseconds is served first: in strict order of submission, units would move
+    between shards at every end of a task. If one of two equals reserves units, their order of
+    submission is strict.
     """
-    first, second = (one.guaranteed, one.rank), (other.guaranteed, other.rank)
+    first, second = (waiter.guaranteed, waiter.rank), (other.guaranteed, other.rank)
     if first != second:
         return first > second
-    if one.reserving or other.reserving:
-        return (one.submitted_ms, one.job) < (other.submitted_ms, other.job)
-    return one.submitted_ms + turn_ms < other.submitted_ms
+    if waiter.reserving or other.reserving:
+        return (waiter.submitted_ms, waiter.job) < (other.submitted_ms, other.job)
+    return waiter.submitted_ms + turn_ms < other.submitted_ms
 
 
 class PeerWaiters(Struct):
@@ -71,7 +72,8 @@
         self.context = context
         self.writers = writers
         self.turn_ms = turn_s * MS_PER_S
-        self.own_waiters: dict[ShardResource, Waiter] = {}  # of the last complete scheduling cycle
+        # This controller's waiters in the last complete scheduling cycle.
+        self.own_waiters: dict[ShardResource, Waiter] = {}
         self.by_peer: dict[int, PeerWaiters] = {}
 
     def first_waiters(self, resource: int) -> Iterator[Waiter]:
@@ -83,11 +85,11 @@
                 waiters = peer.by_resource.get(resource, ())
                 yield from (w for w in waiters if w.shard not in self.writers)
         for shard in self.writers:
-            if (own := self.own_waiters.get((shard, resource))) is not None:
-                yield own
+            if (waiter := self.own_waiters.get((shard, resource))) is not None:
+                yield waiter
 
     def ahead_of(self, waiter: Waiter, resource: int) -> list[Waiter]:
-        """Return the waiters of other shards that go before `waiter`."""
+        """Return the waiters of other shards that are served before `waiter`."""
         return [
             other
             for other in self.first_waiters(resource)
@@ -95,8 +97,11 @@
         ]
 
     def is_wanted_elsewhere(self, key: ShardResource) -> bool:
-        """Return whether a waiter of another shard goes before this shard's waiter, if any."""
+        """Return whether a waiter of another shard is served before this shard's waiter.
+
+        If this shard has no waiter, return whether any other shard has one.
+        """
         shard, resource = key
-        own = self.own_waiters.get(key)
+        waiter = self.own_waiters.get(key)
         others = [w for w in self.first_waiters(resource) if w.shard != shard]
-        return any(own is None or outranks(other, own, self.turn_ms) for other in others)
+        return any(waiter is None or outranks(other, waiter, self.turn_ms) for other in others)
--- a/starlingdeck/jobs/group_commit.py
+++ b/starlingdeck/jobs/group_commit.py
@@ -271,7 +271,7 @@
         for index in commit.jobs:
             job = self.shard.jobs.get(index)
             if job is not None:
-                job.stale = True  # to be read again, together with its changes in the log
+                job.stale = True  # the job is reread, together with its changes in the log
                 job.uncertain_chunks.clear()
 
     async def _fence(self, commit: PreparedCommit) -> None:
--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -152,8 +152,8 @@
             main = msgspec.json.decode(entry.value, type=JobRecord)
             further = FurtherChunks()
             if main.spec.tasks > records.TASKS_PER_CHUNK:
-                found, _ = await self.state.read(records.chunk_key(shard, name, None))
-                for chunk_entry in found:
+                chunk_entries, _ = await self.state.read(records.chunk_key(shard, name, None))
+                for chunk_entry in chunk_entries:
                     further.add(chunk_entry)
             return self._adopt(entry, main, further)
         except (ValueError, LookupError, msgspec.DecodeError) as error:
--- a/starlingdeck/storage/commit_log.py
+++ b/starlingdeck/storage/commit_log.py
@@ -92,8 +92,8 @@
         """Return why some of a job's transitions may be unknown; empty when all are known.
 
         `version` is the version of the job's record. A record of one chunk that was written after
-        an unreadable segment already includes whatever the segment says about the job. This does
-        not hold when the last writer was another controller that cancelled the job.
+        an unreadable segment already includes all changes of the job in that segment. This does not
+        hold if the record was last written by another controller, which cancelled the job.
         """
         if job in self.unreadable_jobs:
             return self.unreadable_jobs[job]
@@ -210,7 +210,8 @@
 ) -> dict[int, int]:
     """Return the completed tasks of each chunk as bits, from the records' bitmaps and the log.
 
-    Changes are applied whatever their position, because a completed task stays completed.
+    All changes are applied, even those that the records already include: a completed task stays
+    completed.
     """
     completed = {number: int(bitmap or "0", 16) for number, bitmap in bitmaps.items()}
     for logged in changes:
--- a/starlingdeck/storage/limiter.py
+++ b/starlingdeck/storage/limiter.py
@@ -5,7 +5,7 @@
 import curio
 
 RESERVE_DIVISOR = 3  # a third of the burst is reserved for urgent callers
-ROUNDING_TOLERANCE = 1e-6  # tokens; a sum of floats may fall this much short of a whole token
+TOLERANCE_TOKENS = 1e-6  # a sum of floats may fall this much short of a whole token
 MIN_SLEEP_S = 0.002
 
 
@@ -33,14 +33,14 @@
         self.refilled_at = now
 
     def _reserved(self, amount: float, urgent: bool) -> float:
-        """Return how many tokens must be left after this amount is taken."""
+        """Return how many tokens must remain after this amount has been taken."""
         return 0.0 if urgent else min(self.burst / RESERVE_DIVISOR, self.burst - amount)
 
     def available(self, urgent: bool) -> tuple[int, float]:
-        """Return how many tokens may be taken now, and the seconds until one may. Take none."""
+        """Return how many tokens could be taken now, and the seconds until one could. Take none."""
         self._refill()
-        left = self.tokens - self._reserved(1.0, urgent) + ROUNDING_TOLERANCE
-        return max(0, int(left)), max(0.0, (1.0 - left) / self.rate)
+        unreserved = self.tokens - self._reserved(1.0, urgent) + TOLERANCE_TOKENS
+        return max(0, int(unreserved)), max(0.0, (1.0 - unreserved) / self.rate)
 
     def take_or_delay(self, amount: float, urgent: bool) -> float:
         """Take the tokens and return 0, or take none and return the seconds to wait for them.
@@ -50,7 +50,7 @@
         self._refill()
         amount = min(amount, self.burst)
         reserved = self._reserved(amount, urgent)
-        if self.tokens - amount >= reserved - ROUNDING_TOLERANCE:
+        if self.tokens - amount >= reserved - TOLERANCE_TOKENS:
             self.tokens -= amount
             return 0.0
         return (reserved + amount - self.tokens) / self.rate
--- a/starlingdeck/storage/records.py
+++ b/starlingdeck/storage/records.py
@@ -47,7 +47,7 @@
     number: int  # the commit's number under this token
 
 
-LOG_START = Position(0, 0)  # before every commit; also of a chunk to which none was applied
+LOG_START = Position(0, 0)  # position before the first commit; every new chunk has it
 
 
 class PlacementRecord(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -123,7 +123,7 @@
 
     @property
     def completed(self) -> int:
-        """Return the number of tasks that completed."""
+        """The number of tasks that completed."""
         return self.tasks if self.state == DONE else self.completed_before_end
 
 
@@ -169,7 +169,7 @@
 
 
 def chunk_key(shard: int, job: str, chunk: int | None) -> str:
-    """Return the key of a chunk after a job's first; without a number the prefix of them all."""
+    """Return the key of a chunk after a job's first, or their common prefix if `chunk` is None."""
     return f"t/{shard}/{job}/" + ("" if chunk is None else f"{chunk:04d}")
 
 
@@ -181,7 +181,7 @@
 def mailbox_key(shard: int, job: str) -> str:
     """Return the key of a notice that a job was changed.
 
-    With an empty `job` it is the prefix of all notices of the shard.
+    If `job` is empty, return the common prefix of all notices of the shard.
     """
     return f"{MAILBOX_PREFIX}{shard}/{job}"
 
--- a/starlingdeck/storage/state.py
+++ b/starlingdeck/storage/state.py
@@ -16,7 +16,7 @@
 RENEW_TIMEOUT_S = 1.0
 WATCH_MARGIN_S = 1.5  # added to the requested wait to get the timeout of a watch
 PAGE_ENTRIES = 500
-BUDGET_SHARE = 0.9  # the part of the service's rate limits that all controllers share
+BUDGET_SHARE = 0.9  # share of the service's rate limits that all controllers together may use
 BURST_S = 1.0
 
 
@@ -120,7 +120,7 @@
     ) -> int:
         """Apply all changes atomically if each key of `conditions` has that version (0: absent).
 
-        Returns the revision of the changes. Raises TransactionConflictError when a condition
+        Return the revision of the changes. Raises TransactionConflictError when a condition
         fails, and LeaseLostError when a lease named in a change has ended.
         """
         await self.budget.requests.take(1, urgent)
@@ -156,8 +156,8 @@
         """
         await self.budget.requests.take(1, True)
         path = api.watch_query(prefix, after, int(wait_s * 1000))
-        # A watch opened before a network partition still hangs after it ends: the timeout must
-        # notice that soon.
+        # A watch that was opened before a network partition still hangs after the partition has
+        # ended. A short timeout detects that soon.
         reply = await self._call("GET", path, None, wait_s + WATCH_MARGIN_S)
         if reply.status == 410:
             raise RevisionTooOldError
