--- a/starlingdeck/counts/unit_preemption.py
+++ b/starlingdeck/counts/unit_preemption.py
@@ -110,7 +110,7 @@
         return sorted(uses, key=lambda u: (not u.releasing, u.rank, -u.started_ms))
 
     def preempt(self) -> None:
-        """Preempt tasks of this controller where units are required for `PREEMPTION_DELAY_S`.
+        """Preempt tasks of this controller if units have been required for `PREEMPTION_DELAY_S`.
 
         By then the gossip of all peers has arrived, so that all controllers choose the same
         victims.
--- a/starlingdeck/jobs/commit_log.py
+++ b/starlingdeck/jobs/commit_log.py
@@ -49,7 +49,8 @@
     last: Position = LOG_START  # position of the newest commit
     commits: list[bytes] = []
     size: int = 0  # size of the commits in bytes
-    dirty: set[ChunkId] = field(default_factory=set)  # chunks whose records lack a commit here
+    # Chunks whose records lack one of the slot's commits.
+    dirty: set[ChunkId] = field(default_factory=set)
 
 
 class PreparedCommit(Struct):
