--- a/starlingdeck/jobs/update_drafter.py
+++ b/starlingdeck/jobs/update_drafter.py
@@ -20,11 +20,11 @@
     from starlingdeck.jobs.job_shard import JobShard
 
 MAX_CHUNKS_PER_UPDATE = 3
-RESERVED_VALUE_BYTES = 200  # of a value, not used by starts: an end or cancellation still fits
+RESERVED_VALUE_BYTES = 200  # left free by starts, so that an end or a cancellation still fits
 PLACEMENT_BYTES = 45  # size of a placement in a record, without the machine's and zone's names
-MAX_CHUNK_OVERHEAD_BYTES = 3000  # of a chunk, without placements and the job's description
-PUBLISH_DELAY_S = 0.3  # from drafting a start until the machine's owner receives it
-VALUE_RETRY_S = 1.0  # until starts for which a value had no room are placed again
+MAX_CHUNK_OVERHEAD_BYTES = 3000  # size of a chunk without placements and the job's description
+PUBLISH_DELAY_S = 0.3  # time from drafting a start until the machine's owner receives it
+VALUE_RETRY_S = 1.0  # delay before starts for which a value had no room are placed again
 
 Value = TypeVar("Value")
 
@@ -45,7 +45,8 @@
     def terminal_state_of(self, job: Job) -> str:
         """Return the job's terminal state once its pending ends are written; "" if it goes on."""
         if job.cancelled:
-            # The user has been told of the cancellation: it holds even if every task completed.
+            # The cancellation may have been confirmed to the user: it holds even if every task has
+            # completed.
             ends = sum(1 for task in job.pending_ends if task in job.placements)
             return "" if len(job.placements) > ends else api.CANCELLED
         return api.DONE if self._completed_tasks(job) == job.spec.tasks else ""
@@ -67,7 +68,7 @@
             return None
         limit = min(max_chunks, self.context.settings.settings.state.txn_ops)
         chunks = densest_chunks((*ends, *starts), limit)
-        return self.rewrite(job, chunks, _in_chunks(ends, chunks), _in_chunks(starts, chunks))
+        return self.draft_rewrite(job, chunks, _in_chunks(ends, chunks), _in_chunks(starts, chunks))
 
     def _draft_final(self, job: Job, state: str, ends: dict[int, int]) -> JobUpdate:
         """Draft the replacement of the job's unfinished record by its final one."""
@@ -117,7 +118,7 @@
         for task in expiring:
             del job.pending_starts[task]
 
-    def rewrite(
+    def draft_rewrite(
         self, job: Job, chunks: list[int], ends: dict[int, int], starts: dict[int, TaskPlacement]
     ) -> JobUpdate:
         """Draft the rewriting of `chunks` of a job's record, with `ends` and `starts` applied."""
@@ -150,7 +151,7 @@
             chunks.setdefault(index, []).append(number)
         jobs = [self.shard.jobs[index] for index in chunks if index in self.shard.jobs]
         return [
-            self.rewrite(job, chunks[job.index], {}, {})
+            self.draft_rewrite(job, chunks[job.index], {}, {})
             for job in jobs
             if not (job.stale or self.context.is_quarantined("job", job.id))
         ]
@@ -222,7 +223,7 @@
         limit = self._value_bytes - RESERVED_VALUE_BYTES
         for number in self._large_chunks(job, starts, limit):
             while tasks := [task for task in starts if task // TASKS_PER_CHUNK == number]:
-                (change,) = self.rewrite(job, [number], ends, starts).changes
+                (change,) = self.draft_rewrite(job, [number], ends, starts).changes
                 size = len(msgspec.json.encode(change))
                 if size <= limit:
                     break
