--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -10,9 +10,9 @@
 from starlingdeck.protocol.api import JobSpec, MachineType
 from starlingdeck.protocol.config import GroupCommitSettings, Settings, Tuning
 
-LOGGED = Tuning(group_commit=GroupCommitSettings())
+GROUP_COMMIT = Tuning(group_commit=GroupCommitSettings())
 # Used by the contexts made from then on. GROUP_COMMIT=1 runs the whole suite with the commit log.
-tuning = LOGGED if os.environ.get("GROUP_COMMIT") else Tuning()
+tuning = GROUP_COMMIT if os.environ.get("GROUP_COMMIT") else Tuning()
 
 
 class Clock:
--- a/tests/test_commit_log.py
+++ b/tests/test_commit_log.py
@@ -39,7 +39,7 @@
     TransactionConflictError,
     put_change,
 )
-from tests.support.builders import LOGGED, Clock, make_context, spec
+from tests.support.builders import GROUP_COMMIT, Clock, make_context, spec
 from tests.support.reference_model import FakeStateService
 
 Patch = pytest.MonkeyPatch
@@ -121,7 +121,9 @@
 class ShardOwner:
     """A shard's owner: its writer with the commit log, and what tests do with it."""
 
-    def __init__(self, client: StrictStateClient, clock: Clock, tuning: Tuning = LOGGED) -> None:
+    def __init__(
+        self, client: StrictStateClient, clock: Clock, tuning: Tuning = GROUP_COMMIT
+    ) -> None:
         self.client, self.clock = client, clock
         self.context = make_context(clock)
         self.context.tuning = tuning
@@ -188,7 +190,7 @@
     return StrictStateClient(FakeStateService(random.Random(1))), Clock()
 
 
-def take_over(before: ShardOwner, tuning: Tuning = LOGGED) -> ShardOwner:
+def take_over(before: ShardOwner, tuning: Tuning = GROUP_COMMIT) -> ShardOwner:
     """The shard is taken over by another process."""
     return ShardOwner(before.client, before.clock, tuning)
 
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -25,7 +25,7 @@
 
 @pytest.fixture(autouse=True)
 def logged(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(builders, "tuning", builders.LOGGED)
+    monkeypatch.setattr(builders, "tuning", builders.GROUP_COMMIT)
 
 
 def small_ring(monkeypatch: Patch) -> None:
