--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Builders for contexts, settings and jobs in tests. No network; time is a number."""
+"""Builders of contexts, settings and jobs for tests. They open no sockets; tests set the clock."""
 
 import os
 import random
@@ -11,7 +11,8 @@
 from starlingdeck.protocol.config import GroupCommitSettings, Settings, Tuning
 
 GROUP_COMMIT = Tuning(group_commit=GroupCommitSettings())
-# Used by the contexts made from then on. GROUP_COMMIT=1 runs the whole suite with the commit log.
+# `make_context` reads this at each call, so tests may replace it. The environment variable
+# GROUP_COMMIT=1 runs the whole suite with the commit log.
 tuning = GROUP_COMMIT if os.environ.get("GROUP_COMMIT") else Tuning()
 
 
@@ -63,7 +64,7 @@
 def make_context(
     clock: Clock, seed: int = 1, zones: tuple[str, ...] = ("a", "b", "a"), node: int = 0
 ) -> ControllerContext:
-    """Return the context of one controller, with two machine types."""
+    """Return the context of the controller in `zones[node]`, with two machine types."""
     raw = settings_dict(zones)
     settings = msgspec.convert(raw, Settings)
     if node:
@@ -80,8 +81,8 @@
     return context
 
 
-def job_body(uid: str = "j-000001", **other: Any) -> dict[str, Any]:
-    """Return the JSON body of a submission; `other` replaces fields."""
+def job_body(uid: str = "j-000001", **overrides: Any) -> dict[str, Any]:
+    """Return the JSON body of a submission, with fields replaced by `overrides`."""
     body: dict[str, Any] = {
         "uid": uid,
         "flock": "batch",
@@ -104,10 +105,10 @@
         "stash_s": 0.0,
         "due_s": None,
     }
-    body.update(other)
+    body.update(overrides)
     return body
 
 
-def spec(uid: str = "j-000001", **other: Any) -> JobSpec:
-    """Return the decoded description of a job; `other` replaces fields."""
-    return msgspec.convert(job_body(uid, **other), JobSpec)
+def spec(uid: str = "j-000001", **overrides: Any) -> JobSpec:
+    """Return the decoded description of a job, with fields replaced by `overrides`."""
+    return msgspec.convert(job_body(uid, **overrides), JobSpec)
--- a/tests/support/fuzz_targets.py
+++ b/tests/support/fuzz_targets.py
@@ -1,4 +1,7 @@
-"""The decoders of counted resources' records and messages, for the fuzzer and its corpus."""
+"""Fuzz target: the decoders of counted resources' records and messages.
+
+The fuzzer and the test that replays its corpus call `decode`.
+"""
 
 import msgspec
 from google.protobuf.message import DecodeError
@@ -14,9 +17,9 @@
 
 
 def decode(data: bytes) -> str:
-    """Pass the data to the decoder that its first byte names, and describe the outcome.
+    """Pass the data to the decoder that its first byte names, and return the outcome in words.
 
-    Errors other than those that callers expect are raised.
+    For errors that the decoders' callers expect, return the name of the class; raise others.
     """
     if not data:
         return "empty"
@@ -37,23 +40,23 @@
 
 
 def decode_ledger(data: bytes) -> str:
-    """Deliver a ledger's value to a plugin, and check grants from what it keeps."""
+    """Deliver a ledger's record to a plugin, and check grants from the ledger that it stores."""
     plugin = make_plugin(
         make_context(Clock()), FakeStateClient(FakeStateService.__new__(FakeStateService), 0.0), {}
     )
     plugin.on_key_changed(records.count_key("engine"), data, 7)
-    found = plugin.store.ledgers[0]
-    assert is_valid(found, 3)
-    for after in range(1, 5):
-        granted = grant(found, 1, after)
+    ledger = plugin.store.ledgers[0]
+    assert is_valid(ledger, 3)
+    for units in range(1, 5):
+        granted = grant(ledger, 1, units)
         if granted is not None:
-            assert granted.allocated[1] >= after
-            assert granted.total <= found.ceiling
+            assert granted.allocated[1] >= units
+            assert granted.total <= ledger.ceiling
     return "ledger"
 
 
 def decode_gossip(data: bytes) -> str:
-    """Deliver gossip to a plugin, and run its cycle and its preemption."""
+    """Deliver gossip to a plugin, then run its cycle, and its preemption twice, a second apart."""
     plugin = make_plugin(
         make_context(Clock()), FakeStateClient(FakeStateService.__new__(FakeStateService), 0.0), {}
     )
--- a/tests/support/overload_cluster.py
+++ b/tests/support/overload_cluster.py
@@ -1,9 +1,9 @@
-"""Simulated cluster under overload: whole controllers, simulated time, seeded.
+"""Simulated cluster under overload: real controllers in simulated time, reproducible by seed.
 
-The controllers are real `Controller`s; their sockets are replaced. Workers run tasks as PROTOCOL
-prescribes with given sizes and run times; the state service is the reference model's. Links
-between controllers can be partitioned, gossip lost or late; controllers crash, and their shards
-fail over.
+The controllers are `Controller` objects with their sockets replaced. Workers run tasks of given
+sizes and run times as PROTOCOL prescribes; the state service is the reference model's. Controllers
+can be partitioned from each other and can crash, after which their shards fail over; gossip can be
+lost or delayed.
 """
 
 import random
@@ -38,13 +38,13 @@
 BIG_MACHINES = 4  # of 16 cores
 TAKEOVER_DELAY_S = 3.0  # from a crash to the failover
 
-
+# Seconds since the start of a run -> what is done then.
 Events = dict[float, Callable[["OverloadCluster"], None]]
 
 
 @dataclass
 class RunningTask:
-    """A task on a machine; `ends_at` in simulated seconds."""
+    """A task on a machine; `ends_at` is in simulated seconds."""
 
     attempt: int
     cpus: float
@@ -55,7 +55,7 @@
 
 @dataclass
 class SimulatedWorker:
-    """A worker that starts what fits, and runs each task for its estimate."""
+    """A worker that starts the tasks that fit its cores, and runs each for its estimated time."""
 
     name: str
     machine_type: str
@@ -78,12 +78,12 @@
         )  # fmt: skip
 
     def run(self, now: float) -> bool:
-        """End the tasks whose time has come. Return whether there were any."""
+        """End the tasks whose run time has passed. Return whether there were any."""
         ended = [r for r in self.tasks.values() if r.state == "running" and r.ends_at <= now]
         for name in self.tasks:
-            one = self.tasks[name]
-            if one in ended:
-                one.state, one.exit_reason = "exited", "done"
+            task = self.tasks[name]
+            if task in ended:
+                task.state, task.exit_reason = "exited", "done"
                 job = self.cluster.specs[name.split("/")[0]]
                 self.cluster.goodput[job.cls] += job.cpus * job.estimate_s
         return bool(ended)
@@ -91,27 +91,31 @@
     def execute(self, commands: list[api.Command], now: float) -> None:
         """Execute start, stop and reap commands."""
         for command in commands:
-            old = self.tasks.get(command.task)
-            if command.op == api.START and (old is None or old.attempt != command.attempt):
+            task = self.tasks.get(command.task)
+            if command.op == api.START and (task is None or task.attempt != command.attempt):
                 job = self.cluster.specs[command.task.split("/")[0]]
                 used = sum(r.cpus for r in self.tasks.values() if r.state == "running")
                 full = used + job.cpus > self.cpus + 1e-9
                 self.cluster.on_task_started(command.task, self, full)
-                run = RunningTask(command.attempt, job.cpus, now + job.estimate_s)
+                started = RunningTask(command.attempt, job.cpus, now + job.estimate_s)
                 if full:
-                    run.state, run.exit_reason = "exited", "full"
-                self.tasks[command.task] = run
-            elif old is not None and old.attempt == command.attempt:
-                if command.op == api.STOP and old.state == "running":
-                    old.state, old.exit_reason = "exited", "halted"
+                    started.state, started.exit_reason = "exited", "full"
+                self.tasks[command.task] = started
+            elif task is not None and task.attempt == command.attempt:
+                if command.op == api.STOP and task.state == "running":
+                    task.state, task.exit_reason = "exited", "halted"
                     self.cluster.stopped[self.cluster.specs[command.task.split("/")[0]].cls] += 1
-                elif command.op == api.REAP and old.state == "exited":
+                elif command.op == api.REAP and task.state == "exited":
                     del self.tasks[command.task]
 
 
 class OverloadCluster:
-    """Controllers and workers under load. `arrivals(second, rng)` returns the jobs to submit;
-    `overload` None disables minimum shares; `gossip_loss_share` of the gossip is lost."""
+    """Controllers and workers under load.
+
+    `arrivals(second, rng)` returns the jobs to submit in that second. With `overload` None there
+    are no minimum shares. The share `gossip_loss_share` of the gossip messages is lost, and the
+    same share of the others is delayed by 5 s.
+    """
 
     def __init__(
         self,
@@ -132,8 +136,9 @@
         self.specs: dict[str, api.JobSpec] = {}
         self.submitted_at: dict[str, float] = {}
         self.started: dict[str, float] = {}  # job -> when its first task started
+        # By class: running tasks stopped by command, and cpu-seconds of the tasks that were done.
         self.stopped: dict[str, int] = dict.fromkeys(("low", "high", "svc"), 0)
-        self.goodput: dict[str, float] = dict.fromkeys(("low", "high", "svc"), 0.0)  # cpu-seconds
+        self.goodput: dict[str, float] = dict.fromkeys(("low", "high", "svc"), 0.0)
         self.partitions: set[tuple[int, int]] = set()
         self.down: dict[int, float] = {}  # controller -> when it crashed
         self.messages: list[tuple[float, int, pb.Envelope]] = []
@@ -161,18 +166,18 @@
         controller.membership.live_nodes = dict.fromkeys(range(len(self.zones)), 0.0)
         controller.peers.started_at = self.clock.at
 
-        # In place of Peers.call, hence the unused timeout.
-        async def call(to: int, envelope: pb.Envelope, _timeout_s: float) -> pb.Envelope:
+        # Replaces Peers.call, hence the unused timeout.
+        async def call_peer(to: int, envelope: pb.Envelope, _timeout_s: float) -> pb.Envelope:
             if not self.is_connected(number, to):
                 raise PeerUnavailableError("partitioned")
             envelope.sender = number
             return await self.controllers[to].on_message(envelope) or pb.Envelope()
 
-        async def post(to: int, envelope: pb.Envelope) -> None:
+        async def enqueue(to: int, envelope: pb.Envelope) -> None:
             if self.is_connected(number, to):
                 self.messages.append((self.clock.at, to, serialized_copy(envelope, number)))
 
-        async def do(
+        async def send_commands(
             machines: MachineShard, machine: Machine | None, _: str, commands: api.Commands
         ) -> None:
             if machine is None:
@@ -183,24 +188,24 @@
             machine.command_in_flight = False
             machines.apply_report(worker.report(), False)
 
-        controller.peers.call = call  # type: ignore[method-assign, assignment]
-        controller.peers.enqueue = post  # type: ignore[method-assign, assignment]
-        controller.worker_caller.send_commands = do  # type: ignore[method-assign, assignment]
+        controller.peers.call = call_peer  # type: ignore[method-assign, assignment]
+        controller.peers.enqueue = enqueue  # type: ignore[method-assign, assignment]
+        controller.worker_caller.send_commands = send_commands  # type: ignore[method-assign, assignment]
         return controller
 
     def is_connected(self, one: int, other: int) -> bool:
-        """Whether both controllers run and no partition separates them."""
-        dead = one in self.down or other in self.down
-        return not dead and (min(one, other), max(one, other)) not in self.partitions
+        """Return whether both controllers run and no partition separates them."""
+        any_down = one in self.down or other in self.down
+        return not any_down and (min(one, other), max(one, other)) not in self.partitions
 
     def on_task_started(self, task: str, worker: SimulatedWorker, full: bool) -> None:
-        """Check that no other machine runs the task, and note its job's start."""
+        """Check that no other machine runs the task, and record when its job started."""
         job = task.split("/", maxsplit=1)[0]
         if full:
             return
         for other in self.workers:
-            run = other.tasks.get(task)
-            assert other is worker or run is None or run.state == "exited", f"{task} ran twice"
+            found = other.tasks.get(task)
+            assert other is worker or found is None or found.state == "exited", f"{task} ran twice"
         self.started.setdefault(job, self.clock.at)
 
     # --- ownership
@@ -217,8 +222,8 @@
         controller.machines[shard] = MachineShard(
             controller.context, shard, self.token, self.token, 0.0
         )
-        for one in self.controllers:
-            one.membership.owners[shard] = owner
+        for informed in self.controllers:
+            informed.membership.owners[shard] = owner
 
     def crash(self, number: int) -> None:
         """Clear a controller's memory; its shards fail over after `TAKEOVER_DELAY_S`."""
@@ -233,7 +238,7 @@
     def run(
         self, seconds: float, events: dict[float, Callable[["OverloadCluster"], None]] | None = None
     ) -> None:
-        """Run the simulation; `events` are called at their seconds from its beginning."""
+        """Run the simulation. `events` maps seconds since its start to what is called then."""
         curio.run(self._run, seconds, dict(events or {}))
 
     async def _run(
@@ -259,7 +264,7 @@
                     await self.run_controller(number, controller)
 
     async def take_over(self) -> None:
-        """Assign crashed controllers' shards to the first one that runs."""
+        """Assign the shards of crashed controllers to the first running one after the delay."""
         for number, at in self.down.items():
             successor = next(i for i in range(len(self.controllers)) if i not in self.down)
             owners = self.controllers[successor].membership.owners
@@ -283,7 +288,7 @@
             self.specs[body.id], self.submitted_at[body.id] = body, self.clock.at
 
     def work(self, tick: int) -> None:
-        """Run the workers; they report once a second, and when a task ends."""
+        """Run the workers; each reports every `REPORT_INTERVAL_S`, and when a task ends."""
         for n, worker in enumerate(self.workers):
             ended = worker.run(self.clock.at)
             if not ended and (tick + n) % int(REPORT_INTERVAL_S / TICK_S):
@@ -306,21 +311,21 @@
                         and self.is_connected(number, to)
                         and self.rng.random() >= self.gossip_loss_share
                     ):
-                        late = 5.0 if self.rng.random() < self.gossip_loss_share else 0.0
+                        delay_s = 5.0 if self.rng.random() < self.gossip_loss_share else 0.0
                         gossip = pb.Envelope(sender=number, gossip=controller.build_gossip())
-                        self.messages.append((self.clock.at + late, to, gossip))
+                        self.messages.append((self.clock.at + delay_s, to, gossip))
         due = [m for m in self.messages if m[0] <= self.clock.at]
         self.messages = [m for m in self.messages if m[0] > self.clock.at]
         for _, to, envelope in due:
             if to not in self.down and self.is_connected(envelope.sender, to):
-                again = await self.controllers[to].on_message(envelope)
-                if again is not None and again.HasField("resync_request"):
+                reply = await self.controllers[to].on_message(envelope)
+                if reply is not None and reply.HasField("resync_request"):
                     self.controllers[envelope.sender].on_resync_request(
-                        to, again.resync_request.shard
+                        to, reply.resync_request.shard
                     )
 
     async def run_controller(self, number: int, controller: Controller) -> None:
-        """Run a controller's cycle, and write until nothing is left to write."""
+        """Run a controller's cycle, then flush its writers until nothing is left to write."""
         controller.membership.lease.lease_id, controller.membership.lease.renewed_at = (
             1,
             self.clock.at,
@@ -344,13 +349,16 @@
     # --- results
 
     def started_and_total(self, cls: str, until: float = 1e9) -> tuple[int, int]:
-        """Count the jobs of a class of which a task has started, and all of them."""
+        """Return how many jobs of a class have started a task, and how many there are.
+
+        Only jobs submitted before `until`, in simulated seconds, are counted.
+        """
         names = [n for n, s in self.specs.items() if s.cls == cls and self.submitted_at[n] < until]
         return sum(n in self.started for n in names), len(names)
 
 
 class JobClass(NamedTuple):
-    """What objectives, quota and preemption go by."""
+    """A job's class, rank and team, which decide its objectives, preemption and quota."""
 
     name: str
     rank: str
@@ -358,7 +366,7 @@
 
 
 def array(number: int, cls: JobClass, tasks: int, cpus: float, run_s: float) -> api.JobSpec:
-    """Return a job array of this class; the run time is its estimate."""
+    """Return a job array of this class whose estimated run time is `run_s`."""
     return spec(
         f"j-{number:06d}", flock=cls.name, rank=cls.rank, crew=cls.team, chores=tasks,
         cores=cpus, ram_gb=cpus, guess_s=run_s, image_gb=0.1,
--- a/tests/support/ports.py
+++ b/tests/support/ports.py
@@ -4,7 +4,7 @@
 
 
 def free_port() -> int:
-    """A port that nothing listens on now."""
+    """Return a port that nothing listens on at the time of the call."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port: int = probe.getsockname()[1]
