--- a/tests/support/reference_model.py
+++ b/tests/support/reference_model.py
@@ -1,7 +1,7 @@
 """Reference model of the controllers' environment, and the invariants of the service.
 
 Fakes of workers and of the state service follow PROTOCOL to the letter; messages are lost,
-delayed and reordered. The controllers' parts are the real ones.
+delayed and reordered. Job shards, machine shards and record writers are those of the service.
 """
 
 import random
@@ -31,13 +31,13 @@
 )
 from tests.support.builders import Clock, make_context, spec
 
-LEASE_S = 10.0
-TTL_S = 4.0
-CANCEL_S = 40.0
+WORKER_LEASE_S = 10.0
+CONTROLLER_LEASE_S = 4.0
+CANCEL_S = 40.0  # from a cancellation until its tasks must have ended
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant of the service is violated; the message begins with its name."""
+    """An invariant of the service is violated; the message begins with the invariant's name."""
 
 
 def run_without_waiting(coro: Coroutine[Any, Any, Any]) -> Any:
@@ -79,9 +79,10 @@
 
 
 class FakeStateClient:
-    """A controller's client of the state service; `failure_rate` of its calls fail.
+    """A controller's client of the state service, with the signatures of `StateClient`.
 
-    The signatures are those of `StateClient`; `urgent` changes nothing here.
+    The share `failure_rate` of its transactions gets no answer: half of these are applied at once,
+    the others late or never. All calls fail while `cut` is set. `urgent` has no effect.
     """
 
     def __init__(self, state: FakeStateService, failure_rate: float) -> None:
@@ -96,7 +97,7 @@
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
-        """Write; the answer or the whole transaction may be lost or late."""
+        """Execute a transaction and return its revision; it may be late, or its answer lost."""
         if self.cut:
             raise StateError("503")
         changes = [
@@ -115,14 +116,14 @@
         return self.state.revision
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
-        """Read one key."""
+        """Return a key's entry, or None if the key does not exist."""
         if self.cut:
             raise StateError("503")
         found = self.state.keys.get(key)
         return api.Entry(key, msgspec.Raw(found[0]), found[1]) if found else None
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
-        """Read all keys with a prefix, in their order."""
+        """Return the entries under a prefix, sorted by key, and the revision that was read."""
         if self.cut:
             raise StateError("503")
         found = [
@@ -144,7 +145,7 @@
 
 @dataclass
 class FakeWorker:
-    """A worker as PROTOCOL prescribes. It reports every start to `model.on_task_started`."""
+    """A worker as PROTOCOL prescribes. It calls `model.on_task_started` for each task it starts."""
 
     name: str
     zone: str
@@ -159,19 +160,19 @@
     unreachable: bool = False  # one-way partition: its reports arrive, nothing reaches it
 
     def restart(self, now: float) -> None:
-        """Restart the machine at once: a new incarnation, whose counters begin anew."""
+        """Restart the machine at once: tasks, session, sequence number and token are reset."""
         self.tasks.clear()
         self.session, self.seq, self.token, self.lease_renewed_at = 1, 0, 0, now
 
     def expire(self, now: float) -> None:
-        """Stop everything and begin a new session if the lease has expired."""
-        if now - self.lease_renewed_at > LEASE_S:
+        """Stop all tasks and begin a new session if the lease has expired."""
+        if now - self.lease_renewed_at > WORKER_LEASE_S:
             self.tasks.clear()
             self.session += 1
             self.lease_renewed_at = now
 
     def report(self) -> api.Report:
-        """Return the next report."""
+        """Return the next report, under a new sequence number."""
         self.seq += 1
         tasks = [
             api.ReportTask(name, t.attempt, t.state, t.exit_reason)
@@ -208,8 +209,8 @@
                 return
             if task is not None and task.state != "exited":
                 return
-            live = sum(t.state != "exited" for t in self.tasks.values())
-            full = live >= self.slots
+            live_tasks = sum(t.state != "exited" for t in self.tasks.values())
+            full = live_tasks >= self.slots
             self.tasks[command.task] = FakeTask(
                 command.attempt, "exited" if full else "fetching", "full" if full else None
             )
@@ -222,7 +223,7 @@
             del self.tasks[command.task]
 
     def progress(self, rng: random.Random) -> None:
-        """Advance each task at random."""
+        """Advance each task to its next state with some probability."""
         for name, task in self.tasks.items():
             if task.state == "fetching" and rng.random() < 0.5:
                 task.state = "running"
@@ -248,16 +249,17 @@
     writers: dict[int, RecordWriter] = field(default_factory=dict)
     machines: dict[int, MachineShard] = field(default_factory=dict)
     snapshots: dict[int, ShardSnapshot] = field(default_factory=dict)
+    # Machine shard -> the ownership epoch that this controller's last desired state named.
     named_epochs: dict[int, int] = field(default_factory=dict)
 
     def lease_is_valid(self) -> bool:
-        """Whether its lease is certainly valid, by its own clock."""
-        return self.context.now() < self.lease_renewed_at + TTL_S / 1.002 - 0.2
+        """Return whether the lease is certainly valid, allowing for clock drift and a margin."""
+        return self.context.now() < self.lease_renewed_at + CONTROLLER_LEASE_S / 1.002 - 0.2
 
     def may_renew_worker_leases(self) -> bool:
-        """Whether it may answer reports, which renews workers' leases."""
+        """Return whether it may answer reports, which renews workers' leases."""
         return self.context.now() < self.lease_renewed_at + max(
-            TTL_S, self.context.outage_renewal_s
+            CONTROLLER_LEASE_S, self.context.outage_renewal_s
         )
 
 
@@ -280,13 +282,13 @@
             tuple[str, api.Commands, MachineShard | None, tuple[int, int] | None]
         ] = []
         self.late_reports: list[api.Report] = []
-        self.cancelled: dict[str, float] = {}
-        self.cancellation_requested: set[str] = set()  # perhaps not confirmed to their users
-        self.finished: set[str] = set()
-        self.reported_done: set[str] = set()
-        self.accepted: dict[str, int] = {}
+        self.cancelled: dict[str, float] = {}  # job -> when its cancellation was confirmed
+        self.cancellation_requested: set[str] = set()  # whether or not it was confirmed
+        self.finished: set[str] = set()  # tasks
+        self.reported_done: set[str] = set()  # jobs
+        self.accepted: dict[str, int] = {}  # job -> number of tasks
         self.starts = 0
-        self.owners: dict[int, tuple[int, float]] = {}
+        self.owners: dict[int, tuple[int, float]] = {}  # shard -> controller, and since when
 
     def make_controller(self, number: int) -> ModelController:
         """Return a controller with empty memory."""
@@ -313,16 +315,16 @@
         self.check_cancelled()
 
     def check_cancelled(self) -> None:
-        """Check that no task outlives its cancellation by too much."""
+        """Check that no task runs longer than `CANCEL_S` after its job's cancellation."""
         for worker in self.workers.values():
             for name, task in worker.tasks.items():
-                at = self.cancelled.get(name.split("/")[0])
+                cancelled_at = self.cancelled.get(name.split("/")[0])
                 live = task.state != "exited"
-                if at is not None and live and self.clock.at > at + CANCEL_S:
+                if cancelled_at is not None and live and self.clock.at > cancelled_at + CANCEL_S:
                     raise InvariantViolationError(f"ran_cancelled: {name} on {worker.name}")
 
     def check_job_states(self) -> None:
-        """Check the stored state of each accepted job."""
+        """Check that each accepted job is stored, and that terminal states are right and final."""
         for job, tasks in self.accepted.items():
             shard = shard_of_job(job, 2)
             main = self.state.keys.get(records.job_key(shard, job))
@@ -369,8 +371,8 @@
         self.check_job_states()
 
     def renew(self, controller: ModelController) -> None:
-        """Renew a controller's lease; if it had expired, the keys attached to it are gone."""
-        if self.clock.at > controller.lease_renewed_at + TTL_S:
+        """Renew a controller's lease. If it had expired, delete its keys and drop its shards."""
+        if self.clock.at > controller.lease_renewed_at + CONTROLLER_LEASE_S:
             for shard in [s for s, (n, _) in self.owners.items() if n == controller.number]:
                 self.expire_ownership(shard)
             controller.writers.clear()
@@ -378,13 +380,13 @@
         controller.lease_renewed_at = self.clock.at
 
     def expire_ownership(self, shard: int) -> None:
-        """Delete a shard's key, as the end of its owner's lease does."""
+        """Delete a shard's key, as the state service does when the owner's lease expires."""
         del self.owners[shard]
         self.state.keys.pop(records.shard_key(shard), None)
         self.state.revision += 1
 
     def do_acquire_ownership(self) -> None:
-        """Let a controller take over the shards without an owner."""
+        """Let a random controller take over its own shard, and at times the other, if unowned."""
         controller = self.rng.choice(self.controllers)
         now = self.clock.at
         if controller.client.cut:
@@ -392,7 +394,7 @@
         for shard in range(2):
             if shard in self.owners:
                 other = self.controllers[self.owners[shard][0]]
-                if now > other.lease_renewed_at + TTL_S and other is not controller:
+                if now > other.lease_renewed_at + CONTROLLER_LEASE_S and other is not controller:
                     self.expire_ownership(shard)
             if shard in self.owners or (shard != controller.number and self.rng.random() < 0.7):
                 continue
@@ -409,27 +411,27 @@
             run_without_waiting(controller.writers[shard].load())
 
     def do_crash(self) -> None:
-        """Restart a controller with empty memory."""
+        """Restart a random controller with empty memory."""
         number = self.rng.randrange(2)
         old = self.controllers[number]
         controller = self.controllers[number] = self.make_controller(number)
         controller.client.cut = old.client.cut
-        # A restart drops its old shards' keys at once, as Membership does.
+        # A restarted controller deletes the keys of its shards at once, as Membership does.
         for shard in [s for s, (n, _) in self.owners.items() if n == number]:
             self.expire_ownership(shard)
 
     def do_cut(self) -> None:
-        """Cut a controller off from the state service, or reconnect it."""
+        """Cut a random controller off from the state service, or reconnect it."""
         controller = self.rng.choice(self.controllers)
         controller.client.cut = not controller.client.cut
 
     def do_partition(self) -> None:
-        """Make a worker unreachable, or reachable again."""
+        """Make a random worker unreachable, or reachable again."""
         worker = self.rng.choice(list(self.workers.values()))
         worker.unreachable = not worker.unreachable
 
     def do_restart(self) -> None:
-        """Restart a worker."""
+        """Restart a random worker."""
         self.rng.choice(list(self.workers.values())).restart(self.clock.at)
 
     def do_submit(self) -> None:
@@ -473,7 +475,7 @@
                 run_without_waiting(writer.cancel(job))
             except StateError:
                 continue
-            if (left := writer.shard.jobs.get(job.index)) is not None and left.cancelled:
+            if (kept := writer.shard.jobs.get(job.index)) is not None and kept.cancelled:
                 self.cancelled.setdefault(name, self.clock.at)
 
     def do_work(self) -> None:
@@ -485,15 +487,15 @@
         return shard_of_machine(worker.name, worker.zone, self.zones)
 
     def do_report(self) -> None:
-        """Let a random worker report."""
+        """Send a report of a random worker."""
         self.send_report(self.rng.choice(list(self.workers.values())))
 
     def send_report(self, worker: FakeWorker) -> None:
-        """Send a report to all controllers; copies may arrive late."""
+        """Send a report to all controllers; it may reach some late, and copies may follow."""
         sent, session = self.clock.at, worker.session
         report = worker.report()
         if self.rng.random() < 0.15:
-            self.late_reports.append(report)  # a copy, from seconds to well over a lease late
+            self.late_reports.append(report)  # a copy, seconds to well over a lease late
         for controller in self.controllers:
             if self.rng.random() < 0.2:
                 self.late_reports.append(report)
@@ -508,7 +510,11 @@
         sent: float,
         session: int,
     ) -> None:
-        """Deliver a report to its shard's owner, and the reply to its worker, if given."""
+        """Deliver a report if the controller owns its machine shard, and the reply to `worker`.
+
+        `sent` and `session`: when the report was sent, and in which session. Without a worker, as
+        for a late copy, nobody receives the reply.
+        """
         machines = controller.machines.get(
             shard_of_machine(report.machine, report.zone, self.zones)
         )
@@ -523,13 +529,13 @@
         machine = machines.apply_report(report, True)
         if machines.watermark_age_s(machine) > controller.context.watermark_lifetime_s:
             return
-        newer = machine.position() == (report.session, report.seq)
-        commands = machines.pending_commands(machine, controller.lease_is_valid()) if newer else []
+        newest = machine.position() == (report.session, report.seq)
+        commands = machines.pending_commands(machine, controller.lease_is_valid()) if newest else []
         if worker is not None and not worker.unreachable and self.rng.random() < 0.85:
             worker.handle_reply(api.ReportReply(machines.token, commands), session, sent)
 
     def do_late(self) -> None:
-        """Deliver a delayed report, or execute a delayed transaction."""
+        """Deliver a delayed report, or apply a delayed transaction."""
         if self.late_reports and self.rng.random() < 0.4:
             report = self.late_reports.pop(self.rng.randrange(len(self.late_reports)))
             for controller in self.controllers:
@@ -542,7 +548,7 @@
             )
 
     def do_serve(self) -> None:
-        """Run a controller's cycle: lease expiry, reconciliation, snapshots and desired state."""
+        """Run a random controller's cycle: leases, reconciliation, snapshots and desired state."""
         controller = self.rng.choice(self.controllers)
         valid = controller.lease_is_valid()
         for shard, machines in controller.machines.items():
@@ -554,7 +560,7 @@
     def run_machine_shard(
         self, controller: ModelController, shard: int, machines: MachineShard, valid: bool
     ) -> None:
-        """Run one machine shard's part of a cycle. `valid`: whether its owner's lease is."""
+        """Run one machine shard's part of a cycle. `valid`: whether its owner's lease is valid."""
         machines.expire_leases()
         machines.deschedule()
         for machine in machines.reconcile():
@@ -582,17 +588,17 @@
         """Send one job shard's desired state to all machine shards."""
         for other in self.controllers:
             for to, machines in other.machines.items():
-                # Learning of an owner may lag: sometimes an older ownership epoch is named.
+                # A controller may learn of a new owner late: it sometimes names an older epoch.
                 epoch = (
                     machines.epoch
                     if self.rng.random() < 0.9
                     else controller.named_epochs.get(to, 0)
                 )
                 controller.named_epochs[to] = epoch
-                seen = controller.snapshots.get(to)
+                snapshot = controller.snapshots.get(to)
                 watermark_ms = (
-                    seen.watermark_ms(controller.context.now())
-                    if seen and seen.epoch == epoch
+                    snapshot.watermark_ms(controller.context.now())
+                    if snapshot and snapshot.epoch == epoch
                     else 0
                 )
                 desired_state = writer.shard.desired_state_message(
@@ -619,16 +625,18 @@
                 )
                 for writer in controller.writers.values():
                     if writer.shard.loaded and touched is not None:
-                        every = None if self.rng.random() < 0.2 else touched
-                        writer.shard.apply_snapshot(controller.snapshots[shard], every)
+                        evaluated = None if self.rng.random() < 0.2 else touched  # None: all
+                        writer.shard.apply_snapshot(controller.snapshots[shard], evaluated)
         if len(self.messages) > 60:
             del self.messages[self.rng.randrange(len(self.messages))]
 
     def do_commands(self) -> None:
-        """Deliver a direct command, lose it, or lose its answer so that it may be sent again."""
+        """Deliver a random direct command, lose it, delay it, or lose its answer."""
         if not self.commands:
             return
-        name, commands, machines, asked = self.commands.pop(self.rng.randrange(len(self.commands)))
+        name, commands, machines, sent_position = self.commands.pop(
+            self.rng.randrange(len(self.commands))
+        )
         worker = self.workers[name]
         draw = self.rng.random()
         machine = None
@@ -640,7 +648,7 @@
             self.note_unanswered(machines, machine, commands)
             return
         if draw < 0.15:
-            # Delayed: the sender has given up, and the command arrives later.
+            # Delayed: the sender stops waiting for the answer, and the command arrives later.
             self.commands.append((name, commands, None, None))
             self.note_unanswered(machines, machine, commands)
             return
@@ -650,19 +658,19 @@
         if draw < 0.25:
             machines.on_command_unanswered(machine, commands, True)
             return
-        taken = machines.apply_report(report, False, asked)
+        applied_to = machines.apply_report(report, False, sent_position)
         if status == 409:
-            machines.on_command_rejected(taken)
+            machines.on_command_rejected(applied_to)
 
     def note_unanswered(
         self, machines: MachineShard | None, machine: Machine | None, commands: api.Commands
     ) -> None:
-        """Tell a command's sender, if there is one, that no answer came."""
+        """Tell the machine shard that sent a command, if it still waits, that no answer came."""
         if machine is not None and machines is not None:
             machines.on_command_unanswered(machine, commands, True)
 
     def do_write(self) -> None:
-        """Let all writers with a valid lease write."""
+        """Flush the writers of all controllers whose lease is valid."""
         for controller in self.controllers:
             for writer in controller.writers.values():
                 if controller.lease_is_valid():
@@ -672,7 +680,7 @@
                         continue
 
     def do_place(self) -> None:
-        """Reserve capacity for waiting tasks at any machine shard."""
+        """Reserve capacity for the waiting tasks of all jobs, on random machines."""
         for controller in self.controllers:
             for writer in controller.writers.values():
                 if not (writer.shard.loaded and controller.lease_is_valid()):
@@ -684,7 +692,7 @@
                         writer.shard.dirty_jobs.add(job.index)
 
     def max_starts(self, _controller: ModelController, _job: Job) -> int:
-        """How many of a job's tasks a scheduling cycle may place."""
+        """Return how many of a job's tasks a scheduling cycle may place."""
         return 2
 
     def reserve(self, controller: ModelController, job: Job, task: int) -> None:
@@ -694,24 +702,24 @@
             return
         other, shard = self.rng.choice(owners)
         machines = other.machines[shard]
-        names = [w for w in self.workers.values() if self.shard_of_worker(w) == shard]
-        if not names or not other.lease_is_valid():
+        workers = [w for w in self.workers.values() if self.shard_of_worker(w) == shard]
+        if not workers or not other.lease_is_valid():
             return
-        worker = self.rng.choice(names)
-        ask = pb.ReserveRequest(to_shard=shard, to_epoch=machines.epoch, job=job_message(job))
-        ask.tasks.add(task=task, attempt=job.attempts[task] + 1, machine=worker.name)
-        given = list(machines.reserve(ask).granted)
-        if given and self.rng.random() < 0.9:
+        worker = self.rng.choice(workers)
+        request = pb.ReserveRequest(to_shard=shard, to_epoch=machines.epoch, job=job_message(job))
+        request.tasks.add(task=task, attempt=job.attempts[task] + 1, machine=worker.name)
+        granted = list(machines.reserve(request).granted)
+        if granted and self.rng.random() < 0.9:
             job.pending_starts[task] = TaskPlacement(
                 controller.context.machine_names.intern(worker.name),
-                given[0].session,
-                given[0].attempt,
+                granted[0].session,
+                granted[0].attempt,
                 shard,
                 controller.context.zone_names.intern(worker.zone),
             )
 
     def stop_failures(self) -> None:
-        """End all failures: from now on every job must end."""
+        """End all failures, so that every job ends from now on."""
         for controller in self.controllers:
             controller.client.cut = False
             controller.client.failure_rate = 0.0
