--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -1,6 +1,6 @@
-"""Simulated cluster for fault injection: whole controllers, simulated time, seeded.
+"""Simulated cluster for fault injection: real controllers in simulated time, reproducible by seed.
 
-The controllers are real `Controller`s with their membership; only sockets are replaced. The state
+The controllers are `Controller` objects with their membership; only sockets are replaced. The state
 service expires leases by the clock, refuses one controller or all, and executes unanswered
 transactions late. Workers report, fail over to other controllers and let their leases expire as
 PROTOCOL prescribes. Every invariant is checked at every tick.
@@ -36,11 +36,11 @@
 
 TICK_S = 0.1
 REPORT_INTERVAL_S = 1.0
-REPLY_TIMEOUT_S = 4.0  # what a worker waits for an answer
-FAILOVER_DELAY_S = 1.0
-POLL_S = 2.0
-CANCEL_S = 40.0  # of tests.support.builders, as is the lease of 10 s
-MAX_UNANSWERED_S = 75.0
+REPLY_TIMEOUT_S = 4.0  # how long a worker waits for the answer to a report
+FAILOVER_DELAY_S = 1.0  # until a worker without a useful answer asks the next controller
+REQUEST_TIMEOUT_S = 2.0  # how long a user waits for an answer
+CANCEL_S = 40.0  # as cancel_s in tests.support.builders; a worker's lease there is 10 s
+MAX_UNANSWERED_S = 75.0  # of the queries about an accepted job, after all failures ended
 TRANSACTION_TIMEOUT_S = 2.0  # how long a controller waits for the answer to a transaction
 MAX_WAIT_BESIDE_CAPACITY_S = 90.0  # of a task while capacity that fits it is free
 TERMINAL_STATES = (api.DONE, api.CANCELLED)
@@ -50,9 +50,10 @@
 class SimulatedStateClient(LeasedClient):
     """One controller's client of the state service, with injected failures.
 
-    `budget` limits the rate of changes, if set. `late_share` of the transactions are executed late
-    and get no answer; of `lost_answer_share` only the answer is lost. Answers take up to
-    `max_latency_s`. Reads under `unreadable_prefixes` fail, as when answers come too slowly.
+    `budget` limits the rate of changes, if set. The share `late_share` of the transactions is
+    executed late and gets no answer; the share `lost_answer_share` is executed at once, and only
+    its answer is lost. Answers take up to `max_latency_s`. Reads under `unreadable_prefixes` fail,
+    as they do when answers come too slowly.
     """
 
     def __init__(self, state: LeasedState, cluster: "SimulatedCluster") -> None:
@@ -67,13 +68,13 @@
             await curio.sleep(self.cluster.rng.uniform(0.0, self.max_latency_s))
 
     def writable(self, urgent: bool) -> tuple[int, float]:
-        """Return how many changes may be written now, and the wait for more."""
+        """Return how many changes may be written now, and the seconds to wait for more."""
         return self.budget.available(urgent) if self.budget else (1000, 0.0)
 
     async def transact(
         self, conditions: dict[str, int], changes: list[api.Change], urgent: bool = False
     ) -> int:
-        """Write, with the injected failures."""
+        """Execute a transaction and return its revision, with the injected failures."""
         if self.budget:
             await self.budget.take(len(changes), urgent)
         if self.cluster.rng.random() < self.late_share and not (self.cut or self.state.down):
@@ -82,42 +83,42 @@
                 (self.cluster.clock.at + delay, dict(conditions), changes)
             )
             raise OutcomeUnknownError("no answer")
-        # Encoded at once: the writer may change its values while the answer is under way.
+        # Encoded now, because the writer may change its values while it waits for the answer.
         sent = [
             api.Change(c.put, msgspec.Raw(msgspec.json.encode(c.value)), c.lease, c.delete)
             for c in changes
         ]
-        fault: TransactionConflictError | None = None
+        conflict: TransactionConflictError | None = None
         revision = 0
         try:
             revision = await super().transact(conditions, sent, urgent)
         except TransactionConflictError as error:
-            fault = error
+            conflict = error
         if self.cluster.rng.random() < self.lost_answer_share:
             await curio.sleep(TRANSACTION_TIMEOUT_S)
             raise OutcomeUnknownError("the answer is lost")
         await self._delay_answer()
-        if fault is not None:
-            raise fault
+        if conflict is not None:
+            raise conflict
         return revision
 
     async def get(self, key: str, urgent: bool = False) -> api.Entry | None:
-        """Read one key, with the injected latency."""
+        """Return a key's entry or None, with the injected latency."""
         self._call()
         found = self.state.keys.get(key)
         await self._delay_answer()
         return api.Entry(key, msgspec.Raw(found[0]), found[1]) if found else None
 
     async def read(self, prefix: str) -> tuple[list[api.Entry], int]:
-        """Read all keys with a prefix, with the injected failures."""
-        if any(prefix.startswith(b) for b in self.unreadable_prefixes):
+        """Return the entries under a prefix and their revision, with the injected failures."""
+        if any(prefix.startswith(p) for p in self.unreadable_prefixes):
             raise StateError("too slow")
-        found, epoch = await super().read(prefix)
+        found, revision = await super().read(prefix)
         await self._delay_answer()
-        return [e for e in found if e.key.startswith(prefix)], epoch
+        return [e for e in found if e.key.startswith(prefix)], revision
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> api.Events:
-        """Return the events under a prefix."""
+        """Return the events under a prefix after revision `after`."""
         found = await super().watch(prefix, after, wait_s)
         found.events = [e for e in found.events if (e.put or e.delete or "").startswith(prefix)]
         return found
@@ -127,8 +128,8 @@
 class SimulatedWorker(FakeWorker):
     """A worker that reports to one controller at a time.
 
-    `heartbeats_lost`: its reports reach nobody, while commands reach it. `hung`: it does nothing
-    and answers nothing; commands sent to it wait.
+    `heartbeats_lost`: its reports reach no controller, but commands reach it. `hung`: it does
+    nothing and answers nothing; commands sent to it arrive late.
     """
 
     model: "SimulatedCluster"  # type: ignore[assignment]
@@ -139,7 +140,7 @@
     hung: bool = False
 
     def work(self, now: float) -> None:
-        """Advance the tasks: images are fetched, run times pass."""
+        """Start the tasks whose image is fetched, and end those whose run time has passed."""
         if self.hung:
             return
         for name, task in self.tasks.items():
@@ -164,11 +165,11 @@
     number: int
 
     def has_ended(self) -> bool:
-        """Whether another process runs in the controller's place."""
+        """Return whether another process has replaced the controller."""
         return self.cluster.controllers[self.number] is not self.controller
 
     def is_reachable(self, to: int) -> bool:
-        """Whether messages reach the other controller."""
+        """Return whether messages reach the other controller."""
         return self.cluster.is_connected(self.number, to)
 
     async def call_peer(self, to: int, envelope: pb.Envelope, _timeout_s: float) -> pb.Envelope:
@@ -186,7 +187,7 @@
     async def call_worker(
         self, address: str, _method: str, _path: str, body: bytes | None, _timeout_s: float
     ) -> Reply:
-        """Send commands to a worker; they or their answer may be delayed."""
+        """Send commands to a worker and return its answer; either may be delayed."""
         cluster = self.cluster
         worker = cluster.workers[address.split(":")[1]]
         if (self.number, worker.name) in cluster.blocked_worker_links or self.has_ended():
@@ -216,29 +217,32 @@
         zones: tuple[str, ...] = ("a", "a", "a"),
         limit: float = 0.0,
     ) -> None:
-        """`zones`: of the controllers, each with as many workers. `limit`: of team blue, cores."""
+        """Start controllers, one in each of `zones`, and the same number of workers for each.
+
+        `limit` is the limit of team blue in cores; 0 leaves the default.
+        """
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.state = LeasedState(self.clock)
         self.delayed_transactions: list[tuple[float, dict[str, int], list[api.Change]]] = []
-        # When each copy of a report is delivered.
+        # When each copy of a report is to be delivered, and its body.
         self.duplicate_reports: list[tuple[float, bytes]] = []
-        # Shard, its ownership epoch, and a report to be delivered when that epoch has ended.
+        # Machine shard, its ownership epoch, and a report to deliver once that epoch has ended.
         self.replays_at_takeover: list[tuple[int, int, bytes]] = []
         self.delayed_commands: list[tuple[float, str, api.Commands]] = []
-        self.duplicate_share = self.replay_share = 0.0  # of the reports
-        self.delayed_command_share = 0.0
+        self.duplicate_share = self.replay_share = 0.0  # shares of the reports
+        self.delayed_command_share = 0.0  # half of them arrive late, of half the answer is lost
         self.zones = zones
         self.limit = limit
-        self.mixed_ranks = False  # jobs are of several ranks
-        self.closed_to_users: set[int] = set()  # controllers that users can't reach
-        self.cancel_at_end_share = 0.0  # of the jobs, cancelled at the moment of their end
-        self.pending_cancellations: list[tuple[str, int]] = []  # job, and the controller asked
-        self.send_invalid = False  # users keep sending invalid requests
-        self.report_latency_s = 0.0  # the maximum
-        self.burst_query_share = 0.0  # of the answers that make users query all controllers
-        self.background_errors: list[Exception] = []  # of spawned tasks
-        self.running_loops: set[tuple[Any, ...]] = set()  # controllers' loops that wait in a call
+        self.mixed_ranks = False  # whether jobs have several ranks
+        self.closed_to_users: set[int] = set()  # controllers that users cannot reach
+        self.cancel_at_end_share = 0.0  # share of the jobs that are cancelled as they end
+        self.pending_cancellations: list[tuple[str, int]] = []  # job, and first controller asked
+        self.send_invalid = False  # whether users keep sending invalid requests
+        self.report_latency_s = 0.0  # maximum; each report takes at least 80 % of it
+        self.burst_query_share = 0.0  # share of the new states that users look up everywhere
+        self.background_errors: list[Exception] = []  # raised in spawned tasks
+        self.running_loops: set[tuple[Any, ...]] = set()  # whose last turn has not ended
         self.clients = [SimulatedStateClient(self.state, self) for _ in range(controllers)]
         self.down: dict[int, float] = {}  # controller -> when it restarts
         self.partitions: set[frozenset[int]] = set()  # pairs of controllers
@@ -250,7 +254,7 @@
         self.controllers = [self.start_controller(i) for i in range(controllers)]
         names = [f"vm-{i}" for i in range(10 * workers)]
         per_shard = workers // controllers
-        chosen = [  # the same number for each shard
+        machines = [  # the same number for each shard
             [n for n in names if shard_of_machine(n, zone, zones) == shard][:per_shard]
             for shard, zone in enumerate(zones)
         ]
@@ -258,23 +262,23 @@
             name: SimulatedWorker(
                 name, zones[i], self, lease_renewed_at=self.clock.at, controller=i
             )
-            for i, part in enumerate(chosen)
-            for name in part
+            for i, shard_machines in enumerate(machines)
+            for name in shard_machines
         }
         self.run_times: dict[str, float] = {}  # seconds, by job or task
         self.completed_tasks: set[str] = set()
-        self.start_counts: dict[str, int] = {}  # by task
-        self.acknowledged: set[str] = set()
-        self.jobs: dict[str, dict[str, Any]] = {}  # as submitted
+        self.start_counts: dict[str, int] = {}  # task -> number of starts
+        self.acknowledged: set[str] = set()  # jobs whose acceptance a user was told
+        self.jobs: dict[str, dict[str, Any]] = {}  # job -> its body as submitted
         # Job -> the terminal state reported to its user, and when.
         self.reported_terminal: dict[str, tuple[str, float]] = {}
         self.reported_done: dict[str, int] = {}  # job -> highest count of done tasks reported
         self.cancellation_requested: set[str] = set()
-        self.invalid_jobs: set[str] = set()  # that no controller may accept
+        self.invalid_jobs: set[str] = set()  # jobs that no controller may accept
         self.answered_at: dict[str, float] = {}  # job -> time of the last answer about it
         self.healed_at = 1e18  # when the last failure ended
-        self.late_starts: dict[str, float] = {}  # task -> seconds since its cancellation
-        self.waiting_since: dict[str, float] = {}  # task -> since when capacity is free
+        self.late_starts: dict[str, float] = {}  # task -> seconds from cancellation to start
+        self.waiting_since: dict[str, float] = {}  # task -> since when it waits beside capacity
 
     # --- controllers
 
@@ -307,20 +311,20 @@
         return controller
 
     def is_connected(self, one: int, other: int) -> bool:
-        """Whether both controllers run and no partition separates them."""
-        up = one not in self.down and other not in self.down
-        return up and (one == other or frozenset((one, other)) not in self.partitions)
+        """Return whether both controllers run and no partition separates them."""
+        both_up = one not in self.down and other not in self.down
+        return both_up and (one == other or frozenset((one, other)) not in self.partitions)
 
     def crash(self, number: int, for_s: float) -> None:
         """End a controller; it restarts after `for_s` seconds."""
         self.down[number] = self.clock.at + for_s
         old = self.controllers[number]
-        old.membership.lease.lease_id = 0  # its remaining tasks act for no owner
+        old.membership.lease.lease_id = 0  # so that its remaining coroutines act for no owner
         old.writers.clear()
         old.machines.clear()
 
     def set_outage(self, down: bool) -> None:
-        """Begin or end an outage of the state service; after one every lease has its full time."""
+        """Begin or end an outage of the state service. At its end all leases get their full TTL."""
         self.state.expire()
         if self.state.down and not down:
             for lease in self.state.leases:
@@ -347,7 +351,8 @@
     async def spawn(self, do: Callable[..., Awaitable[Any]], *args: Any) -> None:
         """Run a coroutine function in the background. Its errors fail the simulation.
 
-        Curio ends only the daemon task on an error: without this no check by users could fail.
+        Curio ends only the daemon task that raised: without this, violations that simulated users
+        detect would not fail the test.
         """
 
         async def run() -> None:
@@ -359,22 +364,25 @@
         await curio.spawn(run, daemon=True)
 
     async def run_loop(self, key: tuple[Any, ...], *each: Callable[[], Awaitable[Any]]) -> None:
-        """Start a turn of a controller's loop, unless its last turn still waits for an answer."""
+        """Start a turn of a loop, unless its last turn still waits for an answer.
+
+        A turn runs the functions `each` one after the other; `key` identifies the loop.
+        """
         if key in self.running_loops:
             return
         self.running_loops.add(key)
 
         async def turn() -> None:
             try:
-                for one in each:
-                    await one()
+                for function in each:
+                    await function()
             finally:
                 self.running_loops.discard(key)
 
         await self.spawn(turn)
 
     async def run_controller(self, number: int, controller: Controller) -> None:
-        """Send gossip, and give each of a controller's loops a turn."""
+        """Send a controller's gossip, and give each of its loops a turn."""
         links = controller.peers.links
         for other in range(len(self.controllers)):
             if other != number and self.is_connected(number, other):
@@ -398,7 +406,7 @@
         await self.run_loop((id(controller), "write"), lambda: self.write(controller))
 
     async def write(self, controller: Controller) -> None:
-        """Write a controller's changes while its lease is valid."""
+        """Flush a controller's writers while its lease is valid."""
         for writer in list(controller.writers.values()):
             try:
                 while controller.membership.lease_is_valid() and await writer.flush():
@@ -409,14 +417,14 @@
                 controller.membership.synced = False
 
     async def deliver(self, link: tuple[int, int]) -> None:
-        """Deliver the messages from one controller to another in their order."""
+        """Deliver the messages from one controller to another in the order they were sent."""
         sender, to = link
         while self.messages[link]:
             envelope = self.messages[link].pop(0)
             if self.is_connected(sender, to):
-                again = await self.controllers[to].on_message(envelope)
-                if again is not None and again.HasField("resync_request"):
-                    self.controllers[sender].on_resync_request(to, again.resync_request.shard)
+                reply = await self.controllers[to].on_message(envelope)
+                if reply is not None and reply.HasField("resync_request"):
+                    self.controllers[sender].on_resync_request(to, reply.resync_request.shard)
 
     # --- workers
 
@@ -426,15 +434,15 @@
             raise InvariantViolationError(f"invented: {task}")
 
     def on_task_completed(self, task: str) -> None:
-        """Note a completed task; some users cancel their job at the moment of its end."""
+        """Record a completed task. At the moment their job ends, some users cancel it."""
         self.completed_tasks.add(task)
         job = task.split("/", maxsplit=1)[0]
-        whole = all(f"{job}/{i}" in self.completed_tasks for i in range(self.jobs[job]["chores"]))
-        if whole and job in self.acknowledged and self.rng.random() < self.cancel_at_end_share:
+        ended = all(f"{job}/{i}" in self.completed_tasks for i in range(self.jobs[job]["chores"]))
+        if ended and job in self.acknowledged and self.rng.random() < self.cancel_at_end_share:
             self.pending_cancellations.append((job, self.rng.randrange(len(self.controllers))))
 
     def boot_machine(self, shard: int) -> SimulatedWorker:
-        """Add a machine of a shard, running at once."""
+        """Add a running machine to a shard."""
         zone, number = self.zones[shard], 100 + len(self.workers)
         while (
             shard_of_machine(f"vm-{number}", zone, self.zones) != shard
@@ -472,18 +480,18 @@
                 raise InvariantViolationError(
                     f"ran_cancelled: {name} began {self.clock.at - at:.1f} s after"
                 )
-        answer = self.jobs[job]
+        body = self.jobs[job]
         zones = [w.zone for w, n, t in self.live_tasks(job) if n != name and t.state == "running"]
-        limit = (answer["chores"] + 1) // 2
+        limit = (body["chores"] + 1) // 2
         if (
-            answer["roost"] not in (None, worker.zone)
-            or (answer["same_place"] and {*zones} - {worker.zone})
-            or (answer["spread"] and zones.count(worker.zone) >= limit)
+            body["roost"] not in (None, worker.zone)
+            or (body["same_place"] and {*zones} - {worker.zone})
+            or (body["spread"] and zones.count(worker.zone) >= limit)
         ):
             raise InvariantViolationError(f"wrong_place: {name} in {worker.zone}, beside {zones}")
 
     def live_tasks(self, job: str = "") -> list[tuple["SimulatedWorker", str, FakeTask]]:
-        """Return all tasks on machines that have not exited: of one job, if given."""
+        """Return the tasks that have not exited, with worker and name; only of `job`, if given."""
         return [
             (worker, name, task)
             for worker in self.workers.values()
@@ -492,7 +500,7 @@
         ]
 
     async def report(self, worker: SimulatedWorker) -> None:
-        """Send one report, and make the worker act on the reply."""
+        """Send a worker's report, and let the worker act on the reply or fail over without one."""
         sent, session, number = self.clock.at, worker.session, worker.controller
         worker.next_report_at = sent + 1e9
         body = msgspec.json.encode(worker.report())
@@ -500,13 +508,13 @@
             self.duplicate_reports.append((sent + self.rng.uniform(2.0, 25.0), body))
         if self.rng.random() < self.replay_share:
             self.replays_at_takeover.append((*self.ownership_of(worker), body))
-        cut = (
+        lost = (
             worker.heartbeats_lost
             or number in self.down
             or (number, worker.name) in self.blocked_worker_links
         )
         reply: Response | None = None
-        if not cut:
+        if not lost:
             controller = self.controllers[number]
             if self.report_latency_s:
                 await curio.sleep(self.report_latency_s * self.rng.uniform(0.8, 1.0))
@@ -515,7 +523,7 @@
                 reply = None
         waited = self.clock.at - sent
         if reply is None or worker.unreachable or worker.hung or waited > REPLY_TIMEOUT_S:
-            refused = number in self.down  # by its machine: no process listens
+            refused = number in self.down  # at once, since no process listens on the machine
             worker.next_report_at = sent + FAILOVER_DELAY_S + (0.0 if refused else REPLY_TIMEOUT_S)
             worker.controller = (number + 1) % len(self.controllers)
         elif reply.status == 200:
@@ -534,7 +542,10 @@
     # --- users
 
     async def request(self, number: int, method: str, path: str, body: bytes = b"") -> int:
-        """Send one request, and compare the answer with those given before the request began."""
+        """Send a user's request and return the status, or 0 if it got no answer in time.
+
+        The answer is compared with what users had been told when the request was sent.
+        """
         sent = self.clock.at
         name = path.split("/")[3] if path != api.JOBS else msgspec.json.decode(body)["uid"]
         known, final = name in self.acknowledged, self.reported_terminal.get(name)
@@ -542,7 +553,11 @@
         if number in self.down or number in self.closed_to_users:
             return 0
         reply = await self.controllers[number].serve(Request(method, path, body))
-        if self.clock.at - sent > POLL_S or number in self.down or number in self.closed_to_users:
+        if (
+            self.clock.at - sent > REQUEST_TIMEOUT_S
+            or number in self.down
+            or number in self.closed_to_users
+        ):
             return 0
         if known and reply.status in (404, 400, 422):
             raise InvariantViolationError(f"forgotten: {name} answered {reply.status}")
@@ -559,7 +574,11 @@
     def check_answer(
         self, name: str, answer: api.JobStatus, final: tuple[str, float] | None, done: int
     ) -> None:
-        """Compare an answer with the terminal state and the count reported before its request."""
+        """Check an answer against the tasks that completed, and earlier answers.
+
+        `final` is the terminal state reported before the request, and when; `done` is the highest
+        count of done tasks reported before it.
+        """
         if final and answer.state != final[0]:
             raise InvariantViolationError(f"went_back: {name} was {final[0]}, is {answer.state}")
         if answer.state == api.CANCELLED and name not in self.cancellation_requested:
@@ -578,7 +597,7 @@
 
     def record_answer(self, name: str, answer: api.JobStatus, sent: float) -> bool:
         """Record an answer. Return whether the job's acceptance or terminal state is new."""
-        news = name not in self.acknowledged or (
+        is_new = name not in self.acknowledged or (
             answer.state in TERMINAL_STATES and name not in self.reported_terminal
         )
         self.acknowledged.add(name)
@@ -586,10 +605,10 @@
         self.reported_done[name] = max(answer.done or 0, self.reported_done.get(name, 0))
         if answer.state in TERMINAL_STATES:
             self.reported_terminal.setdefault(name, (answer.state, sent))
-        return news
+        return is_new
 
     async def query_all_controllers(self, name: str) -> None:
-        """Query all controllers within milliseconds, repeat submissions; some users cancel."""
+        """Query and resubmit a job at all controllers at once; some users also cancel it."""
         body, path = msgspec.json.encode(self.jobs[name]), f"{api.JOBS}/{name}"
         if name not in self.reported_terminal and self.rng.random() < 0.2:
             await self.spawn(self.cancel, name, (self.rng.randrange(len(self.controllers)),))
@@ -599,26 +618,29 @@
                 await self.spawn(self.request, number, "POST", api.JOBS, body)
             await real_sleep(0)
 
-    async def submit(self, name: str, tasks: int, run_s: float, **other: Any) -> None:
-        """Submit a job until a controller has accepted it."""
+    async def submit(self, name: str, tasks: int, run_s: float, **overrides: Any) -> None:
+        """Submit a job until a controller has accepted it; `overrides` replace its fields."""
         self.run_times[name] = run_s
-        self.jobs[name] = job_body(name, chores=tasks, image_gb=0.1, **other)
+        self.jobs[name] = job_body(name, chores=tasks, image_gb=0.1, **overrides)
         body = msgspec.json.encode(self.jobs[name])
         while name not in self.acknowledged:
             await self.request(self.rng.randrange(len(self.controllers)), "POST", api.JOBS, body)
             await curio.sleep(0.5)
 
     async def send_invalid_requests(self, name: str) -> None:
-        """Submit jobs that lack a field or fit nowhere: all controllers refuse and forget them."""
+        """Check that all controllers refuse and forget jobs that lack a field or fit nowhere.
+
+        Also repeat the submission of the valid job `name`, and cancel it if it is done.
+        """
         for number in range(len(self.controllers)):
-            short, vast = job_body(f"j-9{number}0000"), job_body(f"j-9{number}0001", cores=500.0)
-            del short["kit"]
-            self.invalid_jobs.update((short["uid"], vast["uid"]))
-            for body, status in ((short, 400), (vast, 422)):
+            lacking, huge = job_body(f"j-9{number}0000"), job_body(f"j-9{number}0001", cores=500.0)
+            del lacking["kit"]
+            self.invalid_jobs.update((lacking["uid"], huge["uid"]))
+            for body, status in ((lacking, 400), (huge, 422)):
                 path = f"{api.JOBS}/{body['uid']}"
-                found = await self.request(number, "POST", api.JOBS, msgspec.json.encode(body))
-                if found not in (status, 0, 503):
-                    raise InvariantViolationError(f"{body['uid']} answered {found}, not {status}")
+                actual = await self.request(number, "POST", api.JOBS, msgspec.json.encode(body))
+                if actual not in (status, 0, 503):
+                    raise InvariantViolationError(f"{body['uid']} answered {actual}, not {status}")
                 if await self.request(number, "GET", path) not in (404, 0, 503):
                     raise InvariantViolationError(f"invented: {body['uid']}")
             await self.request(number, "POST", api.JOBS, msgspec.json.encode(self.jobs[name]))
@@ -626,7 +648,7 @@
                 await self.request(number, "POST", f"{api.JOBS}/{name}/{api.CANCEL}")
 
     async def cancel(self, name: str, by: tuple[int, ...]) -> None:
-        """Cancel a job at these controllers in turn until its terminal state is reported."""
+        """Cancel a job at the controllers `by`, in turn, until its terminal state is reported."""
         self.cancellation_requested.add(name)
         path = f"{api.JOBS}/{name}/{api.CANCEL}"
         while name not in self.reported_terminal:
@@ -638,7 +660,7 @@
     # --- time
 
     def check_invariants(self) -> None:
-        """Raise the errors of spawned tasks, and check what runs now."""
+        """Raise the first error of a spawned task, and check the tasks that run now."""
         if self.background_errors:
             raise self.background_errors[0]
         now, used = self.clock.at, 0.0
@@ -658,7 +680,7 @@
             self.check_starvation(now)
 
     def check_starvation(self, now: float) -> None:
-        """Check that no task waits while capacity for it stays free."""
+        """Check that no task waits longer than allowed while capacity that fits it stays free."""
         capacity: dict[str, int] = {}
         for w in self.workers.values():
             capacity[w.zone] = (
@@ -666,17 +688,17 @@
                 + w.slots
                 - sum(1 for o, _, _ in self.live_tasks() if o is w)
             )
-        for name, answer in self.jobs.items():
+        for name, body in self.jobs.items():
             live = {n for _, n, _ in self.live_tasks(name)}
-            over = (
+            exempt = (
                 name not in self.acknowledged
                 or name in self.reported_terminal
                 or name in self.cancellation_requested
             )
-            full = answer["crew"] == "blue" and 0 < self.limit < self.used + answer["cores"]
-            zones = [answer["roost"]] if answer["roost"] else list(capacity)
-            fits = not over and not full and all(capacity[z] > 0 for z in zones)
-            for task in (f"{name}/{i}" for i in range(answer["chores"])):
+            full = body["crew"] == "blue" and 0 < self.limit < self.used + body["cores"]
+            zones = [body["roost"]] if body["roost"] else list(capacity)
+            fits = not exempt and not full and all(capacity[z] > 0 for z in zones)
+            for task in (f"{name}/{i}" for i in range(body["chores"])):
                 if not fits or task in live or task in self.completed_tasks:
                     self.waiting_since.pop(task, None)
                 elif now - self.waiting_since.setdefault(task, now) > MAX_WAIT_BESIDE_CAPACITY_S:
@@ -703,7 +725,7 @@
             self.check_invariants()
 
     async def deliver_delayed(self, now: float) -> None:
-        """Execute and deliver what was delayed until now."""
+        """Apply the delayed transactions that are due, and deliver the delayed messages."""
         due = [item for item in self.delayed_transactions if item[0] <= now]
         for transaction in due if not self.state.down else []:
             self.delayed_transactions.remove(transaction)
@@ -720,7 +742,7 @@
         await self.deliver_replays()
 
     async def deliver_replays(self) -> None:
-        """Deliver old reports to controllers whose predecessor's ownership has ended."""
+        """Deliver the recorded reports whose machine shard has a new owner by now."""
         for replay in [
             item
             for item in self.replays_at_takeover
@@ -730,7 +752,7 @@
             await self.deliver_duplicate(replay[2])
 
     def restart_controllers(self, now: float) -> None:
-        """Start crashed controllers whose time has come."""
+        """Restart the crashed controllers that are due."""
         for number, at in list(self.down.items()):
             if at <= now:
                 del self.down[number]
@@ -739,7 +761,7 @@
     async def run_workers(self, now: float) -> None:
         """Advance all workers; those that are due report."""
         for worker in self.workers.values():
-            worker.expire(now)  # PROTOCOL: a machine that hangs may continue within its lease
+            worker.expire(now)  # PROTOCOL: after a hang it may continue only within its lease
             if worker.hung:
                 continue
             worker.work(now)
@@ -747,14 +769,14 @@
                 await self.spawn(self.report, worker)
 
     async def cancel_pending(self) -> None:
-        """Send the cancellations that tasks and failures have caused."""
+        """Send the cancellations that ended jobs and failures have caused."""
         for job, number in self.pending_cancellations:
             await self.spawn(self.cancel, job, (number, *range(len(self.controllers))))
         self.pending_cancellations.clear()
 
     @property
     def ownership_epochs(self) -> dict[int, int]:
-        """The ownership epoch of each machine shard, by the state service."""
+        """The ownership epoch of each machine shard, as the state service has it."""
         found = {}
         for shard in range(len(self.controllers)):
             entry = self.state.keys.get(records.shard_key(shard))
@@ -774,7 +796,7 @@
                 await self.spawn(controller.heartbeat_api.handle, body)
 
     async def poll(self, names: list[str]) -> None:
-        """Query each job at a random controller."""
+        """Query each job at a random controller; send invalid requests too if enabled."""
         if self.send_invalid:
             await self.spawn(self.send_invalid_requests, self.rng.choice(names))
         for name in names:
@@ -782,25 +804,27 @@
             await self.spawn(self.request, number, "GET", f"{api.JOBS}/{name}")
 
     def live_tasks_of(self, job: str) -> list[tuple[str, FakeTask]]:
-        """Return a job's tasks that have not exited, with their machines."""
+        """Return a job's tasks that have not exited, with the names of their machines."""
         return [(worker.name, task) for worker, _, task in self.live_tasks(job)]
 
 
 def run_simulation(
     monkeypatch: Any, cluster: SimulatedCluster, drive: Coroutine[Any, Any, Any]
 ) -> Any:
-    """Run a test's coroutine; while one controller sleeps the others continue.
+    """Run a test's coroutine in simulated time, and return its result.
 
-    The coroutine that advances the clock may not sleep: that would never end, and is reported.
+    `curio.sleep` is replaced: it lets other coroutines run until the simulated clock has advanced
+    far enough. The coroutine that advances the clock may not sleep itself, as that would never
+    end; it raises InvariantViolationError.
     """
 
     async def sleep(seconds: float) -> None:
         until = cluster.clock.at + seconds
         await real_sleep(0)
-        still, seen = 0, cluster.clock.at
+        turns, seen = 0, cluster.clock.at  # scheduler turns for which the clock has stood still
         while cluster.clock.at < until - 1e-9:
-            still, seen = (still + 1, seen) if seen == cluster.clock.at else (0, cluster.clock.at)
-            if still > 10_000:
+            turns, seen = (turns + 1, seen) if seen == cluster.clock.at else (0, cluster.clock.at)
+            if turns > 10_000:
                 raise InvariantViolationError(f"the clock does not advance at {seen:.1f} s")
             await real_sleep(0)
 
