--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -50,13 +50,14 @@
 
 @pytest.mark.parametrize("gap_s", [0.2, 3.0, 8.0, 14.0])
 @pytest.mark.parametrize("variant", ["alone", "reading", "crashed", "back"])
-def test_an_owner_refused_alone_then_an_outage_longer_than_a_cancellation(
+def test_cancelled_tasks_end_when_the_owner_and_then_all_lose_the_state_service(
     monkeypatch: pytest.MonkeyPatch, gap_s: float, variant: str
 ) -> None:
-    """The state service refuses a job shard's owner alone, another controller confirms a
-    cancellation, then it is down for all. Machine shards' owners renewed workers' leases for a
-    fixed time after their own last renewal, which may be long after the confirmation, while the
-    new owner still loaded the shard, or had crashed: the cancellation never reached machines."""
+    """The state service refuses only a job shard's owner, another controller confirms a
+    cancellation, and then the state service is down for all. Owners of machine shards used to renew
+    workers' leases until a fixed time after the last renewal of their own lease, which may be long
+    after the confirmation. Meanwhile the job shard's new owner was still loading the shard, or had
+    crashed, so that the cancellation never reached the machines."""
     cluster = SimulatedCluster(int(gap_s * 10))
 
     async def drive() -> None:
@@ -87,12 +88,12 @@
 
 
 def machines_of(cluster: SimulatedCluster, number: int) -> list[SimulatedWorker]:
-    """The third of the machines that failures on this controller's number concern."""
+    """Return the third of the machines that failures with this controller's number affect."""
     return [w for i, w in enumerate(cluster.workers.values()) if i % 3 == number]
 
 
 def toggle(value: float, active: float) -> float:
-    """Return the other one of inactive (0) and active."""
+    """Return `active` if the value is 0, else 0."""
     return 0.0 if value else active
 
 
@@ -121,7 +122,7 @@
 
 
 def crash_all(cluster: SimulatedCluster, number: int) -> None:
-    """This controller is back at once, the others later."""
+    """Crash all controllers; this one restarts at once, the others later."""
     for i in range(3):
         if i not in cluster.down:
             cluster.crash(i, 0.2 if i == number else 6.0)
@@ -215,7 +216,7 @@
 
 
 def running_job(cluster: SimulatedCluster) -> str:
-    """The first running job whose cancellation was not requested, or an empty string."""
+    """Return the first running job whose cancellation was not requested, or an empty string."""
     jobs = (name.split("/")[0] for _, name, _ in cluster.live_tasks())
     return next((job for job in jobs if job not in cluster.cancellation_requested), "")
 
@@ -239,7 +240,8 @@
     cut_zone(cluster, cluster.zones[number])
 
 
-# By the kind's name in scenarios. Each begins a failure, or ends it if it is active.
+# Kind of failure, as scenarios name it -> its function. Functions named "toggle" begin a failure,
+# or end it if it is active.
 FAILURES: dict[str, Callable[[SimulatedCluster, int], None]] = {
     "refuse": toggle_state_service,
     "outage": toggle_outage,
@@ -273,7 +275,7 @@
 
 
 def inject_failure(cluster: SimulatedCluster, kind: str, number: int) -> None:
-    """Begin a failure of this kind on one controller or its share of machines, or end it."""
+    """Begin or end a failure of this kind, on one controller or its third of the machines."""
     FAILURES[kind](cluster, number)
 
 
@@ -293,21 +295,24 @@
 async def wait_for_terminal_states(
     cluster: SimulatedCluster, names: list[str], within_s: float = 150.0
 ) -> None:
-    """End all failures; query until each job is in a terminal state. All queries are answered."""
+    """End all failures, then query until each job is in a terminal state, at most for `within_s`.
+
+    Also check that no accepted job's queries stay unanswered for `MAX_UNANSWERED_S`.
+    """
     cluster.heal()
-    over = cluster.clock.at
+    began = cluster.clock.at
     while any(n not in cluster.reported_terminal for n in names):
-        assert cluster.clock.at - over < within_s, [
+        assert cluster.clock.at - began < within_s, [
             n for n in names if n not in cluster.reported_terminal
         ]
         await cluster.poll(names)
         await cluster.run(2.0)
         for name in cluster.acknowledged:
-            quiet = cluster.clock.at - max(over, cluster.answered_at[name])
-            assert quiet < MAX_UNANSWERED_S, f"forgotten: {name}"
+            unanswered_s = cluster.clock.at - max(began, cluster.answered_at[name])
+            assert unanswered_s < MAX_UNANSWERED_S, f"forgotten: {name}"
 
 
-# When (seconds), which failure begins or ends, and where.
+# Steps: when (seconds), which kind of failure begins or ends, and the number of its controller.
 Script = list[tuple[float, str, int]]
 FAILURE_SCENARIOS: dict[str, Script] = {
     "an owner cut off from state service and peers": [(0.0, "cut", 0), (25.0, "cut", 0)],
@@ -474,16 +479,17 @@
 
 
 async def run_scenario(cluster: SimulatedCluster, script: Script) -> None:
-    """Run jobs of two and three tasks whose ends lie far apart; a third is cancelled through
-    other controllers meanwhile, and every controller is queried about all jobs all the time."""
+    """Run jobs of two and three tasks that end at very different times, while failures begin and
+    end. Meanwhile up to three jobs are cancelled, first at controllers that did not own them at the
+    start, and every second each job is queried at a random controller."""
     names = [
         job_of_shard(shard, n) for n in range(6 if cluster.mixed_ranks else 3) for shard in range(3)
     ]
     await cluster.run(4.0)
     for i, name in enumerate(names):
         cluster.run_times[f"{name}/0"] = 4.0 + i
-        other = job_fields(cluster, i)
-        await cluster.spawn(lambda n=name, c=2 + i % 2, o=other: cluster.submit(n, c, 45.0, **o))
+        fields = job_fields(cluster, i)
+        await cluster.spawn(lambda n=name, c=2 + i % 2, f=fields: cluster.submit(n, c, 45.0, **f))
     await cluster.run(5.0)
     script, began = sorted(script), cluster.clock.at
     for step in range(int(script[-1][0]) + 2):
@@ -502,8 +508,8 @@
 def test_long_tasks_outlive_their_owner_while_unreachable(
     monkeypatch: pytest.MonkeyPatch, off_s: float
 ) -> None:
-    """Reachable again within their lease, tasks continue under the next owner and none is rerun;
-    later, the lease has expired and all are."""
+    """If machines are reachable again within their lease, their tasks continue under the next owner
+    and none is rerun. If they are not, the lease has expired and tasks are rerun."""
     cluster = SimulatedCluster(5)
 
     async def drive() -> None:
@@ -514,8 +520,8 @@
         cluster.crash(0, 30.0)
         await cluster.run(off_s)
         await wait_for_terminal_states(cluster, [name])
-        again = [task for task, times in cluster.start_counts.items() if times > 1]
-        assert bool(again) == (off_s > 10.0)
+        rerun = [task for task, starts in cluster.start_counts.items() if starts > 1]
+        assert bool(rerun) == (off_s > 10.0)
 
     run_simulation(monkeypatch, cluster, drive())
 
@@ -524,8 +530,9 @@
 def test_the_remainders_of_a_limit_are_combined(
     monkeypatch: pytest.MonkeyPatch, sizes: tuple[float, ...]
 ) -> None:
-    """Each shard's share of a limit had a remainder in which none of its waiting tasks fit; none
-    transferred its own, lacking quota itself: all waited while the team was under its limit."""
+    """Each shard's share of a limit had a remainder too small for any of its waiting tasks. No
+    shard transferred its remainder, since it lacked quota itself, so all tasks waited while the
+    team was under its limit."""
     limit = sum(sizes) + 2.0
     cluster = SimulatedCluster(13, limit=limit)
 
@@ -533,8 +540,8 @@
         await cluster.run(4.0)
         names = [job_of_shard(shard, n) for n in range(3) for shard in range(3)]
         for i, name in enumerate(names):
-            other = {"crew": "blue", "cores": sizes[i % 3]}
-            await cluster.spawn(lambda n=name, o=other: cluster.submit(n, 1, 500.0, **o))
+            fields = {"crew": "blue", "cores": sizes[i % 3]}
+            await cluster.spawn(lambda n=name, f=fields: cluster.submit(n, 1, 500.0, **f))
         await cluster.run(60.0)
         return cluster.used, min(
             sizes[i % 3] for i, n in enumerate(names) if not cluster.live_tasks_of(n)
@@ -547,21 +554,22 @@
 def test_a_large_task_accumulates_quota_beside_small_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Remainders were transferred at once at first: as its shard's tasks ended one by one, each
-    remainder went to where small tasks waited, and the large one starved as long as they came."""
+    """When remainders of quota were transferred at once, a large task starved: as the tasks of its
+    shard ended one by one, each remainder went to a shard where small tasks waited, for as long as
+    more of them were submitted."""
     cluster = SimulatedCluster(14, limit=12.0, workers=18)
 
-    one: dict[str, Any] = {"crew": "blue", "cores": 1.0}
+    one_core: dict[str, Any] = {"crew": "blue", "cores": 1.0}
 
     async def drive() -> float:
         await cluster.run(4.0)
-        await cluster.spawn(lambda: cluster.submit(job_of_shard(2), 4, 500.0, **one))
+        await cluster.spawn(lambda: cluster.submit(job_of_shard(2), 4, 500.0, **one_core))
         for i in range(4):  # of the large job's shard; they end at different times
             name, run_s = job_of_shard(0, i + 1), 12.0 * (i + 1)
-            await cluster.spawn(lambda n=name, s=run_s: cluster.submit(n, 1, s, **one))
+            await cluster.spawn(lambda n=name, s=run_s: cluster.submit(n, 1, s, **one_core))
         await cluster.run(2.0)
         large, small = job_of_shard(0), job_of_shard(1)
-        await cluster.spawn(lambda: cluster.submit(small, 200, 8.0, **one))
+        await cluster.spawn(lambda: cluster.submit(small, 200, 8.0, **one_core))
         await cluster.run(3.0)
         await cluster.spawn(lambda: cluster.submit(large, 1, 30.0, crew="blue", cores=4.0))
         began = cluster.clock.at
@@ -572,11 +580,12 @@
     assert run_simulation(monkeypatch, cluster, drive()) < 90.0
 
 
-def test_a_session_shown_by_a_command_lasts_a_lease_while_heartbeats_are_lost(
+def test_a_session_seen_in_a_command_answer_lasts_a_lease_while_heartbeats_are_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its heartbeats are lost now, and were slow before. Just as its lease expires, a direct stop
-    is answered from its next session, whose lease was counted from the last heartbeat."""
+    """A machine's heartbeats were slow and are now lost. Just as its lease expires, it answers a
+    direct stop command from its next session. The lease of that session was counted from the last
+    heartbeat, before it began."""
     cluster = SimulatedCluster(12)
 
     async def drive() -> int:
@@ -594,7 +603,7 @@
             await cluster.run(0.1)
         await cluster.spawn(cluster.cancel, first, (0,))
         await cluster.run(1.0)
-        for shard in range(3):  # capacity for the freed tasks
+        for shard in range(3):  # capacity for the tasks that ended with a session
             cluster.boot_machine(shard)
         await cluster.run(30.0)
         return len(cluster.live_tasks_of(second))
@@ -616,13 +625,13 @@
 async def run_random_failures(
     cluster: SimulatedCluster, steps: list[tuple[str, int, float]]
 ) -> None:
-    """Run short and long jobs of two or three tasks under concurrent failures, cancelling some;
-    then every job is known, and ends."""
+    """Run short and long jobs of two or three tasks under concurrent failures, cancel some, and
+    check that every job stays known, and ends once the failures are over."""
     names = [job_of_shard(shard, n) for n in range(3) for shard in range(3)]
     await cluster.run(4.0)
     for i, name in enumerate(names):
-        tasks, run_s, other = 2 + i % 2, (5.0, 25.0, 60.0)[i // 3], job_fields(cluster, i)
-        await cluster.spawn(lambda n=name, c=tasks, s=run_s, o=other: cluster.submit(n, c, s, **o))
+        tasks, run_s, fields = 2 + i % 2, (5.0, 25.0, 60.0)[i // 3], job_fields(cluster, i)
+        await cluster.spawn(lambda n=name, c=tasks, s=run_s, f=fields: cluster.submit(n, c, s, **f))
     await cluster.run(3.0)
     for i, (kind, number, seconds) in enumerate(steps):
         inject_failure(cluster, kind, number)
@@ -655,12 +664,12 @@
     check_random_failures(monkeypatch)
 
 
-# --- each step of the protocol by itself
+# --- single steps of the protocol
 
 
 def test_a_mailbox_entry_is_not_deleted_by_a_former_owner(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A former owner that hung during the failover handled a mailbox entry first and deleted it:
-    the cancellation was confirmed while the present owner did not know of it."""
+    """A former owner that had hung during the failover handled a mailbox entry before the present
+    owner did, and deleted it: the cancellation was confirmed, but unknown to the present owner."""
     cluster = SimulatedCluster(2)
 
     async def drive() -> bool:
@@ -680,13 +689,13 @@
     assert run_simulation(monkeypatch, cluster, drive())
 
 
-def test_the_watermark_waits_while_a_cancellation_may_be_recorded(
+def test_the_watermark_does_not_pass_a_cancellation_that_may_be_recorded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The owner's own cancellation got no answer, and was executed: another controller read and
-    reported it while the owner's desired state lacked it. Its outcome is known before the watermark
-    advances. Others' cancellations may be pending all the time: none holds the watermark further
-    back."""
+    """The owner's own cancellation was executed but got no answer: another controller read and
+    reported it while the owner's desired state lacked it. The watermark must not advance past the
+    cancellation before its outcome is known. Cancellations by other controllers may be pending all
+    the time, so none may hold the watermark back further than its own time."""
     cluster = SimulatedCluster(3)
 
     async def drive() -> None:
@@ -700,9 +709,10 @@
         assert await cluster.request(0, "POST", path) == 503
         watermarks = cluster.controllers[1].machines[1].watermarks
         for _ in range(16):
-            # Executed only after this test: earlier, its outcome would be known.
+            # Keep it from being executed during this test, which would make its outcome known.
             cluster.delayed_transactions = [
-                (sent + 100.0, when, changes) for _, when, changes in cluster.delayed_transactions
+                (sent + 100.0, conditions, changes)
+                for _, conditions, changes in cluster.delayed_transactions
             ]
             await cluster.run(0.1)
         # Desired state is still sent; its watermark lies before the cancellation.
@@ -730,8 +740,9 @@
 def test_an_owner_reports_no_cancellation_that_its_desired_state_lacks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With a write's outcome unknown it answered from the state service, where another controller
-    had written a cancellation: that was reported, and its desired state lacked it."""
+    """While the outcome of a write was unknown, the owner answered from the state service, where
+    another controller had recorded a cancellation: the owner reported it, but its desired state
+    lacked it."""
     cluster = SimulatedCluster(4)
 
     async def drive() -> None:
@@ -752,8 +763,9 @@
 
 
 def test_no_start_is_sent_on_an_old_watermark(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine named in the desired state reported to its owner long after: its start was sent on
-    a watermark from before a cancellation, and its lease had just been renewed without tasks."""
+    """A machine that the desired state named reported to its owner only long after. The start was
+    sent although the watermark was from before a cancellation; the machine's lease had just been
+    renewed, as it had no tasks."""
     cluster = SimulatedCluster(6)
 
     async def drive() -> list[list[str]]:
@@ -779,26 +791,27 @@
     assert run_simulation(monkeypatch, cluster, drive()) == [[api.START], [api.START], [], []]
 
 
-def test_a_takeover_is_not_executed_after_another_ownership(
+def test_a_late_takeover_transaction_fails_after_another_ownership(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Executed late, it carried a time at which all former owners' leases end, computed before the
-    ownership in between: a worker's lease renewed by that one would have counted as expired."""
+    """A takeover that is executed late carries the time at which the leases renewed by former
+    owners have all ended, computed before the ownership in between. A worker's lease that the owner
+    in between renewed would have counted as expired."""
     cluster = SimulatedCluster(7)
 
     async def drive() -> list[str]:
         await cluster.run(3.0)
         sent: list[tuple[dict[str, int], list[api.Change]]] = []
-        plain = cluster.clients[2].transact
+        transact = cluster.clients[2].transact
 
-        async def keep(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
+        async def lose_takeover(conditions, changes, urgent=False):  # type: ignore[no-untyped-def]
             if any(c.put == records.shard_key(0) for c in changes):
                 sent.append((dict(conditions), list(changes)))
                 raise OutcomeUnknownError("no answer")
-            return await plain(conditions, changes, urgent)
+            return await transact(conditions, changes, urgent)
 
-        cluster.clients[2].transact = keep  # type: ignore[method-assign]
-        # Both others are disconnected for long enough that the third tries to take over.
+        cluster.clients[2].transact = lose_takeover  # type: ignore[method-assign]
+        # The two other controllers are cut off for long enough that the third tries to take over.
         cluster.clients[0].cut = cluster.clients[1].cut = True
         await cluster.run(4.0)
         cluster.clients[1].cut = False
@@ -815,8 +828,9 @@
 def test_a_controller_whose_key_is_gone_announces_itself_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Announced without an answer, or by a former process's late transaction under a lease that
-    then expired: it never counted as live again, and its shard was not returned to it."""
+    """A controller had announced itself without getting an answer, or a late transaction of its
+    former process had, under a lease that then expired. It never counted as live again, and its
+    shard was not returned to it."""
     cluster = SimulatedCluster(8)
 
     async def drive() -> list[bool]:
@@ -836,8 +850,8 @@
 def test_only_an_owner_with_a_valid_lease_sends_its_watermark(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A cycle that began with a valid lease waited for the state service, or paused, and sent its
-    watermark when another controller might own the shard."""
+    """A cycle that began with a valid lease waited for the state service, or paused, and then sent
+    its watermark although another controller might own the shard."""
     cluster = SimulatedCluster(9)
 
     async def drive() -> tuple[bool, bool]:
@@ -863,8 +877,8 @@
 def test_a_watermark_echoes_only_the_present_ownership_epoch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A time by the clock of the machine shard's former owner, echoed to the next, could be later
-    than its own: the watermark would never have aged."""
+    """A time by the clock of a machine shard's former owner, echoed to the next owner, could be
+    later than the time by that owner's clock: the watermark would never have aged."""
     cluster = SimulatedCluster(10)
 
     async def drive() -> list[bool]:
@@ -872,25 +886,27 @@
         controller = cluster.controllers[0]
         jobs, epoch = controller.writers[0].shard, controller.membership.owners[1].epoch
         return [
-            controller.state_sync.desired_state_sync.watermark_ms(jobs, 1, g) > 0
-            for g in (epoch, epoch + 1)
+            controller.state_sync.desired_state_sync.watermark_ms(jobs, 1, e) > 0
+            for e in (epoch, epoch + 1)
         ]
 
     assert run_simulation(monkeypatch, cluster, drive()) == [True, False]
 
 
-WRITES_A_SECOND = 30.0  # of all controllers together
+WRITES_PER_S = 30.0  # of all controllers together
 
 
-def test_one_task_jobs_four_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A quarter of them cancelled, with usual jobs running and few changes a second: submissions
-    are answered in time, nothing starves, and nothing is kept of ended jobs."""
+def test_four_one_task_jobs_per_second_are_answered_and_forgotten(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A quarter of them is cancelled, larger jobs run, and the state service permits few changes a
+    second: submissions are answered in time, no job starves, and nothing is kept of ended jobs."""
     monkeypatch.setattr(job_shard, "MAX_TERMINAL_JOBS", 20)
     cluster = SimulatedCluster(11)
     for client in cluster.clients:
-        client.budget = TokenBucket(WRITES_A_SECOND / 3, 1.0, cluster.clock.now)
+        client.budget = TokenBucket(WRITES_PER_S / 3, 1.0, cluster.clock.now)
     small = [f"j-{900000 + i:06d}" for i in range(160)]
-    usual = [job_of_shard(shard, n) for n in range(2) for shard in range(3)]
+    large = [job_of_shard(shard, n) for n in range(2) for shard in range(3)]
     waits: dict[str, float] = {}
 
     async def submit(name: str, tasks: int, run_s: float) -> None:
@@ -900,23 +916,23 @@
 
     async def drive() -> None:
         await cluster.run(4.0)
-        for name in usual:
+        for name in large:
             await cluster.spawn(submit, name, 2, 30.0)
-        changes, limit = cluster.state.revision, 0.0
+        revision, max_changes = cluster.state.revision, 0.0
         for i, name in enumerate(small):
             await cluster.spawn(submit, name, 1, 1.0)
             if i % 4 == 3:
                 await cluster.spawn(cluster.cancel, small[i - 3], (i % 3,))
-            if i % 20 == 19:  # five seconds
-                await cluster.poll([*usual, *small[i - 19 : i + 1]])
-                limit, changes = (
-                    max(limit, cluster.state.revision - changes),
+            if i % 20 == 19:  # every five seconds
+                await cluster.poll([*large, *small[i - 19 : i + 1]])
+                max_changes, revision = (
+                    max(max_changes, cluster.state.revision - revision),
                     cluster.state.revision,
                 )
             await cluster.run(0.25)
         # Transactions are fewer than changes: a job's end deletes one key and sets another.
-        assert limit <= 5 * WRITES_A_SECOND * 4 / 3
-        await wait_for_terminal_states(cluster, [*usual, *small], 60.0)
+        assert max_changes <= 5 * WRITES_PER_S * 4 / 3
+        await wait_for_terminal_states(cluster, [*large, *small], 60.0)
         await cluster.run(4.0)
 
     run_simulation(monkeypatch, cluster, drive())
@@ -927,7 +943,7 @@
 
 
 def check_nothing_is_kept(cluster: SimulatedCluster) -> None:
-    """Check that controllers keep nothing of ended jobs but limited numbers of terminal states."""
+    """Check that controllers keep nothing of ended jobs but a limited number of terminal states."""
     for controller in cluster.controllers:
         for writer in controller.writers.values():
             shard = writer.shard
--- a/tests/test_invariant_checks.py
+++ b/tests/test_invariant_checks.py
@@ -1,4 +1,4 @@
-"""Each check of the simulated cluster fails on a service with a fault injected for it."""
+"""Each check of the simulated cluster detects the fault that is injected for it."""
 
 from collections.abc import Callable
 from typing import Any
@@ -26,7 +26,7 @@
 
 
 def answer_always(cluster: SimulatedCluster, code: int, **answer: Any) -> None:
-    """Make controller 1 give this answer to every request."""
+    """Make controller 1 give this answer to every request; instead of 400, queries get 404."""
     body = msgspec.json.encode({"uid": NAME, **answer})
 
     async def serve(request: Request) -> Response:
@@ -36,7 +36,7 @@
 
 
 async def query(cluster: SimulatedCluster, method: str = "GET") -> None:
-    """Query in the background, as users do: a violation there must fail the simulation."""
+    """Query in the background, as users do: a violation found there must fail the simulation."""
     await cluster.spawn(cluster.request, 1, method, f"{api.JOBS}/{NAME}")
     await cluster.run(0.2)
 
@@ -65,7 +65,7 @@
         run_simulation(monkeypatch, cluster, drive())
 
 
-async def repeat_refused(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def resubmission_refused(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster)
     answer_always(cluster, 422, error="never")
     body = msgspec.json.encode(cluster.jobs[NAME])
@@ -73,7 +73,7 @@
     await cluster.run(0.2)
 
 
-async def count_falls(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def done_count_falls(cluster: SimulatedCluster, _patch: Patch) -> None:
     cluster.run_times[f"{NAME}/0"] = 1.0
     await run_one_job(cluster)
     await cluster.request(0, "GET", f"{api.JOBS}/{NAME}")
@@ -81,29 +81,29 @@
     await query(cluster)
 
 
-async def back_from_done(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def running_after_done(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster, run_s=1.0)
     await wait_for_terminal_states(cluster, [NAME])
     answer_always(cluster, 200, status="running")
     await query(cluster)
 
 
-async def invented(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def unknown_job_answered(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster)
     answer_always(cluster, 200, status="queued")
     await cluster.spawn(cluster.request, 1, "GET", f"{api.JOBS}/{job_of_shard(1)}")
     await cluster.run(0.2)
 
 
-async def accepted_oddly(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def invalid_job_accepted(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster)
     answer_always(cluster, 201, status="queued")
     await cluster.spawn(cluster.send_invalid_requests, NAME)
     await cluster.run(0.2)
 
 
-async def refused_wrongly(cluster: SimulatedCluster, _patch: Patch) -> None:
-    """A controller calls a job malformed that could merely never run."""
+async def wrong_refusal_status(cluster: SimulatedCluster, _patch: Patch) -> None:
+    """A controller rejects a job that fits nowhere with the status for a malformed one."""
     await run_one_job(cluster)
     answer_always(cluster, 400, error="no")
     cluster.acknowledged.clear()
@@ -121,15 +121,15 @@
     await cluster.run(8.0)
 
 
-async def quota(cluster: SimulatedCluster, _patch: Patch) -> None:
-    """The service has another limit configured."""
+async def quota_exceeded(cluster: SimulatedCluster, _patch: Patch) -> None:
+    """The service enforces a higher limit than the one that is checked."""
     await cluster.run(4.0)
     cluster.limit = 4.0
     await cluster.spawn(lambda: cluster.submit(NAME, 4, 30.0, crew="blue"))
     await cluster.run(4.0)
 
 
-async def wrong_place(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def wrong_zone(cluster: SimulatedCluster, _patch: Patch) -> None:
     """The service doesn't know that the job is bound to a zone."""
     await cluster.run(4.0)
     await cluster.spawn(cluster.submit, NAME, 8, 30.0)
@@ -138,7 +138,7 @@
     await cluster.run(4.0)
 
 
-async def together_or_spread(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def tasks_not_spread(cluster: SimulatedCluster, _patch: Patch) -> None:
     await cluster.run(4.0)
     await cluster.spawn(cluster.submit, NAME, 12, 30.0)
     await cluster.run(0.1)
@@ -146,13 +146,13 @@
     await cluster.run(4.0)
 
 
-async def ran_cancelled(cluster: SimulatedCluster, patch: Patch) -> None:
+async def ran_after_cancellation(cluster: SimulatedCluster, patch: Patch) -> None:
     """Workers ignore stop commands."""
-    plain = FakeWorker.execute
+    original = FakeWorker.execute
 
     def execute(worker: FakeWorker, command: api.Command) -> None:
         if command.op != api.STOP:
-            plain(worker, command)
+            original(worker, command)
 
     patch.setattr(FakeWorker, "execute", execute)
     await run_one_job(cluster, 2, 200.0)
@@ -160,7 +160,7 @@
     await cluster.run(50.0)
 
 
-async def began_cancelled(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def started_after_cancellation(cluster: SimulatedCluster, _patch: Patch) -> None:
     await run_one_job(cluster, 2, 200.0)
     await cluster.spawn(cluster.cancel, NAME, (0,))
     await cluster.run(45.0)
@@ -169,22 +169,22 @@
     await cluster.run(0.2)
 
 
-async def waits(cluster: SimulatedCluster, _patch: Patch) -> None:
+async def never_placed(cluster: SimulatedCluster, _patch: Patch) -> None:
     """Scheduling cycles place nothing."""
     await cluster.run(4.0)
 
-    async def plan() -> None:
+    async def run_cycle() -> None:
         return None
 
     for controller in cluster.controllers:
-        controller.planner.run_cycle = plan  # type: ignore[method-assign, assignment]
+        controller.planner.run_cycle = run_cycle  # type: ignore[method-assign, assignment]
     await cluster.spawn(cluster.submit, NAME, 2, 5.0)
     await cluster.run(1.0)
     cluster.heal()
     await cluster.run(95.0)
 
 
-async def unanswered(cluster: SimulatedCluster, patch: Patch) -> None:
+async def users_unanswered(cluster: SimulatedCluster, patch: Patch) -> None:
     await run_one_job(cluster, run_s=500.0)
     for number in range(3):
         cluster.closed_to_users.add(number)
@@ -193,20 +193,20 @@
 
 
 CHECKS: list[tuple[Callable[[SimulatedCluster, Patch], Any], str]] = [
-    (repeat_refused, "forgotten: .* 422"),
-    (count_falls, "went_back: .* has 0"),
-    (back_from_done, "went_back: .* is running"),
-    (invented, "invented"),
-    (accepted_oddly, "invented"),
-    (refused_wrongly, "answered 400, not 422"),
+    (resubmission_refused, "forgotten: .* 422"),
+    (done_count_falls, "went_back: .* has 0"),
+    (running_after_done, "went_back: .* is running"),
+    (unknown_job_answered, "invented"),
+    (invalid_job_accepted, "invented"),
+    (wrong_refusal_status, "answered 400, not 422"),
     (ran_twice, "ran_twice"),
-    (quota, "quota"),
-    (wrong_place, "wrong_place"),
-    (together_or_spread, "wrong_place"),
-    (ran_cancelled, "ran_cancelled: .* s after"),
-    (began_cancelled, "ran_cancelled: .* began"),
-    (waits, "waits"),
-    (unanswered, "forgotten"),
+    (quota_exceeded, "quota"),
+    (wrong_zone, "wrong_place"),
+    (tasks_not_spread, "wrong_place"),
+    (ran_after_cancellation, "ran_cancelled: .* s after"),
+    (started_after_cancellation, "ran_cancelled: .* began"),
+    (never_placed, "waits"),
+    (users_unanswered, "forgotten"),
 ]
 
 
@@ -214,6 +214,7 @@
 def test_an_injected_fault_is_detected(
     monkeypatch: Patch, scenario: Callable[[SimulatedCluster, Patch], Any], violation: str
 ) -> None:
+    # A scenario that needs two zones mentions them in its docstring, or spreading in its name.
     zones = (
         ("a", "b", "a")
         if "zone" in str(scenario.__doc__) or "spread" in scenario.__name__
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -13,7 +13,7 @@
         for _ in range(1500):
             model.step()
         starts += model.starts
-    # Invariants hold trivially where nothing runs.
+    # Where no task starts, the invariants hold trivially.
     assert starts > 60
 
 
@@ -22,7 +22,7 @@
     for _ in range(400):
         model.step()
     model.stop_failures()
-    quiet = [
+    steps = [
         "do_acquire_ownership",
         *["do_report"] * 4,
         "do_serve",
@@ -37,7 +37,7 @@
             worker.expire(model.clock.at)
         for controller in model.controllers:
             model.renew(controller)
-        getattr(model, model.rng.choice([*quiet, "do_work", "do_deliver", "do_deliver"]))()
+        getattr(model, model.rng.choice([*steps, "do_work", "do_deliver", "do_deliver"]))()
         model.check_cancelled()
         model.check_job_states()
     assert model.terminal_jobs() == set(model.accepted)
