--- a/starlingdeck/jobs/loader.py
+++ b/starlingdeck/jobs/loader.py
@@ -108,7 +108,7 @@
         """
         main = msgspec.json.decode(entry.value, type=JobRecord)
         name = main.spec.id
-        chunk_count = records.chunks_of(main.spec.tasks)
+        chunk_count = records.max_chunk_count(main.spec.tasks)
         if reason := contents.incomplete_reason(name, entry.version, main.cancelled, chunk_count):
             self.unreadable[name] = reason
             raise ValueError(reason)
@@ -166,7 +166,7 @@
         # Keep a job that was created anew during the reads above.
         if before is not None and self.shard.jobs.get(before.index) is before:
             self.shard.remove(before.index)
-            chunk_count = records.chunks_of(before.spec.tasks)
+            chunk_count = records.max_chunk_count(before.spec.tasks)
             self.shard.commit_log.remove_job(before.index, name, chunk_count)
         if final is not None:
             value = msgspec.json.decode(final.value, type=FinalRecord)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -40,7 +40,7 @@
     body = Request("POST", api.REPORT, report("vm-1", "b"))
 
     node.peers.last_heard_at[1] = clock.at
-    node.heartbeat_api.redirector.sources[node.context.machine_names.intern("vm-1")] = clock.at
+    node.heartbeat_api.redirector.newcomers[node.context.machine_names.intern("vm-1")] = clock.at
     reachable = curio.run(node.serve, body)
     assert (reachable.status, msgspec.json.decode(reachable.body)) == (421, {"answer_to": "n-1"})
 
@@ -223,7 +223,7 @@
     """A controller left alone had the work of three, but only a third of the request budget."""
     budget = RequestBudget(200.0, 60.0, 3, Clock().now)
     budget.share_among(1)
-    assert budget.reads.rate == 180.0
+    assert budget.requests.rate == 180.0
     assert budget.writes.rate == 54.0
     budget.share_among(3)
     assert budget.writes.rate == 18.0
