--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -319,11 +319,11 @@
     "an owner cut off from state service and peers": [
         (0.0, "controller isolation", 0), (25.0, "controller isolation", 0),
     ],
-    "the same, back before its lease ends": [
+    "an owner cut off twice, back before its lease ends": [
         (0.0, "controller isolation", 0), (1.5, "controller isolation", 0),
         (3.0, "controller isolation", 0),
     ],
-    "an owner crashes while machines can't be reached": [
+    "an owner crashes while worker links are blocked": [
         (0.0, "worker links blocked", 0), (0.0, "worker links blocked", 1),
         (0.0, "worker links blocked", 2), (0.5, "crash", 0), (7.0, "worker links blocked", 0),
         (7.0, "worker links blocked", 1), (7.0, "worker links blocked", 2),
@@ -332,19 +332,19 @@
         (0.0, "machines unreachable", 0), (0.0, "machines unreachable", 1), (0.5, "crash", 0),
         (14.0, "machines unreachable", 0), (14.0, "machines unreachable", 1),
     ],
-    "answers come late, then one is refused, then all": [
+    "late transactions, then one controller refused, then an outage": [
         (0.0, "late transactions", 0), (6.0, "state service refused", 0),
         (9.0, "state service outage", 0), (54.0, "state service outage", 0),
         (55.0, "late transactions", 0),
     ],
-    "commands held up in a cancellation and a takeover": [
+    "late commands during a cancellation and a takeover": [
         (0.0, "late commands", 0), (3.0, "crash", 0), (20.0, "late commands", 0),
     ],
-    "commands held up in an outage": [
+    "late commands during an outage": [
         (0.0, "late commands", 0), (2.0, "state service outage", 0),
         (22.0, "state service outage", 0),
     ],
-    "transactions carried out late in takeovers": [
+    "late transactions during takeovers": [
         (0.0, "late transactions", 0), (2.0, "controller isolation", 0),
         (8.0, "controller isolation", 0), (10.0, "controller isolation", 1),
         (16.0, "controller isolation", 1), (20.0, "late transactions", 0),
@@ -353,56 +353,56 @@
         (0.0, "duplicate reports", 0), (1.0, "crash", 0), (4.0, "worker links blocked", 1),
         (18.0, "worker links blocked", 1), (24.0, "crash", 1), (30.0, "duplicate reports", 0),
     ],
-    "all end, one is back at once": [
+    "all controllers crash, one restarts at once": [
         (0.0, "late transactions", 0), (0.5, "all crash", 1), (9.0, "all crash", 0),
         (12.0, "late transactions", 0),
     ],
-    "handed over and back within seconds": [
+    "ownership moves and returns within seconds": [
         (0.0, "state service refused", 0), (2.8, "state service refused", 0),
         (5.0, "state service refused", 1), (7.8, "state service refused", 1),
         (8.0, "state service refused", 0), (10.8, "state service refused", 0),
     ],
-    "close queries": [(0.0, "query bursts", 0), (3.0, "cancel", 1), (30.0, "query bursts", 0)],
-    "close queries while owners change": [
+    "query bursts": [(0.0, "query bursts", 0), (3.0, "cancel", 1), (30.0, "query bursts", 0)],
+    "query bursts while owners change": [
         (0.0, "query bursts", 0), (1.0, "state service refused", 0), (2.0, "cancel", 0),
         (5.0, "state service refused", 0), (6.0, "crash", 1), (7.0, "cancel", 1),
         (9.0, "controller isolation", 2), (12.0, "controller isolation", 2),
         (25.0, "query bursts", 0),
     ],
-    "close queries, slowly answered": [
+    "query bursts while the state service is slow": [
         (0.0, "query bursts", 0), (0.0, "state service slow", 0), (2.0, "controller partition", 0),
         (3.0, "cancel", 2), (5.0, "cancel", 0), (12.0, "controller partition", 0),
         (24.0, "state service slow", 0), (25.0, "query bursts", 0),
     ],
-    "only answers lost, while others read": [
+    "transaction answers lost while other controllers read": [
         (0.0, "transaction answers lost", 0), (0.0, "query bursts", 0),
         (0.0, "controller partition", 0), (3.0, "cancel", 1), (6.0, "controller partition", 0),
         (7.0, "controller partition", 1), (9.0, "cancel", 0), (14.0, "controller partition", 1),
         (20.0, "transaction answers lost", 0), (21.0, "query bursts", 0),
     ],
-    "only answers lost, in takeovers": [
+    "transaction answers lost during takeovers": [
         (0.0, "transaction answers lost", 0), (0.0, "query bursts", 0),
         (1.0, "state service refused", 0), (4.0, "state service refused", 0), (5.0, "crash", 1),
         (6.0, "cancel", 2), (14.0, "crash", 0), (26.0, "transaction answers lost", 0),
         (26.0, "query bursts", 0),
     ],
-    "at their limit, cancelled where machines are cut off, the owner crashes": [
+    "at the team limit, cancelled while worker links are blocked, the owner crashes": [
         (0.0, "worker links blocked", 0), (0.0, "worker links blocked", 1),
         (0.0, "worker links blocked", 2), (0.2, "cancel", 1), (0.4, "cancel", 2), (1.0, "crash", 0),
         (3.0, "cancel", 1), (16.0, "worker links blocked", 0), (16.0, "worker links blocked", 1),
         (16.0, "worker links blocked", 2),
     ],
-    "at their limit, cancelled where machines hang, the owner crashes": [
+    "at the team limit, cancelled while machines hang, the owner crashes": [
         (0.0, "cancel and hang", 1), (0.2, "cancel and hang", 2), (1.0, "crash", 0),
         (7.0, "end hangs", 0), (12.0, "cancel and hang", 0), (13.0, "crash", 1),
         (30.0, "end hangs", 0),
     ],
-    "at their limit, passing it on while writes come late": [
+    "at the team limit, quota transferred while transactions are late": [
         (0.0, "late transactions", 0), (0.0, "cancel", 1), (2.0, "crash", 0), (4.0, "hang", 1),
         (6.0, "cancel", 2), (10.0, "crash", 1), (18.0, "end hangs", 0),
         (24.0, "late transactions", 0),
     ],
-    "at their limit, only answers lost": [
+    "at the team limit, transaction answers lost": [
         (0.0, "transaction answers lost", 0), (1.0, "cancel", 1), (2.0, "crash", 2),
         (8.0, "cancel", 0), (9.0, "state service refused", 0), (14.0, "state service refused", 0),
         (24.0, "transaction answers lost", 0),
@@ -413,22 +413,22 @@
         (5.0, "state service refused", 0), (5.2, "cancel", 0), (5.8, "cancel", 1),
         (6.6, "cancel", 2),
     ],
-    "cancelled at the refusal, out a second later": [
+    "cancelled as one controller is refused, outage a second later": [
         (0.0, "state service refused", 0), (0.0, "cancel", 0), (0.0, "cancel", 1),
         (0.1, "cancel", 2), (1.0, "state service outage", 0), (14.0, "state service refused", 0),
         (47.0, "state service outage", 0),
     ],
-    "machines added while writes come late, the owner crashes": [
+    "machines added while transactions are late, the owner crashes": [
         (0.0, "late transactions", 0), (0.0, "add machine", 0), (0.1, "add machine", 1),
         (0.6, "crash", 0), (1.0, "add machine", 0), (8.0, "add machine", 2), (8.5, "crash", 2),
         (16.0, "late transactions", 0),
     ],
-    "machines added while writes are slow, the owner crashes": [
+    "machines added while the state service is slow, the owner crashes": [
         (0.0, "state service slow", 0), (0.0, "add machine", 0), (0.4, "add machine", 1),
         (0.8, "crash", 0), (9.0, "add machine", 0), (9.6, "state service refused", 0),
         (14.0, "state service refused", 0), (16.0, "state service slow", 0),
     ],
-    "an old report reaches all as a new owner begins": [
+    "old reports replayed to all controllers after a takeover": [
         (0.0, "report replays", 0), (4.0, "restart machines", 1), (5.0, "worker links blocked", 1),
         (6.0, "crash", 0), (17.0, "worker links blocked", 1), (20.0, "crash", 1),
         (30.0, "report replays", 0),
@@ -438,24 +438,24 @@
         (21.0, "state service outage", 0), (27.0, "state service outage", 0), (62.0, "crash", 0),
         (70.0, "crash", 1), (78.0, "crash", 2), (86.0, "crash", 0), (94.0, "crash", 1),
     ],
-    "all are away for longer than a lease": [
+    "all controllers are down for longer than a lease": [
         (0.0, "cancel", 1), (0.5, "all crash longer than a lease", 0),
     ],
-    "a last task ends while users query": [
+    "jobs cancelled at their end during query bursts": [
         (0.0, "jobs cancelled at end", 0), (0.0, "query bursts", 0),
         (40.0, "jobs cancelled at end", 0), (40.0, "query bursts", 0),
     ],
-    "a last task ends while users query, slowly answered": [
+    "jobs cancelled at their end during query bursts, state service slow": [
         (0.0, "jobs cancelled at end", 0), (0.0, "query bursts", 0), (0.0, "state service slow", 0),
         (0.0, "controller partition", 1), (30.0, "jobs cancelled at end", 0),
         (30.0, "query bursts", 0), (30.0, "state service slow", 0),
         (30.0, "controller partition", 1),
     ],
-    "a zone is cut for longer than a lease": [
+    "a zone is partitioned for longer than a lease": [
         (0.0, "cancel", 0), (0.5, "zone partition", 1), (1.0, "cancel", 0),
         (17.0, "zone partition", 1),
     ],
-    "a zone is cut twice, jobs bound to it": [
+    "a zone is partitioned twice, with jobs bound to it": [
         (0.0, "zone partition", 1), (4.0, "zone partition", 1), (8.0, "hang", 1),
         (20.0, "end hangs", 0), (22.0, "zone partition", 1), (40.0, "zone partition", 1),
     ],
@@ -463,16 +463,16 @@
         (0.0, "hang", 0), (1.0, "hang", 1), (9.0, "add machine", 0), (9.0, "add machine", 1),
         (24.0, "end hangs", 0), (25.0, "restart machines", 2),
     ],
-    "machines reach no controller, commands reach them": [
+    "heartbeats lost while commands arrive": [
         (0.0, "heartbeats lost", 0), (2.0, "crash", 0), (8.0, "heartbeats lost", 0),
         (10.0, "heartbeats lost", 1), (12.0, "cancel", 2), (26.0, "heartbeats lost", 1),
     ],
-    "machines reach no controller, commands come as their leases end": [
+    "heartbeats lost, commands arrive as leases expire": [
         (0.0, "report latency", 0), (3.0, "heartbeats lost", 0), (3.2, "heartbeats lost", 1),
         *((11.0 + 0.2 * i, "cancel", i % 3) for i in range(12)), (29.0, "heartbeats lost", 0),
         (30.0, "heartbeats lost", 1),
     ],
-    "cancelled, then the machine hangs and goes on": [
+    "cancelled, then the machine hangs and resumes": [
         (0.0, "late commands", 0), (0.0, "cancel and hang", 0), (0.2, "cancel and hang", 1),
         (8.0, "end hangs", 0), (10.0, "cancel and hang", 2), (24.0, "end hangs", 0),
         (24.0, "late commands", 0),
@@ -482,7 +482,7 @@
         (5.0, "state service refused", 0), (6.0, "crash", 1), (9.0, "state service slow", 0),
         (16.0, "state service slow", 0), (17.0, "invalid requests", 0),
     ],
-    "more work than capacity, over slow links": [
+    "more work than capacity, state service slow and commands late": [
         (0.0, "state service slow", 0), (0.0, "late commands", 0), (4.0, "cancel", 1),
         (30.0, "state service slow", 0), (30.0, "late commands", 0),
     ],
@@ -491,7 +491,7 @@
 SCENARIO_CLUSTERS: dict[str, dict[str, Any]] = {
     scenario: {"limit": 8.0}
     for scenario in FAILURE_SCENARIOS
-    if scenario.startswith("at their limit")
+    if scenario.startswith("at the team limit")
 } | {name: {"zones": ("a", "b", "a")} for name in FAILURE_SCENARIOS if "a zone" in name}
 
 
