--- a/tests/test_concurrent_failures.py
+++ b/tests/test_concurrent_failures.py
@@ -49,7 +49,9 @@
 
 
 @pytest.mark.parametrize("gap_s", [0.2, 3.0, 8.0, 14.0])
-@pytest.mark.parametrize("variant", ["alone", "reading", "crashed", "back"])
+@pytest.mark.parametrize(
+    "variant", ["outage only", "jobs unreadable", "next owner crashed", "refusal ended"]
+)
 def test_cancelled_tasks_end_when_the_owner_and_then_all_lose_the_state_service(
     monkeypatch: pytest.MonkeyPatch, gap_s: float, variant: str
 ) -> None:
@@ -64,17 +66,17 @@
         name = await run_spread_job(cluster, 0, 500.0)
         cluster.clients[0].cut = True
         for client in cluster.clients:
-            if variant in ("reading", "crashed"):
+            if variant in ("jobs unreadable", "next owner crashed"):
                 client.unreadable_prefixes.add("j/0/")
         await cluster.spawn(cluster.cancel, name, (1, 2))
         while name not in cluster.reported_terminal:
             await cluster.run(0.1)
         await cluster.run(gap_s)
         cluster.set_outage(True)
-        if variant == "crashed":
+        if variant == "next owner crashed":
             cluster.crash(1, 6.0)
         await cluster.run(12.0)
-        cluster.clients[0].cut = variant != "back"
+        cluster.clients[0].cut = variant != "refusal ended"
         await cluster.run(CANCEL_S + 8.0)
         assert not cluster.live_tasks_of(name)
         cluster.set_outage(False)
